--- a/region/assign.go
+++ b/region/assign.go
@@ -10,31 +10,30 @@
 	"plantainwinch/winch"
 )
 
-// live returns the entries that can be keepers and lanes now.
+// live returns the entries that can be keepers and use lanes at present.
 func (l *lead) live() map[string]member {
-	linked := make(map[string]bool)
+	connected := make(map[string]bool)
 	for _, name := range l.node.Peers.Names() {
-		linked[name] = true
+		connected[name] = true
 	}
 	out := make(map[string]member)
 	for _, m := range l.node.cell.list() {
-		if linked[m.Name] || m.Name == l.node.Name && !l.node.leaving.Load() {
+		if connected[m.Name] || m.Name == l.node.Name && !l.node.leaving.Load() {
 			out[m.Name] = m
 		}
 	}
 	return out
 }
 
-// reassignSoon has the workers' keepers worked out with the next decision. Hundreds
-// of entries come and go at once, and each call goes over all workers.
+// reassignSoon has the workers' keepers recomputed with the next decision. Hundreds of entries may
+// come and go at once, and each computation goes over all workers.
 func (l *lead) reassignSoon() {
 	l.assign = true
 	l.wake()
 }
 
-// reassign gives each worker a keeper: one of its own failure domain if there
-// is one, so that a domain which is cut off keeps its work. A keeper is used once
-// it is recorded in the roster.
+// reassign gives each worker a keeper: one of its own failure domain if there is one, so that a
+// partitioned domain keeps its work. A keeper is used once it is recorded in the roster.
 func (l *lead) reassign() {
 	if l.closed {
 		return
@@ -60,9 +59,9 @@
 	l.wake()
 }
 
-// askEarlier begins a session with each entry that kept workers for the earlier
-// planner and keeps none now, so that it tells what it knows of them. An entry that is
-// to stop has left the list by then, and answers for two seconds yet.
+// askEarlierKeepers opens a session with each entry that kept workers for the earlier planner and
+// keeps none now, so that it reports what it knows of them. An entry that is stopping has left the
+// list by then, but responds for two more seconds.
 func (l *lead) askEarlier() {
 	for _, w := range l.before {
 		if !l.asked[w.Keeper] && l.proxies[w.Keeper] == nil && l.reached(w.Keeper) {
@@ -72,26 +71,26 @@
 	}
 }
 
-// reached reports whether an entry can be told something, also one that is to stop.
-// Such a keeper keeps its workers until others have been recorded for them, and then
-// tells until when its leases run: it answers for two seconds yet.
+// reachable reports whether messages can be sent to an entry, including one that is stopping. Such a
+// keeper keeps its workers until others have been recorded for them, and then reports until when its
+// leases run: it responds for two more seconds.
 func (l *lead) reached(name string) bool {
 	return !l.resting[name] && slices.Contains(l.node.Peers.Names(), name)
 }
 
-// want chooses the keepers, and has them recorded where they differ from the roster.
+// chooseKeepers chooses the keepers, and has them recorded where they differ from the roster.
 func (l *lead) want(held []winch.WorkerVM, live map[string]member) {
-	byDomain := newPools(live, l.busy()...)
+	pools := newPools(live, l.busy()...)
 	wanted := make(map[string]rostered, len(held))
 	workers := make(map[string]int)
 	for _, vm := range held {
-		byDomain.add(l.wanted[vm.ID].Keeper)
+		pools.add(l.wanted[vm.ID].Keeper)
 		workers[vm.Domain]++
 	}
-	byDomain.limit(workers)
+	pools.limit(workers)
 	for _, vm := range held {
-		if now := byDomain.choose(vm.Domain, l.wanted[vm.ID].Keeper); now != "" {
-			wanted[vm.ID] = l.entryOf(vm, now, l.turnOf(vm.ID, now))
+		if keeper := pools.choose(vm.Domain, l.wanted[vm.ID].Keeper); keeper != "" {
+			wanted[vm.ID] = l.entryOf(vm, keeper, l.turnOf(vm.ID, keeper))
 		}
 	}
 	l.wanted = wanted
@@ -100,7 +99,7 @@
 	}
 }
 
-// busy names the entries that have more to do than others: the planner's and its standby's.
+// busyEntries returns the entries with additional work: the planner and its standby.
 func (l *lead) busy() []string {
 	out := []string{l.node.Name}
 	if l.standby != nil {
@@ -109,16 +108,16 @@
 	return out
 }
 
-// mostEarlier bounds the earlier keepers that are recorded of a worker. One without a name
-// stands for the others: nothing can be learnt of those.
+// maxEarlierKeepers bounds the earlier keepers that are recorded for a worker. One without a name
+// stands for those left out, of which nothing can be learnt any more.
 const mostEarlier = 16
 
 func sameEntry(a, b rostered) bool {
 	return a.Keeper == b.Keeper && a.Turn == b.Turn && a.VM.Born == b.VM.Born && a.Settled == b.Settled && a.Bound == b.Bound && slices.Equal(a.Earlier, b.Earlier)
 }
 
-// turnOf returns the turn by which a keeper has a worker: a new one if it is another
-// keeper than before.
+// generationOf returns the generation of a worker's assignment to a keeper: a new one if the keeper
+// has changed.
 func (l *lead) turnOf(worker, keeper string) uint64 {
 	if last := l.wanted[worker]; last.Keeper == keeper && last.Turn != 0 {
 		return last.Turn
@@ -127,11 +126,11 @@
 	return l.term*turnsPerTerm + l.turns
 }
 
-// entryOf is what is to be recorded of a worker. For one that does not answer
-// that is all that may run there, since nothing is started there until the record
-// is changed again. Were the planner and its standby lost then, with all other
-// work the next planner would wait until everything there had surely ended. Before
-// it is heard what an earlier planner started there, that is not all.
+// rosterRecord returns what is to be recorded for a worker. For one that does not respond, the record
+// lists all runs that may exist there, since nothing is started there until the record is changed
+// again. Without that, if the planner and its standby were lost together, the next planner would have
+// to delay all other work until everything there has surely ended. The record is not complete before
+// it is known what an earlier planner started there.
 func (l *lead) entryOf(vm winch.WorkerVM, keeper string, turn uint64) rostered {
 	last := l.wanted[vm.ID]
 	out := rostered{VM: vm, Keeper: keeper, Address: last.Address, Turn: turn}
@@ -147,24 +146,24 @@
 			}
 		}
 	}
-	if quiet, answers := l.planner.Quiet(vm.ID); quiet && !answers && l.planner.Heard(vm.ID) {
+	if unresponsive, responds := l.planner.Quiet(vm.ID); unresponsive && !responds && l.planner.Heard(vm.ID) {
 		out.Settled, out.Runs = true, l.planner.RunsAt(vm.ID)
 	}
 	out.Bound = l.recordedBound(vm.ID)
 	return out
 }
 
-// awake lets workers get work that answer again and that the store surely does
-// not hold as settled.
+// resumeResponsive allows work again on workers that respond again and that the store surely does not
+// record as settled.
 func (l *lead) awake() {
 	for id := range l.roster {
-		if quiet, answers := l.planner.Quiet(id); quiet && answers && !l.settled[id] && !l.mayBound[id] {
+		if unresponsive, responds := l.planner.Quiet(id); unresponsive && responds && !l.settled[id] && !l.mayBound[id] {
 			l.planner.Awake(id)
 		}
 	}
 }
 
-// activate has the recorded keepers hold their workers.
+// activateKeepers assigns workers to their recorded keepers.
 func (l *lead) activate(held []winch.WorkerVM, live map[string]member) {
 	changed := make(map[string]bool)
 	for _, vm := range held {
@@ -184,7 +183,10 @@
 		}
 		changed[name] = true
 		l.tokens++
-		l.keep(vm.ID, name, proto.Kept{VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Turn: turn, Empty: l.planner.Empty(vm.ID)})
+		l.keep(vm.ID, name, proto.Kept{
+			VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Turn: turn,
+			Empty: l.planner.Empty(vm.ID),
+		})
 	}
 	l.dropKept(held, changed)
 	for name := range changed {
@@ -192,15 +194,15 @@
 	}
 }
 
-// dropKept takes workers from their keepers that the planner does not hold any more.
-func (l *lead) dropKept(list []winch.WorkerVM, changed map[string]bool) {
+// dropUnheld ends the assignments of workers that the planner no longer holds.
+func (l *lead) dropKept(vms []winch.WorkerVM, changed map[string]bool) {
 	held := make(map[string]bool)
-	for _, vm := range list {
+	for _, vm := range vms {
 		held[vm.ID] = true
 	}
 	for id, name := range l.keepers {
 		if !held[id] {
-			l.lapses.forget(id) // Nothing that the planner knows of runs there.
+			l.lapses.forget(id) // No run that the planner knows of is left there.
 			l.unkeep(id)
 			changed[name] = true
 		}
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// endingWait is how long the answer for a job that may end soon waits for the end: from a
-	// task's end until it is recorded it takes some 20 ms, more under load.
+	// completionWait is how long the response for a job that may end soon waits for its completion: it
+	// takes some 20 ms from the end of a task until that is recorded, more under load.
 	endingWait = 60 * time.Millisecond
-	// endingForget is how often those that have waited in vain are forgotten.
+	// waitersCleanupInterval is how often requests that timed out waiting are forgotten.
 	endingForget = 10 * time.Second
 )
 
-// takeJobs adds the jobs that the planner does not know yet, and returns the IDs of those
-// of which there are parts but no job.
+// addJobs adds the jobs that the planner does not know yet, and returns the IDs of those of which the
+// store holds other records but no job record.
 func (l *lead) takeJobs(values []winch.Value) (orphans []string) {
 	all := make(map[string]*stored)
 	for _, v := range values {
@@ -34,7 +34,7 @@
 			all[id] = s
 		}
 		if err := s.take(what, v); err != nil {
-			l.node.Log.Error("record cannot be read", zap.String("key", v.Key), zap.Error(err))
+			l.node.Log.Error("job record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 		}
 	}
 	var jobs []fleet.Stored
@@ -54,7 +54,7 @@
 	return orphans
 }
 
-// followJobs reads what is accepted and cancelled after a revision.
+// followJobs applies the jobs that are accepted or cancelled after the revision that was read.
 func (l *lead) followJobs(ctx context.Context) {
 	take := func(values []winch.Value) {
 		l.post(func() {
@@ -73,14 +73,14 @@
 	})
 }
 
-// take takes what an entry tells: jobs that were accepted, or a cancel.
+// applyNotification applies an entry's notification: accepted jobs or a cancellation.
 func (l *lead) take(body any) {
 	l.post(func() {
 		switch m := body.(type) {
 		case proto.Accepted:
 			for _, a := range m.Jobs {
 				if a.Revision <= l.jobsAt {
-					continue // It was read, or had ended by then.
+					continue // It was read from the store, or had ended by then.
 				}
 				if a.Command != "" {
 					l.node.commands.Add(a.Job.ID, a.Command)
@@ -96,33 +96,33 @@
 	})
 }
 
-// state answers what is known of a job. Callers often ask just as the last task ends, a
-// moment before that is recorded and may be told; answered at once they would learn of it
-// only when they ask again. So the answer for a job that may end soon waits a little.
+// state returns the known state of a job. Callers often ask just as the last task ends, a moment
+// before that is recorded and may be reported; with an immediate response they would learn of it only
+// when they ask again. So the response for a job that may end soon waits briefly.
 func (l *lead) state(ctx context.Context, id string) proto.StateGive {
-	var give proto.StateGive
+	var resp proto.StateGive
 	var ended chan struct{}
 	if l.duty.Do(ctx, func() {
 		if l.valid.Load().left() <= -staleTime {
 			return
 		}
-		give.State, give.Known = l.planner.State(id)
+		resp.State, resp.Known = l.planner.State(id)
 		if l.planner.Ending(id) {
 			ended = make(chan struct{})
 			l.asking[id] = append(l.asking[id], ended)
 		}
 	}) != nil || ended == nil {
-		return give // Without an answer the store is asked.
+		return resp // Without a response the caller reads the store.
 	}
 	timer := time.NewTimer(endingWait)
 	defer timer.Stop()
 	select {
 	case <-ended:
-		give.State, give.Known = l.stateNow(ctx, id)
+		resp.State, resp.Known = l.stateNow(ctx, id)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return give
+	return resp
 }
 
 // stateNow returns the state that the planner has of a job.
@@ -131,7 +131,7 @@
 	return state, known
 }
 
-// tellAsking answers those that wait for the end of a job.
+// notifyWaiters wakes the requests that wait for the end of a job.
 func (l *lead) tellAsking(id string) {
 	for _, ended := range l.asking[id] {
 		close(ended)
@@ -139,7 +139,7 @@
 	delete(l.asking, id)
 }
 
-// dropAsking forgets those that have waited in vain for jobs that did not end.
+// dropWaiters forgets requests that timed out waiting for jobs that did not end.
 func (l *lead) dropAsking() {
 	if time.Since(l.askingAt) > endingForget {
 		l.askingAt = time.Now()
--- a/region/lag.go
+++ b/region/lag.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// lagHalf is how long it takes until half of a change of the lag is noticed.
+	// lagHalfLife is how long it takes until half of a change of the lag shows in the mean.
 	lagHalf = 500 * time.Millisecond
-	// lagMost is the lag from which on a planner counts as slower than it should be: each
-	// phase of an urgent job takes so much longer.
+	// maxLag is the lag from which on a planner counts as too slow: each phase of an urgent job is
+	// delayed by that much.
 	lagMost = 150 * time.Millisecond
-	// lagAfter is how long a planner serves before it gives the office to its standby for its
-	// lag: what a takeover brings is done by then.
+	// lagYieldDelay is how long a planner serves before it yields the office because of its lag: the
+	// extra work of a takeover is done by then.
 	lagAfter = 4 * time.Second
 )
 
-// lag is how much later than it was to the planner decides, in the mean of the last moments.
-// On a VM that has turned slow it grows although the office's lease is renewed in time.
+// lag measures how much later than scheduled the planner decides, as a moving average. On a VM that
+// has become slow the lag grows although the office's lease is renewed in time.
 type lag struct {
 	due  time.Time
 	mean time.Duration
 	at   time.Time
 }
 
-// note takes that a decision begins.
+// note records that a decision begins.
 func (l *lag) note(now time.Time) {
 	if l.due.IsZero() {
-		return // It was not to decide at a time.
+		return // No decision was scheduled.
 	}
 	late := max(0, now.Sub(l.due))
 	kept := 0.0
@@ -38,8 +38,8 @@
 	l.at = now
 }
 
-// slow reports whether the planner decides much later than it should, and its standby, which
-// answers soon, would not.
+// slow reports whether the planner decides much later than scheduled, and its standby, which responds
+// sooner, would not.
 func (l *lead) slow() bool {
 	return l.lag.mean > lagMost && time.Since(l.began) > lagAfter && l.covered() && l.answered < l.lag.mean
 }
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -15,58 +15,60 @@
 )
 
 const (
-	// mirrorTime bounds the standby's answer. Starts wait for it, so a standby that
-	// is slow is given up early.
+	// mirrorTimeout bounds the standby's response. Starts wait for it, so a slow standby is dropped
+	// early.
 	mirrorTime = 400 * time.Millisecond
-	// mirrorRunTime is how much longer it may take for each run that is told: the copy of
-	// all runs takes its time on a thin link.
+	// mirrorTimeoutPerRun is added to the timeout for each run in a message: the copy of all runs
+	// takes time on a slow link.
 	mirrorRunTime = 300 * time.Microsecond
-	// standbyRest is how long an entry that failed as standby is not tried again.
+	// standbyRetryDelay is how long an entry that failed as standby is not tried again.
 	standbyRest = time.Second
-	// standbyLook is how often the standby is compared with other entries.
+	// standbyCheckInterval is how often the standby is compared with other entries.
 	standbyLook = 500 * time.Millisecond
-	// wordTime is how long a standby goes by what it was told of silent workers: longer
-	// than it takes to replace a planner that is lost. wordAgain is how often it is told
-	// again, and wordMargin what the planner adds before it counts on nothing of it.
+	// expiriesLifetime is how long a standby may use the expiries that it was sent: longer than it
+	// takes to replace a lost planner. expiriesInterval is how often they are sent again, and
+	// expiriesMargin is what the planner adds before it assumes that the standby no longer uses them.
 	wordTime   = 2100 * time.Millisecond
 	wordAgain  = 150 * time.Millisecond
 	wordMargin = 100 * time.Millisecond
 )
 
-// mirror is what an entry holds as standby of the planner: all runs that may
-// exist at the workers. The planner starts nothing before its standby has heard
-// of it, so a standby that takes the office over knows what may run at workers
-// that it cannot reach, and need not wait until their leases have ended.
+// mirror is the copy that an entry holds as standby of the planner: all runs that may exist at the
+// workers. The planner starts nothing before its standby has acknowledged it, so a standby that takes
+// the office over knows what may run at workers that it cannot reach, and need not wait until their
+// leases have expired.
 type mirror struct {
 	mu      sync.Mutex
 	term    uint64
 	session uint64
 	runs    map[proto.MirrorRun]bool
-	lapses  map[string][]holding // lapses holds those that may have leases at silent workers.
-	heard   time.Time            // heard is when the planner's last message was taken.
-	// started is the zero of the stamps, until is how long lapses are good.
+	// expiries holds the assignments under which leases may run at unresponsive workers.
+	lapses map[string][]holding
+	// lastContact is when the planner's last message was accepted.
+	heard time.Time
+	// stampBase is the time of stamp zero; expiriesUntil is until when expiries may be used.
 	started time.Time
 	until   time.Time
 }
 
-// mirrored is what a standby knows as it takes the office over: the runs of each
-// worker, and until when those at silent workers may go on.
+// mirrorCopy is what a standby knows as it takes the office over: the runs of each worker, and until
+// when those at unresponsive workers may go on.
 type mirrored struct {
 	runs   map[string][]winch.Running
 	lapses map[string][]holding
 }
 
-// answer takes a message and answers it.
+// answer applies a message and returns the acknowledgement.
 func (m *mirror) answer(msg proto.Mirror) proto.MirrorAck {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.started.IsZero() {
-		m.started = time.Now().Add(-time.Millisecond) // No stamp is zero.
+		m.started = time.Now().Add(-time.Millisecond) // No stamp may be zero.
 	}
 	return proto.MirrorAck{OK: m.take(msg), Stamp: time.Since(m.started)}
 }
 
-// take applies a message and reports whether it was taken. The mutex is held.
+// apply applies a message and reports whether it was accepted. The caller holds the mutex.
 func (m *mirror) take(msg proto.Mirror) bool {
 	if msg.Term < m.term || msg.Term == m.term && msg.Session < m.session {
 		return false
@@ -88,8 +90,8 @@
 	if !msg.Same {
 		m.lapses = make(map[string][]holding, len(msg.Lapses))
 	}
-	for _, x := range msg.Lapses {
-		m.lapses[x.Worker] = append(m.lapses[x.Worker], holding{keeper: x.Keeper, lapse: time.Now().Add(x.Left)})
+	for _, e := range msg.Lapses {
+		m.lapses[e.Worker] = append(m.lapses[e.Worker], holding{keeper: e.Keeper, lapse: time.Now().Add(e.Left)})
 	}
 	m.until = time.Time{}
 	if msg.Stamp > 0 {
@@ -98,61 +100,61 @@
 	return true
 }
 
-// fresh reports whether this entry is the standby of a planner that has lately said so.
+// active reports whether this entry is the standby of a planner that has lately sent a message.
 func (m *mirror) fresh() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.runs != nil && time.Since(m.heard) < prefetchTime
 }
 
-// claim ends the copy, since this entry has taken the office for a term, and
-// returns the runs by worker if the copy is of the term before. No message of an
-// earlier planner is taken any more: it can start nothing unseen.
+// claim ends the copying because this entry has taken the office for a term, and returns the runs by
+// worker if the copy is of the previous term. No message of an earlier planner is accepted any more,
+// so that planner can start nothing that this entry does not know of.
 func (m *mirror) claim(term uint64) (mirrored, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	whole := m.runs != nil && m.term+1 == term
+	complete := m.runs != nil && m.term+1 == term
 	out := mirrored{runs: make(map[string][]winch.Running)}
 	if time.Now().Before(m.until) {
 		out.lapses = m.lapses
 	}
-	if whole {
+	if complete {
 		for r := range m.runs {
 			out.runs[r.Worker] = append(out.runs[r.Worker], winch.Running{Task: r.Task, Run: r.Run})
 		}
 	}
 	m.term, m.session, m.runs, m.lapses = term, 0, nil, nil
-	return out, whole
+	return out, complete
 }
 
-// standby is the planner's side of its mirror.
+// standby is the planner's state of its standby.
 type standby struct {
 	name    string
 	session uint64
-	synced  bool          // synced says that the standby has taken all runs.
-	stamp   time.Duration // stamp is that of its last answer.
+	synced  bool          // synced says that the standby has acknowledged all runs.
+	stamp   time.Duration // stamp is the stamp of its last response.
 }
 
-// standbyRecord names the standby of a term's planner in the store. A standby
-// that is not named there may have missed starts.
+// standbyRecord names the standby of a term's planner in the store. A standby that is not named there
+// may have missed starts.
 type standbyRecord struct {
 	Term uint64
 	Name string
 }
 
-// chooseStandby takes an entry as standby: a strong one, since it is the next
-// planner, and one of another failure domain, so that both are not cut off
-// together. It has to wait until all runs of an earlier planner are found: a copy
-// without them would let the standby start them twice.
+// chooseStandby selects an entry as standby: a strong one, since it is the next planner, and one of
+// another failure domain, so that a partition does not cut off both. It has to wait until all runs of
+// an earlier planner are known: with an incomplete copy the standby would start the missing ones
+// twice.
 func (l *lead) chooseStandby(live map[string]member) {
 	if l.planner.Adopting() {
 		return
 	}
-	most := mostShare(maps.Values(live))
-	best := l.bestStandby(live, most)
+	largest := mostShare(maps.Values(live))
+	best := l.bestStandby(live, largest)
 	if s := l.standby; s != nil {
-		now, ok := live[s.name]
-		if ok && (strong(now.Share, most) || best == "" || !strong(live[best].Share, most)) {
+		current, ok := live[s.name]
+		if ok && (strong(current.Share, largest) || best == "" || !strong(live[best].Share, largest)) {
 			return
 		}
 		l.dropStandby()
@@ -165,17 +167,17 @@
 	l.pump()
 }
 
-func (l *lead) bestStandby(live map[string]member, most int) string {
+func (l *lead) bestStandby(live map[string]member, largest int) string {
 	best := ""
 	better := func(a, b string) bool {
 		if b == "" {
 			return true
 		}
-		if strongA, strongB := strong(live[a].Share, most), strong(live[b].Share, most); strongA != strongB {
+		if strongA, strongB := strong(live[a].Share, largest), strong(live[b].Share, largest); strongA != strongB {
 			return strongA
 		}
-		if farA, farB := live[a].Domain != l.node.Domain, live[b].Domain != l.node.Domain; farA != farB {
-			return farA
+		if otherA, otherB := live[a].Domain != l.node.Domain, live[b].Domain != l.node.Domain; otherA != otherB {
+			return otherA
 		}
 		return live[a].Share > live[b].Share || live[a].Share == live[b].Share && a < b
 	}
@@ -187,9 +189,9 @@
 	return best
 }
 
-// dropStandby gives a standby up. Starts wait until the store names it no more.
+// dropStandby drops the standby. Starts wait until the store no longer names it.
 func (l *lead) dropStandby() {
-	l.node.Log.Info("standby given up", zap.String("standby", l.standby.name))
+	l.node.Log.Info("standby dropped", zap.String("standby", l.standby.name))
 	l.tired[l.standby.name] = time.Now().Add(standbyRest)
 	l.standby = nil
 	l.removed = nil
@@ -198,8 +200,8 @@
 	duty.Signal(l.standbyCh)
 }
 
-// released reports whether starts may go out that the standby has heard of: the
-// store names no other entry that could take over as standby without them.
+// releasable reports whether starts that the standby has acknowledged may be sent: the store names no
+// other entry that could take over as standby without them.
 func (l *lead) released() bool {
 	mine := func(name string) bool {
 		return name == "" || l.standby != nil && l.standby.synced && name == l.standby.name
@@ -212,8 +214,8 @@
 	return mine(l.named)
 }
 
-// release sends the orders that the standby has heard of. What other standbys were
-// told of silent workers counts no more.
+// release sends the orders that the standby has acknowledged. Expiries that earlier standbys were sent
+// no longer matter.
 func (l *lead) release() {
 	if !l.released() {
 		return
@@ -230,14 +232,14 @@
 	l.send(starts)
 }
 
-// pump has queued starts sent: after the standby has heard of them, or directly
-// where the store surely names none.
+// sendQueued sends queued orders: after the standby's acknowledgement, or directly if the store surely
+// names no standby.
 func (l *lead) pump() {
 	if l.mirroring {
 		return
 	}
 	if l.standby == nil {
-		l.acked = nil // Whoever is named later hears of all anew.
+		l.acked = nil // The next standby is sent all expiries again.
 		l.planner.Gone()
 		l.told, l.queued = append(l.told, l.queued...), nil
 		l.release()
@@ -248,9 +250,12 @@
 		l.removed = append(l.removed, proto.MirrorRun{Worker: g.Worker, Task: g.Task, Run: g.Run})
 	}
 	if s.synced && len(l.queued) == 0 && !l.lapseNews {
-		return // What ended is told with the next starts.
+		return // Runs that ended are sent with the next starts.
+	}
+	msg := proto.Mirror{
+		Term: l.term, Session: s.session, Full: !s.synced, Remove: l.removed,
+		Same: s.synced && !l.lapseNews, Stamp: s.stamp,
 	}
-	msg := proto.Mirror{Term: l.term, Session: s.session, Full: !s.synced, Remove: l.removed, Same: s.synced && !l.lapseNews, Stamp: s.stamp}
 	if !msg.Same {
 		msg.Lapses = l.lapses.told(l.keepers, l.closed)
 	}
@@ -307,7 +312,7 @@
 	})
 }
 
-// allRuns returns all runs that may exist, those of queued starts included.
+// allRuns returns all runs that may exist, including those of queued starts.
 func (l *lead) allRuns() []proto.MirrorRun {
 	var out []proto.MirrorRun
 	for _, vm := range l.planner.Held() {
@@ -321,7 +326,7 @@
 	return out
 }
 
-// runStandby keeps the store's record of the standby true.
+// runStandby keeps the store's record of the standby up to date.
 func (l *lead) runStandby(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -332,7 +337,7 @@
 		for ctx.Err() == nil {
 			done, err := l.nameStandby(ctx)
 			if err != nil {
-				l.node.Log.Info("standby not recorded", zap.Error(err))
+				l.node.Log.Info("recording the standby failed; retrying", zap.Error(err))
 				duty.Pause(ctx, retryPause/3)
 			}
 			if done {
@@ -342,27 +347,27 @@
 	}
 }
 
-// nameStandby writes the record if it differs, and reports whether it is true now. A write
-// that is not answered may take effect until the record's revision has changed.
+// recordStandby writes the record if it differs, and reports whether it is up to date. A write whose
+// response was lost may take effect until the record's revision has changed.
 func (l *lead) nameStandby(ctx context.Context) (bool, error) {
-	want := ""
+	name := ""
 	same := true
-	at := uint64(0)
+	revisionBefore := uint64(0)
 	if err := l.duty.Do(ctx, func() {
 		if l.standby != nil && l.standby.synced {
-			want = l.standby.name
+			name = l.standby.name
 		}
-		same = want == l.named && len(l.mayName) == 0
+		same = name == l.named && len(l.mayName) == 0
 		if !same {
-			l.mayName[want] = true
+			l.mayName[name] = true
 		}
-		at = l.namedAt
+		revisionBefore = l.namedAt
 	}); err != nil || same {
-		return true, nil // The lead is over, or nothing is to be written.
+		return true, nil // The leadership is over, or nothing is to be written.
 	}
 	revision, err := l.node.Table.Commit(ctx, winch.Txn{
-		Expect: map[string]uint64{keyOffice: l.revision, keyStandby: at},
-		Writes: []winch.Write{{Key: keyStandby, Data: encode(standbyRecord{Term: l.term, Name: want})}},
+		Expect: map[string]uint64{keyOffice: l.revision, keyStandby: revisionBefore},
+		Writes: []winch.Write{{Key: keyStandby, Data: encode(standbyRecord{Term: l.term, Name: name})}},
 	})
 	var conflict *winch.ConflictError
 	if errors.As(err, &conflict) && conflict.Current[keyOffice].Version == l.revision {
@@ -371,21 +376,21 @@
 	if err != nil {
 		return false, err
 	}
-	l.node.Log.Info("standby recorded", zap.String("standby", want))
-	return false, l.nowNamed(ctx, want, revision)
+	l.node.Log.Info("standby recorded", zap.String("standby", name))
+	return false, l.nowNamed(ctx, name, revision)
 }
 
-// learnStandby takes the record that an unanswered write has left.
+// learnStandby applies the record that a write with a lost response has left.
 func (l *lead) learnStandby(ctx context.Context, v winch.Value) error {
 	var r standbyRecord
 	if err := decode(v.Data, &r); err != nil {
 		return err
 	}
-	l.node.Log.Info("standby recorded before", zap.String("standby", r.Name))
+	l.node.Log.Info("standby already recorded by a write with a lost response", zap.String("standby", r.Name))
 	return l.nowNamed(ctx, r.Name, v.Version)
 }
 
-// nowNamed notes which standby the store names. No earlier write can change that any more.
+// standbyNamed records which standby the store names. No earlier write can change that any more.
 func (l *lead) nowNamed(ctx context.Context, name string, revision uint64) error {
 	return l.duty.Do(ctx, func() {
 		l.named, l.namedAt = name, revision
--- a/region/office.go
+++ b/region/office.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// rankDelay is how much later each entry tries to take a free office than the
-	// one before it: two calls to the store.
+	// rankDelay is how much later each entry tries to take a free office than the entry ranked before
+	// it: the time of two calls to the store.
 	rankDelay = 25 * time.Millisecond
-	// weakDelay is how much longer an entry on a weak VM waits. When all start at
-	// once the strong ones are known from their last records, and may be slower.
+	// weakDelay is how much longer an entry on a weak VM waits. When all entries start at once, the
+	// strong ones are known from their last records and may be slower.
 	weakDelay = 600 * time.Millisecond
-	// yieldRest is how long an entry stays behind that has given the office to a
-	// stronger one, so that it does not take it back before that one has noticed.
+	// yieldBackoff is how long an entry that yielded the office to a stronger one stays behind, so
+	// that it does not take the office back before the stronger one has noticed.
 	yieldRest = 2 * time.Second
-	// officeLook is how often the office is looked at where no change was told.
+	// officePollInterval is how often the office is checked if no change was reported.
 	officeLook = time.Second
-	// validMargin is taken off the office's lease: work that is decided just
-	// before its end still has to be sent.
+	// validityMargin is subtracted from the office's lease: work that is decided just before the lease
+	// expires still has to be sent.
 	validMargin = 150 * time.Millisecond
 )
 
-// runOffice takes the region's office whenever it is free, until ctx ends.
+// runOffice takes the region's office, the planner's leadership lease in the store, whenever it is
+// free, until ctx ends.
 func (n *Node) runOffice(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.endOffice(ctx)
@@ -56,9 +57,9 @@
 	return n.cell.read && n.cell.officeAt == 0 && !n.stopping.Load() && n.settings.config.Load() != nil
 }
 
-// endOffice frees the office if an earlier process of this VM holds it, so that
-// nobody waits for its lease to lapse. That process has ended: it listened where
-// this one listens. Its standby takes over at once.
+// endStaleOffice frees the office if an earlier process of this VM holds it, so that nobody waits for
+// its lease to expire. That process has ended, since it listened on the address on which this one
+// listens. Its standby takes over at once.
 func (n *Node) endOffice(ctx context.Context) {
 	n.cell.mu.Lock()
 	held, at := n.cell.office, n.cell.officeAt
@@ -67,14 +68,15 @@
 		return
 	}
 	_, err := n.Table.Commit(ctx, winch.Txn{Expect: map[string]uint64{keyOffice: at}, Remove: []string{keyOffice}})
-	n.Log.Info("office of an earlier process ended", zap.String("holder", held.Holder), zap.Uint64("term", held.Term), zap.Error(err))
+	n.Log.Info("freeing the office of an earlier process of this VM", zap.String("holder", held.Holder),
+		zap.Uint64("term", held.Term), zap.Error(err))
 	if err == nil {
 		n.forgetOffice(at)
 	}
 }
 
-// turn is how long this entry leaves a free office to others: those that come
-// before it, and longer to those that can plan better.
+// electionDelay returns how long this entry leaves a free office to others: to those ranked before it,
+// and longer to those that can plan better.
 func (n *Node) turn() time.Duration {
 	rank := n.rank()
 	wait := time.Duration(rank) * rankDelay
@@ -90,13 +92,13 @@
 	return wait
 }
 
-// rank is this entry's place among those that may take the office: the standby
-// of the last planner first, then those with most processor.
+// rank returns this entry's position among those that may take the office: first the standby of the
+// last planner, then the others by processor share.
 func (n *Node) rank() int {
 	n.cell.mu.Lock()
-	second := n.cell.standby.Name
+	standby := n.cell.standby.Name
 	n.cell.mu.Unlock()
-	if second == n.Name {
+	if standby == n.Name {
 		return 0
 	}
 	list := n.cell.list()
@@ -108,8 +110,8 @@
 	return len(list) + 1
 }
 
-// tryOffice takes the office if the store still finds it free, and serves as
-// planner until it is lost or given up.
+// tryOffice takes the office if the store still shows it as free, and serves as planner until it is
+// lost or given up.
 func (n *Node) tryOffice(ctx context.Context) {
 	sent := time.Now()
 	lease, err := n.Table.Lease(ctx, officeTTL)
@@ -118,12 +120,12 @@
 		return
 	}
 	n.cell.mu.Lock()
-	last, termAt := n.cell.term, n.cell.termAt
-	second, secondAt := n.cell.standby, n.cell.standbyAt
+	lastTerm, lastTermAt := n.cell.term, n.cell.termAt
+	lastStandby, lastStandbyAt := n.cell.standby, n.cell.standbyAt
 	n.cell.mu.Unlock()
-	mine := office{Holder: n.Name, Term: last.Term + 1, Address: n.Address}
+	mine := office{Holder: n.Name, Term: lastTerm.Term + 1, Address: n.Address}
 	revision, err := n.Table.Commit(ctx, winch.Txn{
-		Expect: map[string]uint64{keyOffice: 0, keyTerm: termAt, keyStandby: secondAt},
+		Expect: map[string]uint64{keyOffice: 0, keyTerm: lastTermAt, keyStandby: lastStandbyAt},
 		Writes: []winch.Write{
 			{Key: keyOffice, Data: encode(mine), Lease: lease},
 			{Key: keyTerm, Data: encode(mine)},
@@ -138,11 +140,12 @@
 	n.cell.take(winch.Event{Value: winch.Value{Key: keyOffice, Data: encode(mine), Version: revision}})
 	n.cell.take(winch.Event{Value: winch.Value{Key: keyTerm, Data: encode(mine), Version: revision}})
 	l := newLead(n, mine.Term, revision, lease, sent.Add(officeTTL))
-	l.last = last.Holder
+	l.last = lastTerm.Holder
 	l.prefetched = n.prefetch.take()
-	copied, whole := n.mirror.claim(mine.Term)
-	if whole && second.Term == last.Term && second.Name == n.Name {
-		n.Log.Info("taking over as standby", zap.Uint64("term", mine.Term), zap.Int("workers", len(copied.runs)), zap.Int("silent", len(copied.lapses)))
+	copied, complete := n.mirror.claim(mine.Term)
+	if complete && lastStandby.Term == lastTerm.Term && lastStandby.Name == n.Name {
+		n.Log.Info("taking over as standby of the last planner", zap.Uint64("term", mine.Term),
+			zap.Int("workers", len(copied.runs)), zap.Int("silent", len(copied.lapses)))
 		l.copied, l.copiedLapses = copied.runs, copied.lapses
 	}
 	l.run(ctx)
@@ -151,9 +154,8 @@
 	n.forgetOffice(revision)
 }
 
-// lostElection learns from a refusal what the records are now. A transaction
-// that was not answered may have won: its lease is ended, so that the office is
-// free again.
+// lostElection learns the current records from the store's refusal. A transaction whose response was
+// lost may have been applied: its lease is ended, so that the office is free again.
 func (n *Node) lostElection(ctx context.Context, err error, lease uint64) {
 	var conflict *winch.ConflictError
 	if errors.As(err, &conflict) {
@@ -168,8 +170,8 @@
 	}
 }
 
-// forgetOffice drops what is believed of an office that this entry held; the
-// store's changes tell who has it now.
+// forgetOffice drops the known state of an office that this entry held; the store's changes report who
+// holds it now.
 func (n *Node) forgetOffice(revision uint64) {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
@@ -178,9 +180,9 @@
 	}
 }
 
-// validity is until when the office surely is this entry's. It is counted from
-// before the renewal was sent, on two clocks: the steady one stands still while
-// the VM is suspended, and the time of day may be set.
+// validity is until when the office is surely held by this entry. It is counted from before the
+// renewal was sent, on two clocks: the monotonic clock stands still while the VM is suspended, and the
+// time of day may be set.
 type validity struct {
 	steady time.Time
 	wall   time.Time
--- a/region/prefetch.go
+++ b/region/prefetch.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// prefetchTime is how long after the planner's last message a standby goes on following
-	// the jobs, and prefetchLook how often it is looked whether to.
+	// prefetchTimeout is how long after the planner's last message a standby goes on following the
+	// jobs. prefetchCheckInterval is how often that is checked.
 	prefetchTime = 30 * time.Second
 	prefetchLook = 200 * time.Millisecond
 )
 
-// copied is what was read under a prefix, up to a revision; zero is nothing.
+// prefixCopy is a copy of the values under a prefix as of a revision; the zero value means that
+// nothing was read.
 type copied struct {
 	values map[string]winch.Value
 	at     uint64
@@ -49,8 +50,8 @@
 	c.at = max(c.at, at)
 }
 
-// catchUp reads what has changed since, up to a revision, or all if that is not to be had
-// any more. One answer of the store may tell but a part of the changes.
+// catchUp reads what has changed since the copy's revision, up to the given revision, or all values if
+// the changes have been compacted. One response of the store may hold only some of the changes.
 func (c *copied) catchUp(ctx context.Context, table winch.Table, prefix string, until uint64) error {
 	for {
 		changes, err := c.advance(ctx, table, prefix)
@@ -60,7 +61,7 @@
 	}
 }
 
-// advance takes one answer of the store, and returns how many changes it told.
+// advance reads one response of the store, and returns the number of changes in it.
 func (c *copied) advance(ctx context.Context, table winch.Table, prefix string) (int, error) {
 	if c.at != 0 {
 		events, at, err := table.Follow(ctx, prefix, c.at, 0)
@@ -84,8 +85,8 @@
 	jobs, progress copied
 }
 
-// prefetch follows the jobs while this entry is standby, so that it need not read all of
-// them as it takes over.
+// prefetch follows the jobs while this entry is standby, so that it need not read all of them during a
+// takeover.
 type prefetch struct {
 	mu   sync.Mutex
 	have prefetched
@@ -101,7 +102,7 @@
 	}
 }
 
-// follow follows the jobs until this entry is standby no more.
+// follow follows the jobs until this entry is no longer standby.
 func (p *prefetch) follow(ctx context.Context, n *Node) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -123,12 +124,12 @@
 func (p *prefetch) followPrefix(ctx context.Context, n *Node, prefix string, into *copied) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		now := copied{values: maps.Clone(into.values), at: into.at}
+		next := copied{values: maps.Clone(into.values), at: into.at}
 		p.mu.Unlock()
-		changes, err := now.advance(ctx, n.Table, prefix)
+		changes, err := next.advance(ctx, n.Table, prefix)
 		if err == nil && ctx.Err() == nil {
 			p.mu.Lock()
-			*into = now
+			*into = next
 			p.mu.Unlock()
 		}
 		if changes < manyEvents {
@@ -137,7 +138,7 @@
 	}
 }
 
-// take returns what was read, or nil if it was not all.
+// result returns a copy of what was read, or nil if it is not complete.
 func (p *prefetch) take() *prefetched {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/region/report.go
+++ b/region/report.go
@@ -13,7 +13,7 @@
 	"plantainwinch/proto"
 )
 
-// runWaiting tells all entries how many jobs have not begun.
+// runWaiting periodically sends all entries the number of jobs that have not begun.
 func (l *lead) runWaiting(ctx context.Context) {
 	for ctx.Err() == nil {
 		var msg proto.Waiting
@@ -22,14 +22,15 @@
 		}) == nil && l.valid.Load().left() > 0 {
 			l.node.takeWaiting(msg)
 			for _, name := range l.node.Peers.Names() {
-				_ = l.node.Peers.Tell(name, proto.KindWaiting, msg) // A peer that hears nothing says that it does not know.
+				// A peer that gets no message reports the number as unknown.
+				_ = l.node.Peers.Tell(name, proto.KindWaiting, msg)
 			}
 		}
 		duty.Pause(ctx, waitingEvery)
 	}
 }
 
-// linkBytes returns the bytes that have gone over this entry's links by kind of message.
+// linkBytes returns the number of bytes transferred over this entry's links by message kind.
 func (n *Node) linkBytes() map[string]int64 {
 	out := make(map[string]int64)
 	n.Metrics.Each(func(name string, x any) {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// runLoad logs once a second how full the region is.
+// runLoad periodically logs the region's capacity and use.
 func (l *lead) runLoad(ctx context.Context) {
 	for ctx.Err() == nil {
 		var load fleet.Load
@@ -50,16 +51,18 @@
 		if l.duty.Do(ctx, func() { load, asks = l.planner.Load(), l.lanes.Waiting() }) != nil {
 			return
 		}
-		l.node.Log.Info("load", zap.Int64("milli", load.Room.Milli), zap.Int64("used", load.Used.Milli), zap.Int64("stopping", load.Stopping.Milli),
+		l.node.Log.Info("load", zap.Int64("milli", load.Room.Milli), zap.Int64("used", load.Used.Milli),
+			zap.Int64("stopping", load.Stopping.Milli),
 			zap.Int64("memory", int64(load.Room.Memory>>20)), zap.Int64("memoryUsed", int64(load.Used.Memory>>20)),
 			zap.Int("workers", load.Workers), zap.Int("usable", load.Usable), zap.Int("running", load.Running),
-			zap.Any("waiting", load.Waiting), zap.Int("capped", load.Capped), zap.Int64("filling", load.Filling), zap.Int("asks", asks),
+			zap.Any("waiting", load.Waiting), zap.Int("capped", load.Capped),
+			zap.Int64("filling", load.Filling), zap.Int("asks", asks),
 			zap.Any("bytes", l.node.linkBytes()))
 		duty.Pause(ctx, loadEvery)
 	}
 }
 
-// logEndings tells of each job that has ended what its time went into.
+// logCompletions logs for each job that has ended what its time was spent on.
 func (l *lead) logEndings() {
 	l.dropAsking()
 	for _, e := range l.planner.Endings() {
@@ -70,27 +73,32 @@
 		}
 		l.node.Log.Info("job ended", zap.String("job", e.Job), zap.String("queue", e.Queue), zap.String("team", e.Team),
 			zap.String("state", string(e.State)), zap.Duration("took", e.Took), zap.Duration("objective", e.Objective),
-			zap.Any("waited", waited), zap.Int("unanswered", e.Unanswered), zap.Int("failed", e.Failed), zap.Int("crashes", len(e.Crashes)), zap.Bool("excess", e.Excess))
+			zap.Any("waited", waited), zap.Int("unanswered", e.Unanswered), zap.Int("failed", e.Failed),
+			zap.Int("crashes", len(e.Crashes)), zap.Bool("excess", e.Excess))
 	}
 }
 
-// lossRuns bounds the runs that the line of a lost worker names: the most recent starts, one
-// of which may have been the cause.
+// maxLossRuns bounds the runs that are named in the log line of a lost worker: the most recent starts,
+// one of which may have been the cause.
 const lossRuns = 8
 
-// logLosses tells which runs ended with a worker. A task that crashes its workers stands
-// first in the lines of all of them.
+// logLosses logs which runs ended with a worker. A task that crashes its workers comes first in the
+// lines of all of them.
 func (l *lead) logLosses() {
 	for _, x := range l.planner.Losses() {
 		var runs []string
 		for _, r := range x.Runs[:min(lossRuns, len(x.Runs))] {
-			runs = append(runs, fmt.Sprintf("%s.%d.%d.%d/%d lived %v confirmed %t", r.Task.Job, r.Task.K, r.Task.Phase, r.Task.Index, r.Run, r.Lived, r.Confirmed))
+			runs = append(runs, fmt.Sprintf("%s.%d.%d.%d/%d lived %v confirmed %t", r.Task.Job, r.Task.K,
+				r.Task.Phase, r.Task.Index, r.Run, r.Lived, r.Confirmed))
 		}
-		l.node.Log.Info("runs lost", zap.String("worker", x.Worker), zap.Bool("crashed", x.Crashed), zap.Int("count", len(x.Runs)), zap.Strings("runs", runs))
+		l.node.Log.Info("runs lost with their worker", zap.String("worker", x.Worker),
+			zap.Bool("crashed", x.Crashed), zap.Int("count", len(x.Runs)), zap.Strings("runs", runs))
 	}
 	for _, b := range l.planner.Blames() {
-		l.node.Log.Info("crash counted", zap.String("job", b.Task.Job), zap.Int("phase", b.Task.Phase), zap.Int("index", b.Task.Index),
-			zap.Uint64("run", b.Run), zap.String("worker", b.Worker), zap.Duration("lived", b.Lived), zap.Bool("weak", b.Weak),
+		l.node.Log.Info("crash counted", zap.String("job", b.Task.Job), zap.Int("phase", b.Task.Phase),
+			zap.Int("index", b.Task.Index),
+			zap.Uint64("run", b.Run), zap.String("worker", b.Worker), zap.Duration("lived", b.Lived),
+			zap.Bool("weak", b.Weak),
 			zap.Bool("probe", b.Probe), zap.Int("crashes", b.Crashes), zap.Bool("givenUp", b.GivenUp))
 	}
 }
--- a/region/sight_test.go
+++ b/region/stall_test.go
@@ -14,7 +14,7 @@
 	"plantainwinch/winch"
 )
 
-// find returns the lines that hold all of the parts.
+// find returns the lines that contain all of the parts.
 func (l *simLog) find(parts ...string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,7 +31,7 @@
 	return out
 }
 
-// endless lets nothing that runs end by itself.
+// keepRunsAlive lets no run end by itself.
 func (w *world) endless() {
 	for w.ctx.Err() == nil {
 		for _, x := range w.workers {
@@ -45,17 +45,16 @@
 	}
 }
 
-// gauges returns what the planner's entry shows of what waits.
-func (w *world) gauges() (oldest, runs int64) {
+// stallGauges returns the values of the stall metrics at the planner's entry.
+func (w *world) gauges() (longest, runs int64) {
 	n := w.planner().node
 	return metrics.GetOrRegisterGauge("Planner.LastingWait.Milliseconds", n.Metrics).Value(),
 		metrics.GetOrRegisterGauge("Planner.RunsNotHeard", n.Metrics).Value()
 }
 
-// A worker stops answering with a lasting task on it. The task's users wait until
-// everything there has surely ended. Meanwhile the log tells, by the job's ID,
-// which run at which worker and keeper holds the task back, and then that it
-// waits no longer.
+// A worker with a lasting task stops responding. The task's users wait until everything there has
+// surely ended. Meanwhile the log says, with the job's ID, which run at which worker and keeper holds
+// the task back, and finally that the stall has ended.
 func TestLogTellsWhyALastingTaskWaits(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -80,26 +79,27 @@
 		is.True(at != "")
 		w.silence(at, true)
 		time.Sleep(6 * time.Second)
-		lines := w.log.find("lasting task waits", `"job": "service"`, fleet.WaitRun.String(), `"worker": "`+at+`"`, `"quiet": true`, `"run"`, `"term"`, `"keeper": "d`)
+		lines := w.log.find("lasting task waits", `"job": "service"`, fleet.WaitRun.String(),
+			`"worker": "`+at+`"`, `"quiet": true`, `"run"`, `"term"`, `"keeper": "d`)
 		is.True(len(lines) > 0)
 		is.True(len(lines) <= 2) // Once, and again after five seconds.
-		is.True(len(w.log.find("worker not heard", `"worker": "`+at+`"`, `"runs": 1`)) > 0)
-		oldest, runs := w.gauges()
-		is.True(oldest > 3000) // It has waited for most of the six seconds.
+		is.True(len(w.log.find("worker with runs is unresponsive", `"worker": "`+at+`"`, `"runs": 1`)) > 0)
+		longest, runs := w.gauges()
+		is.True(longest > 3000) // It has waited for most of the six seconds.
 		is.Equal(runs, int64(1))
 
 		time.Sleep(6 * time.Second)
-		is.Equal(len(w.log.find("waits no longer", `"job": "service"`)), 1)
-		is.Equal(len(w.log.find("waits no longer", `"worker": "`+at+`"`)), 1)
-		oldest, runs = w.gauges()
-		is.Equal(oldest, int64(0))
+		is.Equal(len(w.log.find("stall ended", `"job": "service"`)), 1)
+		is.Equal(len(w.log.find("stall ended", `"worker": "`+at+`"`)), 1)
+		longest, runs = w.gauges()
+		is.Equal(longest, int64(0))
 		is.Equal(runs, int64(0))
 		w.end()
 	})
 }
 
-// An entry that gives the office up leaves no gauge behind of what waited then:
-// the next planner shows what waits now.
+// An entry that gives up the office must reset the gauges of what was stalled then: the next planner
+// shows what is stalled now.
 func TestGaugesEndWithTheOffice(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -115,8 +115,8 @@
 	})
 }
 
-// Hundreds of tasks wait at once, as they do when a failure domain is lost. The
-// log stays bounded, says what was left out, and comes to each of them in turn.
+// Hundreds of tasks wait at once, as they do when a failure domain is lost. The log stays bounded,
+// says how much was left out, and names each of them in turn.
 func TestLogOfManyWaitsIsBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -125,14 +125,17 @@
 		s := sighter{log: log.logger("e"), told: make(map[string]tale)}
 		var look sight
 		for i := range 50 {
-			look.waits = append(look.waits, fleet.Wait{Task: winch.RunID{Job: fmt.Sprintf("j%02d", i)}, Reason: fleet.WaitRoom})
+			look.waits = append(look.waits, fleet.Wait{
+				Task:   winch.RunID{Job: fmt.Sprintf("j%02d", i)},
+				Reason: fleet.WaitRoom,
+			})
 		}
 		for i := range 3 {
 			s.take(look, 0)
 			is.Equal(len(log.find("lasting task waits")), min(50, (i+1)*sightLines))
 			time.Sleep(sightEvery)
 		}
-		is.Equal(len(log.find("waits left out", `"lines": 30`)), 1)
+		is.Equal(len(log.find("stall reports omitted", `"lines": 30`)), 1)
 		for i := range look.waits {
 			is.Equal(len(log.find("lasting task waits", look.waits[i].Task.Job)), 1)
 		}
@@ -142,6 +145,6 @@
 		is.Equal(len(log.find("lasting task waits", "j07", fleet.WaitLimit.String())), 1)
 		time.Sleep(sightEvery)
 		s.take(sight{}, 0)
-		is.Equal(len(log.find("waits no longer")), sightLines)
+		is.Equal(len(log.find("stall ended")), sightLines)
 	})
 }
--- /dev/null
+++ b/region/takeover.go
@@ -0,0 +1,155 @@
+package region
+
+import (
+	"context"
+	"time"
+
+	"github.com/sourcegraph/conc/pool"
+	"go.uber.org/zap"
+
+	"plantainwinch/duty"
+	"plantainwinch/proto"
+	"plantainwinch/winch"
+)
+
+// load reads the records that earlier planners left, and retries until that succeeds or ctx ends.
+func (l *lead) load(ctx context.Context) bool {
+	for ctx.Err() == nil {
+		err := l.readAll(ctx)
+		if err == nil {
+			return true
+		}
+		l.node.Log.Info("reading the region's records failed; retrying", zap.Error(err))
+		duty.Pause(ctx, retryPause)
+	}
+	return false
+}
+
+// readAll reads the roster and the jobs that have not ended, concurrently: a slow store takes a third
+// of a second for each response, and nothing is started before.
+func (l *lead) readAll(ctx context.Context) error {
+	if l.prefetched == nil {
+		l.prefetched = &prefetched{}
+	}
+	// A failed attempt keeps what it has read for the next one.
+	jobs, progress := &l.prefetched.jobs, &l.prefetched.progress
+	var rosters []winch.Value
+	group := pool.New().WithErrors()
+	group.Go(func() (err error) {
+		rosters, _, err = l.node.Table.Read(ctx, keyRoster)
+		return err
+	})
+	group.Go(func() error { return jobs.catchUp(ctx, l.node.Table, prefixJobs, l.revision) })
+	group.Go(func() error { return progress.catchUp(ctx, l.node.Table, prefixProgress, l.revision) })
+	if err := group.Wait(); err != nil {
+		return err
+	}
+	for _, v := range rosters {
+		if err := l.takeRoster(v); err != nil {
+			return err
+		}
+	}
+	l.jobsAt = jobs.at
+	l.orphans = l.takeJobs(append(jobs.list(), progress.list()...))
+	l.prefetched = nil
+	l.node.Log.Info("jobs read from the store", zap.Int("jobs", len(jobs.values)),
+		zap.Int("progress", len(progress.values)), zap.Int("orphans", len(l.orphans)))
+	l.settle()
+	return nil
+}
+
+// loadRoster applies the roster that the earlier planner left.
+func (l *lead) takeRoster(v winch.Value) error {
+	var r roster
+	if err := decode(v.Data, &r); err != nil {
+		return err
+	}
+	var ids []string
+	for _, w := range r.list() {
+		l.before[w.VM.ID] = w
+		l.roster[w.VM.ID] = w
+		l.wanted[w.VM.ID] = rostered{
+			VM: w.VM, Keeper: w.Keeper, Address: w.Address, Earlier: w.Earlier,
+			Turn: w.Turn, Bound: w.Bound,
+		}
+		if w.Settled {
+			l.settled[w.VM.ID] = true
+		}
+		if w.Bound != 0 {
+			l.mayBound[w.VM.ID] = true
+		}
+		ids = append(ids, w.VM.ID)
+	}
+	l.planner.SetRoster(ids)
+	l.rosterAt, l.rosterRead = v.Version, v.Version
+	if left, all := l.handedLeft(); all {
+		l.planner.Barrier = l.began.Add(left)
+	}
+	return nil
+}
+
+// handedOverLeft returns after how long all work has ended at the workers that had not responded to
+// the previous planner when it handed the office over, and whether that planner recorded such a time
+// for every worker whose runs it did not record.
+func (l *lead) handedLeft() (time.Duration, bool) {
+	left := time.Duration(0)
+	for _, w := range l.before {
+		if w.Settled {
+			continue
+		}
+		if w.Left == 0 {
+			return 0, false
+		}
+		left = max(left, w.Left)
+	}
+	return left, left > 0
+}
+
+// runFresh determines the revision after which no earlier planner can have started an accepted job:
+// one whose lease the store has ended may believe for a whole lease more that it holds the office,
+// unless its process is known to have ended.
+func (l *lead) runFresh(ctx context.Context) {
+	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Pause(ctx, freshLook) {
+		if _, ended := l.node.cell.endedBy(l.last); ended && l.last != "" {
+			break
+		}
+	}
+	for ctx.Err() == nil {
+		_, asOf, err := l.node.Table.Read(ctx, keyTerm)
+		if err == nil {
+			l.post(func() {
+				l.planner.Fresh = asOf
+				l.wake()
+			})
+			return
+		}
+		duty.Pause(ctx, retryPause)
+	}
+}
+
+// applyInherited applies what is known of the workers of an earlier planner: this entry was its
+// standby, or it recorded the running work when it handed the office over.
+func (l *lead) settle() {
+	l.inheritLapses()
+	l.planner.SetGone(l.earlier())
+	for id, w := range l.before {
+		if w.Settled || w.Bound != 0 {
+			l.planner.SetQuiet(id) // Nothing may start there until the record is changed.
+		}
+		if l.copied != nil {
+			w.Settled, w.Runs = true, l.copied[id]
+		}
+		if w.Settled {
+			l.planner.Event(proto.KeepEvent{Kind: proto.EventKnown, Worker: id, Running: w.Runs})
+		}
+	}
+}
+
+// earlierWorkers returns the workers that the previous planner used.
+func (l *lead) earlier() []winch.WorkerVM {
+	out := make([]winch.WorkerVM, 0, len(l.before))
+	for _, w := range l.before {
+		out = append(out, w.VM)
+	}
+	return out
+}
--- /dev/null
+++ b/region/termbound.go
@@ -0,0 +1,161 @@
+package region
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"plantainwinch/proto"
+)
+
+const (
+	// firstContactTimeout is how long workers have to respond to a new planner. After that it is
+	// recorded of the others that this planner has renewed no lease there. Most workers respond within
+	// some milliseconds.
+	unheardTime = 400 * time.Millisecond
+	// termRequestTimeout bounds the response of an entry that is asked how long ago terms ended.
+	termAskTime = 500 * time.Millisecond
+	// maxTermRequests bounds the entries that are asked.
+	mostTermAsks = 12
+)
+
+// A planner that has no copy of what the one before knew waits until all work at a worker that does
+// not respond has surely ended: as long as the earlier planner may have had authority after its term.
+// If a planner is lost while it waits, its successor must not count that time anew. So the roster
+// records, for a worker that has not responded, the term in which and after which nobody may have
+// renewed a lease there, and entries ask each other when they first saw that term begin.
+
+// boundOf returns the term from which on nobody may have renewed a lease at a worker that this planner
+// has had no contact with.
+func (l *lead) boundOf(w rostered) uint64 {
+	if w.Bound != 0 {
+		return w.Bound
+	}
+	return l.term
+}
+
+// recordedBound returns the bound to be recorded for a worker. One that was recorded stays until the
+// worker has responded; a new one is added once most workers have had the time to respond.
+func (l *lead) recordedBound(worker string) uint64 {
+	before := l.before[worker]
+	if l.planner.Heard(worker) || before.Bound == 0 && time.Since(l.began) <= unheardTime {
+		return 0
+	}
+	return l.boundOf(before)
+}
+
+// termSeen is when a term was first seen to have begun.
+type termSeen struct {
+	term uint64
+	at   time.Time
+}
+
+// maxTerms bounds the terms that are remembered.
+const mostTerms = 64
+
+// noteTerm records that a term has begun. The caller holds the mutex.
+func (c *cellView) noteTerm(term uint64) {
+	if n := len(c.terms); n > 0 && c.terms[n-1].term >= term {
+		return
+	}
+	c.terms = append(c.terms, termSeen{term, time.Now()})
+	if len(c.terms) > mostTerms {
+		c.terms = c.terms[1:]
+	}
+}
+
+// termSeen returns when a term, or a later one, was first seen to have begun.
+func (c *cellView) termSeen(term uint64) (time.Time, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, t := range c.terms {
+		if t.term >= term {
+			return t.at, true
+		}
+	}
+	return time.Time{}, false
+}
+
+// sendPendingRenewal sends the renewal of a worker's lease that waited for the roster, if any.
+func (l *lead) renewPending(worker string) {
+	if order, pending := l.renewals[worker]; pending {
+		delete(l.renewals, worker)
+		l.sendRenewal(order)
+	}
+}
+
+// boundUnresponsive has bounds recorded for the workers that have not responded, and asks other
+// entries how long ago the terms that bound their leases began.
+func (l *lead) boundUnheard() {
+	if l.bounded || time.Since(l.began) <= unheardTime {
+		return
+	}
+	l.bounded = true
+	if l.planner.AllHeard() {
+		return
+	}
+	l.assign = true
+	terms := make(map[uint64]bool)
+	for id, w := range l.before {
+		if !l.planner.Heard(id) {
+			terms[l.boundOf(w)] = true
+		}
+	}
+	for i, name := range l.node.Peers.Names() {
+		if i == mostTermAsks {
+			break
+		}
+		for term := range terms {
+			l.group.Go(func() { l.askTerm(name, term) })
+		}
+	}
+}
+
+// requestTerm asks an entry for how long it has known that a term began, and shortens the wait for
+// workers accordingly.
+func (l *lead) askTerm(name string, term uint64) {
+	ctx, cancel := context.WithTimeout(l.ctx, termAskTime)
+	defer cancel()
+	var resp proto.TermGive
+	if err := l.node.Peers.Ask(ctx, name, proto.KindTerm, proto.TermAsk{Term: term}, &resp); err != nil {
+		l.node.Log.Info("entry did not respond to the term request", zap.String("entry", name),
+			zap.Uint64("term", term), zap.Error(err))
+		return
+	}
+	if !resp.Known {
+		return
+	}
+	began := time.Now().Add(-time.Duration(float64(resp.Age) * (1 - clockDrift)))
+	l.post(func() { l.termBegan(term, began) })
+}
+
+// applyTermBegan shortens the expiries bounded by a term, which had begun by the given time.
+func (l *lead) termBegan(term uint64, at time.Time) {
+	for id, w := range l.before {
+		if l.planner.Heard(id) || l.boundOf(w) != term {
+			continue
+		}
+		earlierPlanners := func(h holding) bool { return h.token == 0 }
+		if l.lapses.shorten(id, at.Add(barrier()), earlierPlanners) {
+			l.lapsed = append(l.lapsed, id)
+		}
+	}
+	l.tellLapses()
+}
+
+// answerTerm returns for how long this entry has known that a term began.
+func (n *Node) giveTerm(req proto.TermAsk) proto.TermGive {
+	at, seen := n.cell.termSeen(req.Term)
+	if !seen {
+		return proto.TermGive{}
+	}
+	return proto.TermGive{Known: true, Age: time.Since(at)}
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
--- /dev/null
+++ b/region/workerlist.go
@@ -0,0 +1,88 @@
+package region
+
+import (
+	"context"
+	"time"
+
+	"plantainwinch/winch"
+)
+
+// followWorkers keeps the worker list up to date.
+func (l *lead) followWorkers(ctx context.Context) {
+	codec := l.node.Codec
+	l.node.follow(ctx, codec.WorkerPrefix(), pacing{gap: workersGap, asked: l.listAsked}, func(values []winch.Value) {
+		l.post(func() {
+			listed := make(map[string]bool)
+			for _, v := range values {
+				if vm, ok := codec.Worker(v.Key, v.Data); ok {
+					listed[vm.ID] = true
+					l.listWorker(vm)
+				}
+			}
+			for id := range l.workers {
+				if !listed[id] {
+					l.unlistWorker(id)
+				}
+			}
+			l.setWorkers()
+		})
+	}, func(events []winch.Event) {
+		l.post(func() {
+			for _, e := range events {
+				vm, ok := codec.Worker(e.Key, e.Data)
+				if !e.Deleted && ok {
+					l.listWorker(vm)
+					continue
+				}
+				l.unlistWorker(e.Key[len(codec.WorkerPrefix()):])
+			}
+			l.setWorkers()
+		})
+	})
+}
+
+// noteListAsOf records the time at which the list was current.
+func (l *lead) listAsked(at time.Time) {
+	l.post(func() { l.listAt = at })
+}
+
+func (l *lead) listWorker(vm winch.WorkerVM) {
+	delete(l.missing, vm.ID)
+	l.workers[vm.ID] = vm
+}
+
+// unlistWorker records that a worker's record has disappeared. Records also expire while the store is
+// down and then come back, so a worker counts as removed only after workerReturnTimeout.
+func (l *lead) unlistWorker(id string) {
+	if _, known := l.workers[id]; known {
+		if _, noted := l.missing[id]; !noted {
+			l.missing[id] = time.Now().Add(returnTime)
+		}
+	}
+}
+
+// dropMissing removes the workers whose records did not come back.
+func (l *lead) dropMissing() {
+	dropped := false
+	for id, until := range l.missing {
+		if time.Now().After(until) {
+			delete(l.missing, id)
+			delete(l.workers, id)
+			dropped = true
+		}
+	}
+	if dropped {
+		l.setWorkers()
+	}
+}
+
+// setWorkers passes the list to the planner and has new workers recorded.
+func (l *lead) setWorkers() {
+	list := make([]winch.WorkerVM, 0, len(l.workers))
+	for _, vm := range l.workers {
+		list = append(list, vm)
+	}
+	l.planner.SetWorkers(list)
+	l.planner.SetGone(l.earlier())
+	l.reassignSoon()
+}
