--- a/region/lapse_test.go
+++ b/region/expiry_test.go
@@ -10,14 +10,14 @@
 	"plantainwinch/proto"
 )
 
-// keptBy returns a worker with work that the planner's own entry keeps, or that one
-// keeps which is neither planner nor standby, and that entry.
+// workerKeptBy returns a worker with work and its keeper: the planner's own entry, or one that is
+// neither planner nor standby.
 func (w *world) keptBy(p *simNode, own bool) (worker string, keeper *simNode) {
 	l := p.node.lead.Load()
 	_ = l.duty.Do(w.ctx, func() {
 		for id, name := range l.keepers {
-			second := l.standby != nil && l.standby.name == name
-			if (name == p.node.Name) == own && !second && len(l.planner.RunsAt(id)) > 0 && (worker == "" || id < worker) {
+			isStandby := l.standby != nil && l.standby.name == name
+			if (name == p.node.Name) == own && !isStandby && len(l.planner.RunsAt(id)) > 0 && (worker == "" || id < worker) {
 				worker = id
 			}
 		}
@@ -30,7 +30,7 @@
 	return worker, keeper
 }
 
-// lastingWorld is a region with two lasting tasks on every worker or so.
+// lastingWorld returns a region with about two lasting tasks on every worker.
 func lastingWorld(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed, 3, 9)
 	settle()
@@ -39,7 +39,7 @@
 	return w
 }
 
-// checkLasting gives the region time and checks that all tasks that last run again.
+// checkLasting gives the region time and checks that all lasting tasks run again.
 func (w *world) checkLasting(is *is.I, count int) {
 	time.Sleep(12 * time.Second)
 	w.endLasting()
@@ -48,10 +48,9 @@
 	w.end()
 }
 
-// A worker is gone, and a moment later the entry that kept it is killed for good, so
-// it never tells until when the worker's lease runs. The planner knows since when the
-// worker was silent, and that nothing was renewed after that; it does not wait as long
-// as for a keeper that may yet renew.
+// A worker leaves, and a moment later its keeper is killed for good, so the keeper never reports until
+// when the worker's lease runs. The planner knows since when the worker was unresponsive, and that
+// nothing was renewed after that; it must not wait as long as for a keeper that may still renew.
 func TestKeeperIsKilledAfterItsWorkerIsGone(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{2500 * time.Millisecond, 3500 * time.Millisecond, 4500 * time.Millisecond} {
@@ -67,10 +66,9 @@
 	}
 }
 
-// A worker is gone, and a moment later the planner, which kept it itself, is killed.
-// Its standby was told until when the worker's lease runs. It does not count the time
-// anew that the lost planner's authority may reach: rooms that should stay open would
-// be closed for twice as long.
+// A worker leaves, and a moment later the planner, which is also its keeper, is killed. Its standby
+// was sent the expiry of the worker's lease. The standby must not count the lost planner's maximum
+// authority from its own start: lasting tasks would be down for twice as long.
 func TestPlannerIsKilledAfterItsWorkerIsGone(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{2500 * time.Millisecond, 3500 * time.Millisecond} {
@@ -87,10 +85,9 @@
 	}
 }
 
-// A worker is silent for two seconds, so its standby was told until when its work may
-// run, and answers again. Its keeper and the planner are killed soon after. The work
-// runs on there under a renewed lease, and a standby that went by the old word would
-// start it a second time.
+// A worker is unresponsive for two seconds, so the standby was sent the expiry of its lease, and
+// then it responds again. Its keeper and the planner are killed soon after. The work there goes on
+// under a renewed lease, and a standby that used the old expiry would start it a second time.
 func TestWorkerAnswersAgainBeforePlannerAndKeeperAreKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +99,7 @@
 		time.Sleep(2500 * time.Millisecond)
 		w.silence(worker, false)
 		time.Sleep(time.Second)
-		w.silence(worker, true) // Nobody else learns that it lives.
+		w.silence(worker, true) // No other entry learns that the worker runs.
 		keeper.kill()
 		p.kill()
 		time.Sleep(20 * time.Second)
@@ -113,9 +110,9 @@
 	})
 }
 
-// What is known of the end of earlier leases is bounded by what each holding may have
-// given: the longest counts, the keeper's own word replaces what was assumed of that
-// holding alone, and a keeper that never heard of the worker adds nothing.
+// The expiry of earlier leases is bounded by what each assignment may have granted: the longest
+// counts, a keeper's report replaces what was assumed of that assignment alone, and a keeper that
+// never had contact with the worker adds nothing.
 func TestLapsesOfEarlierHoldings(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -123,10 +120,11 @@
 		s := newLapses()
 		s.inherit("w", holding{keeper: "a", turn: 2, lapse: time.Now().Add(8 * time.Second)})
 		is.Equal(s.left("w"), 8*time.Second)
-		s.moved("w", "b", 5, 7*time.Second) // It never listed what it runs.
+		s.moved("w", "b", 5, 7*time.Second) // It never listed the worker's runs.
 		is.Equal(s.left("w"), 8*time.Second)
 		is.True(!s.released("b", proto.KeepEvent{Worker: "w", Token: 5, Left: time.Second}))
-		is.True(!s.released("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second})) // Others had it since.
+		// Other keepers had the worker since.
+		is.True(!s.released("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second}))
 		is.True(s.released("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 2, Left: 4 * time.Second}))
 		is.Equal(s.left("w"), 4*time.Second)
 		time.Sleep(time.Second)
@@ -142,7 +140,7 @@
 		s.listed("w")
 		s.silent("w", 5*time.Second)
 		time.Sleep(time.Second)
-		s.moved("w", "d", 11, 7*time.Second) // It renewed nothing after it had said so.
+		s.moved("w", "d", 11, 7*time.Second) // It renewed nothing after that report.
 		is.Equal(s.left("w"), 4*time.Second)
 		is.Equal(len(s.told(nil, false)), 1)
 		s.back("w")
@@ -150,10 +148,9 @@
 	})
 }
 
-// A planner that does not reach its standby renews leases after a while that the
-// standby was told the end of. So the standby goes by what it was told for a short time
-// only, and that counts from an answer of its own: a message may wait for seconds
-// before it is read.
+// A planner that cannot reach its standby renews, after a while, leases whose expiry it had sent to
+// the standby. So the standby uses what it was sent for a short time only. That time counts from one of
+// the standby's own responses, since a message may wait for seconds before it is read.
 func TestStandbyGoesByNoOldWord(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -171,7 +168,7 @@
 			is.True(whole)
 			return len(out.lapses)
 		}
-		is.Equal(claimed(0, false), 0) // Nobody can tell how old it is.
+		is.Equal(claimed(0, false), 0) // The age of the message is not known.
 		is.Equal(claimed(time.Second, true), 1)
 		is.Equal(claimed(wordTime+time.Millisecond, true), 0)
 	})
--- a/region/jobs_test.go
+++ b/region/jobs_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// A caller asks for its job just as the last task ends, a few milliseconds before that is
-// recorded. It was told that the job runs, and asked again a quarter of a second later.
+// A caller requests the state of its job just as the last task ends, a few milliseconds before that is
+// recorded. The fault was a response that the job runs: the caller asked again a quarter of a second
+// later.
 func TestCallerThatAsksAsItsJobEndsIsToldTheEnd(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -23,21 +24,21 @@
 			begin := time.Now()
 			state, result := entry.State(w.ctx, id)
 			is.True(result.OK())
-			is.True(time.Since(begin) < 100*time.Millisecond) // It does not wait for long.
+			is.True(time.Since(begin) < 100*time.Millisecond) // The request does not wait for long.
 			if state.Final() {
 				break
 			}
 			l := w.planner().node.lead.Load()
 			ended := false
 			_ = l.duty.Do(w.ctx, func() { ended = l.planner.Unsaved() || l.planner.Counts().Done+l.planner.Counts().Failed > 0 })
-			is.True(!ended) // Whoever asks when it has ended is told so.
+			is.True(!ended) // A request after the end gets the final state.
 			time.Sleep(time.Millisecond)
 		}
 		w.end()
 	})
 }
 
-// A job that has phases to come, or tasks that last, is answered for at once.
+// The state of a job that has further phases or lasting tasks is returned at once.
 func TestStateOfAJobThatGoesOnIsToldAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/pools_test.go
+++ b/region/keeperpools_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// entriesOf returns live entries of one failure domain.
+// domainEntries returns live entries of one failure domain.
 func entriesOf(count int) map[string]member {
 	live := make(map[string]member)
 	for i := range count {
@@ -17,22 +17,22 @@
 	return live
 }
 
-// keepersOf gives workers keepers and returns how many each has.
-func keepersOf(p *pools, workers int, now map[int]string) map[string]int {
+// assignKeepers gives workers keepers and returns how many workers each keeper has.
+func keepersOf(p *pools, workers int, keepers map[int]string) map[string]int {
 	for i := range workers {
-		p.add(now[i])
+		p.add(keepers[i])
 	}
 	p.limit(map[string]int{"d": workers})
 	count := make(map[string]int)
 	for i := range workers {
-		now[i] = p.choose("d", now[i])
-		count[now[i]]++
+		keepers[i] = p.choose("d", keepers[i])
+		count[keepers[i]]++
 	}
 	return count
 }
 
-// Every entry of a large failure domain keeps a few workers, and the planner has a session
-// with each.
+// Without a limit every entry of a large failure domain keeps a few workers, and the planner has a
+// session with each.
 func TestKeepersAreAsManyAsTheirWorkersNeed(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(keepersOf(newPools(entriesOf(30)), 220, make(map[int]string))), 7)
@@ -40,17 +40,17 @@
 	is.Equal(len(keepersOf(newPools(entriesOf(1)), 220, make(map[int]string))), 1)
 }
 
-// Keepers change although the ones there are do their duty, and their workers stand still.
+// Keepers must not change while those in place work: the workers that move get no starts meanwhile.
 func TestKeepersStayWhoTheyAre(t *testing.T) {
 	is := is.New(t)
-	live, now := entriesOf(30), make(map[int]string)
-	before := keepersOf(newPools(live), 220, now)
+	live, keepers := entriesOf(30), make(map[int]string)
+	before := keepersOf(newPools(live), 220, keepers)
 	live["a-new"] = member{Name: "a-new", Domain: "d", Share: 800}
-	after := keepersOf(newPools(live), 220, now)
+	after := keepersOf(newPools(live), 220, keepers)
 	is.Equal(after, before)
 }
 
-// The planner's entry keeps workers beside its other work.
+// If the planner's entry keeps workers, they compete with its other work.
 func TestBusyEntriesAreKeepersOnlyWhereOthersAreFew(t *testing.T) {
 	is := is.New(t)
 	count := keepersOf(newPools(entriesOf(4), "e00", "e01"), 40, make(map[int]string))
--- a/region/lag_test.go
+++ b/region/lag_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// The planner's VM turns slow without stopping. Its lease is renewed all the while, and it
-// decides a third of a second late for as long as that lasts.
+// The planner's VM becomes slow without stopping. Its lease is renewed all the while, and it decides a
+// third of a second late for as long as that lasts.
 func TestSlowPlannerGivesTheOfficeToItsStandby(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,8 +34,8 @@
 	})
 }
 
-// A planner that decides in time gives the office away, since its first decision was due at no
-// time.
+// The first decision was not scheduled. If it counted as late, a planner that decides in time would
+// yield the office.
 func TestFirstDecisionIsNotLate(t *testing.T) {
 	is := is.New(t)
 	var l lag
--- a/region/belief_test.go
+++ b/region/staleinfo_test.go
@@ -13,8 +13,8 @@
 	"plantainwinch/winch"
 )
 
-// endOnce stops the world and reports what ran twice. How long tasks are down is not
-// asked: a planner that nobody can tell how long work runs on has to wait.
+// endWithoutDowntimeCheck stops the world and reports what ran twice. How long tasks are down is not
+// checked: a planner that no one can tell how long work runs on has to wait.
 func (w *world) endOnce() {
 	w.mu.Lock()
 	w.broken = slices.DeleteFunc(w.broken, func(line string) bool { return strings.Contains(line, "did not run for") })
@@ -22,11 +22,10 @@
 	w.end()
 }
 
-// A worker that the planner's own entry keeps is gone a moment before that entry is
-// stopped as planned, while the store is slow. The planner that follows looks at the
-// entries only once it has read all records. By then the entry that is to stop has
-// taken itself off the list, so it gets no session, and is never asked until when the
-// worker's lease runs: the longest that its authority may reach is counted instead.
+// A worker that the planner's own entry keeps leaves a moment before that entry is stopped as planned,
+// while the store is slow. The next planner looks at the entries only once it has read all records. By
+// then the stopping entry has taken itself off the list, so no session is opened to it and it is never
+// asked until when the worker's lease runs: its longest possible authority counts instead.
 func TestPlannerIsStoppedAsItsOwnWorkerIsGone(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
@@ -57,10 +56,9 @@
 	}
 }
 
-// The planner is killed every three seconds, its standby with it, and so is the entry
-// that keeps a worker that is gone. Nobody who is left knows what ran there. Each
-// planner counts anew the longest that the one before it may have had authority, and
-// takes no standby meanwhile; all work that the region had accepted waits with it.
+// The planner is killed every three seconds, with its standby and the keeper of a worker that has
+// left. No remaining entry knows what ran there. Each planner counts the longest authority of the one
+// before anew, and chooses no standby meanwhile; all work that the region has accepted is delayed.
 func TestWaitForAnEarlierPlannerIsNotCountedAnewByEach(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -70,12 +68,12 @@
 		l := p.node.lead.Load()
 		worker, keeper := w.keptApart(p)
 		is.True(worker != "")
-		second := ""
-		_ = l.duty.Do(w.ctx, func() { second = l.standby.name })
+		standby := ""
+		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		w.leave(worker)
 		gone := time.Now()
 		p.kill()
-		w.killNamed(second)
+		w.killNamed(standby)
 		w.killNamed(keeper)
 		for range 4 {
 			for w.planner() == nil {
@@ -100,11 +98,11 @@
 	})
 }
 
-// awaitLead waits until something holds of a planner's state.
-func (w *world) awaitLead(l *lead, limit time.Duration, holds func() bool) bool {
+// awaitLeadState waits until a condition on a planner's state holds.
+func (w *world) awaitLead(l *lead, limit time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		ok := false
-		_ = l.duty.Do(w.ctx, func() { ok = holds() })
+		_ = l.duty.Do(w.ctx, func() { ok = condition() })
 		if ok {
 			return true
 		}
@@ -112,13 +110,12 @@
 	return false
 }
 
-// A worker is silent for a moment, so the standby was told when its work ends, and
-// answers again. Its renewal waits until the standby has heard of that, as it should;
-// but the standby is slow, and the worker's keeper is killed meanwhile. The next keeper
-// lists the worker, which is not silent any more, so the planner lets the lease be
-// renewed at once though the standby still has the old word. The planner is killed
-// then, and the worker cut off; the standby takes over, finds the lease lapsed by the
-// old word, and starts the work a second time while the first goes on.
+// A worker is unresponsive for a moment, so the standby was sent its lease expiry, and then it
+// responds again. Its renewal rightly waits for the standby's acknowledgement; but the standby is
+// slow, and the worker's keeper is killed meanwhile. The next keeper lists the worker, which is no
+// longer unresponsive, so the planner allows the renewal at once although the standby still has the
+// old expiry. Then the planner is killed and the worker is partitioned; the standby takes over, finds
+// the lease expired by the old expiry, and starts the work a second time while the first run goes on.
 func TestRenewalAfterAnotherKeeperGotTheWorkerWaitsForTheStandbyToo(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -155,7 +152,7 @@
 	})
 }
 
-// rosterKeeper returns the keeper that the store names for a worker.
+// rosterKeeper returns the keeper that the store's roster names for a worker.
 func (w *world) rosterKeeper(worker string) string {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
@@ -171,8 +168,8 @@
 	return ""
 }
 
-// keptApart returns a worker in a failure domain with neither planner nor standby,
-// and its keeper.
+// workerInThirdDomain returns a worker in a failure domain with neither planner nor standby, and its
+// keeper.
 func (w *world) keptApart(p *simNode) (worker, keeper string) {
 	l := p.node.lead.Load()
 	_ = l.duty.Do(w.ctx, func() {
@@ -190,7 +187,7 @@
 	return worker, keeper
 }
 
-// killNamed kills the entry with a name.
+// killEntry kills the entry with a name.
 func (w *world) killNamed(name string) {
 	for _, n := range w.nodes {
 		if n.node != nil && n.node.Name == name {
@@ -199,10 +196,10 @@
 	}
 }
 
-// staleHolding has one answer of a keeper get lost, so that its workers go to another
-// keeper and nobody tells the first that its holdings are over; has meanwhile done in
-// between; kills the other keeper, and the planner as soon as the store names the first
-// keeper again, and cuts the worker off.
+// makeStaleAssignment loses one response of a keeper, so that its workers move to another keeper and
+// the first is not notified that its assignments are over. Then it calls meanwhile, kills the other
+// keeper, kills the planner as soon as the store names the first keeper again, and partitions the
+// worker.
 func staleHolding(w *world, is *is.I, meanwhile func()) {
 	p := w.planner()
 	l := p.node.lead.Load()
@@ -238,12 +235,12 @@
 	w.silence(worker, true)
 }
 
-// One answer of a keeper is lost, so its workers get another, and it still has its
-// old holdings: nobody has told it since that they are over. Much later the other
-// keeper is killed. The store names the first one again, and the planner is killed
-// before it can tell it, while the worker is cut off. The next planner asks the first
-// keeper until when its leases run. That has long passed, by the old holding, but the
-// other keeper renewed the lease just now: the work is started a second time.
+// One response of a keeper is lost, so its workers move to another keeper, and it still has its old
+// assignments: nobody has notified it that they are over. Much later the other keeper is killed. The
+// store names the first one again, and the planner is killed before it can notify it, while the worker
+// is partitioned. The next planner asks the first keeper until when its leases run. By the old
+// assignment that has long passed, but the other keeper renewed the lease just now: the work is
+// started a second time.
 func TestStaleHoldingDoesNotTellWhenALaterLeaseEnds(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -254,31 +251,31 @@
 	})
 }
 
-// As above, but the planner's standby is killed with it, so that the next planner
-// learns from the first keeper what runs at the worker that is cut off. It knows of
-// nothing that the other keeper has started since, and that is started once more.
+// As above, but the planner's standby is killed with it, so that the next planner learns from the
+// first keeper what runs at the partitioned worker. That keeper does not know of anything that the
+// other one has started since, which is then started once more.
 func TestStaleHoldingDoesNotTellWhatALaterOneStarted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := lastingWorld(t, 36)
 		p := w.planner()
-		second := ""
+		standby := ""
 		staleHolding(w, is.NewRelaxed(t), func() {
 			w.last("00000000000000a2", 12)
 			l := p.node.lead.Load()
-			_ = l.duty.Do(w.ctx, func() { second = l.standby.name })
+			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		})
-		w.killNamed(second)
+		w.killNamed(standby)
 		time.Sleep(15 * time.Second)
 		w.endOnce()
 	})
 }
 
-// The planner, its standby and a worker's keeper are killed together, and the worker
-// is cut off. The next planner has never heard what runs there. Its new keeper says that the worker is silent,
-// and the planner records for it "nothing is started here, and this is all that may
-// run": nothing, since it knows of nothing. It is killed, and the planner that follows
-// takes the record at its word and starts at once what still runs at the worker.
+// The planner, its standby and a worker's keeper are killed together, and the worker is partitioned.
+// The next planner has never learnt what runs there. The worker's new keeper reports it as
+// unresponsive, and the planner records for it that nothing is started there and that no run exists,
+// since it knows of none. It is killed, and the planner after that relies on the record and starts at
+// once what still runs at the worker.
 func TestSilentWorkerThatWasNeverHeardIsNotRecordedAsSettled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -286,11 +283,11 @@
 		p := w.planner()
 		l := p.node.lead.Load()
 		worker, keeper := w.keptApart(p)
-		second := ""
-		_ = l.duty.Do(w.ctx, func() { second = l.standby.name })
+		standby := ""
+		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		w.silence(worker, true)
 		p.kill()
-		w.killNamed(second)
+		w.killNamed(standby)
 		w.killNamed(keeper)
 		for end := time.Now().Add(5 * time.Second); w.planner() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
@@ -304,10 +301,10 @@
 	})
 }
 
-// A worker is silent for less than a second and answers again, while the standby cannot
-// be told and the store is away. Its lease is not renewed before the store is back,
-// though its keeper, the planner and the worker all hear each other: what runs there
-// ends, long before the planner's authority does.
+// A worker is unresponsive for less than a second and responds again, while the standby cannot be
+// reached and the store is down. If its lease is not renewed before the store is back, although its
+// keeper, the planner and the worker all have contact, what runs there ends long before the planner's
+// authority does.
 func TestWorkerThatAnswersIsRenewedWhileStandbyAndStoreAreAway(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -332,10 +329,10 @@
 	})
 }
 
-// A worker crashes and comes back as another boot under the same ID, and the list names
-// that boot before its keeper reaches it. Then the keeper of the boot that is gone
-// hears that another answers. The planner takes that for news of the new boot, and
-// never uses it: the worker stands idle for as long as it lives.
+// A worker crashes and comes back as another boot under the same ID, and the list names that boot
+// before its keeper reaches it. Then the keeper of the boot that ended learns that another one
+// responds. If the planner takes that as an event of the new boot, it never uses the worker, which
+// stays idle for as long as it lives.
 func TestNewBootThatWasListedFirstIsUsed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -365,11 +362,10 @@
 	})
 }
 
-// A failure domain is cut off with a worker and its keeper. One question of the planner
-// reached the keeper before, but waited there for a few seconds, as in the buffers of a
-// process that was frozen. The keeper takes the planner's authority in it for one that
-// begins as it reads it, and renews the worker's lease for longer than the planner
-// thinks that it may. The planner starts the work elsewhere while it runs there.
+// A failure domain with a worker and its keeper is partitioned. One request of the planner reached the
+// keeper before, but waited there for a few seconds, as in the buffers of a paused process. The keeper
+// counts the authority in it from when it reads the request, and renews the worker's lease for longer
+// than the planner assumes. The planner starts the work elsewhere while it still runs there.
 func TestQuestionThatWaitedAtAFrozenKeeperGivesNoAuthorityAnew(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -399,10 +395,11 @@
 	})
 }
 
-// Planner, standby and the keeper of a silent worker are killed. The next planner records that
-// it has renewed nothing there. Then the worker answers, that planner or a later one, but the
-// record cannot be changed, and it falls silent again as that planner is killed too. Had its
-// lease been renewed, the planner after would start the worker's tasks while they still run.
+// The planner, the standby and the keeper of an unresponsive worker are killed. The next planner
+// records that it has renewed nothing there. Then the worker responds, to that planner or a later one,
+// but the record cannot be changed, and the worker becomes unresponsive again as that planner is
+// killed too. Had its lease been renewed, the planner after that would start the worker's tasks while
+// they still run.
 func TestWorkerThatAnswersWhileItsBoundStaysRecorded(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
@@ -416,11 +413,11 @@
 			l := p.node.lead.Load()
 			worker, keeper := w.keptApart(p)
 			is.True(worker != "")
-			second := ""
-			_ = l.duty.Do(w.ctx, func() { second = l.standby.name })
+			standby := ""
+			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 			w.silence(worker, true)
 			p.kill()
-			w.killNamed(second)
+			w.killNamed(standby)
 			w.killNamed(keeper)
 			for w.planner() == nil {
 				time.Sleep(10 * time.Millisecond)
--- a/region/unheard_test.go
+++ b/region/undetected_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// unheard returns times after a worker is gone at which its keeper, whose last call
-// the worker may still be answering, cannot yet know of it. The steps are small beside
-// the half second after which an entry renews its own record.
+// undetectedDelays returns delays after a worker left in which its keeper, whose last call the worker
+// may still be answering, cannot know of it yet. The steps are small compared with the half second
+// after which an entry renews its own record.
 func unheard() (out []time.Duration) {
 	for after := 975 * time.Millisecond; after < 1600*time.Millisecond; after += 50 * time.Millisecond {
 		out = append(out, after)
@@ -19,13 +19,11 @@
 	return append(out, 100*time.Millisecond, 600*time.Millisecond, 1900*time.Millisecond)
 }
 
-// A worker that the planner's own entry keeps leaves as it has said, and before its
-// silence is noticed that entry is stopped as planned. Nothing but planned work
-// happens. The entry gives the office up at once and goes on for two seconds; but if its
-// own record is gone before the next planner has looked, that one begins no session
-// with it, hears nothing of until when the worker's lease runs, and waits for the
-// longest one. The listener of a room that should stay open all week finds it closed
-// for more than nine seconds.
+// A worker that the planner's own entry keeps leaves as announced, and before it is found unresponsive
+// that entry is stopped as planned. Only planned work happens. The entry gives the office up at once
+// and goes on for two seconds; but if its own record is removed before the next planner has looked,
+// that planner opens no session with it, gets no report until when the worker's lease runs, and waits
+// for the longest possible lease. A lasting task is then down for more than nine seconds.
 func TestPlannerThatKeepsAWorkerStopsBeforeItsSilenceIsNoticed(t *testing.T) {
 	t.Parallel()
 	for _, after := range unheard() {
@@ -44,8 +42,8 @@
 	}
 }
 
-// The same with an entry that is not the planner: the planner takes its workers from
-// it while it goes on, and hears until when their leases run.
+// As above, with an entry that is not the planner: the planner takes the workers from it while it goes
+// on, and gets its report until when their leases run.
 func TestKeeperStopsBeforeTheSilenceOfItsWorkerIsNoticed(t *testing.T) {
 	t.Parallel()
 	for _, after := range unheard() {
@@ -63,11 +61,10 @@
 	}
 }
 
-// A worker is gone, and before its silence is noticed the entry that keeps it is
-// killed, the planner's or another, and its next process starts. What the lost process
-// had allowed to run ends a lease after its end at the latest, but the longest
-// authority that it could have had is waited for, counted from when others noticed.
-// Long after all is calm again users still find the room closed.
+// A worker leaves, and before it is found unresponsive its keeper, the planner's entry or another, is
+// killed and restarted. What the lost process had allowed to run ends at most one lease after the end
+// of the process. The fault was to wait for the longest authority that it could have had, counted from
+// when others noticed: lasting tasks stayed down long after all else had recovered.
 func TestKeeperIsKilledBeforeTheSilenceOfItsWorkerIsNoticed(t *testing.T) {
 	t.Parallel()
 	for _, own := range []bool{true, false} {
@@ -93,13 +90,16 @@
 	}
 }
 
-// The planner is killed as a worker is gone whose keeper goes on. Its standby takes
-// over, hears from that keeper until when the worker's lease runs, and is stopped as
-// planned a moment later, before the worker's next keeper has found it silent. The
-// planner after that is told nothing of the worker and waits for the longest lease.
+// The planner is killed as a worker leaves whose keeper goes on. The standby takes over, gets the
+// keeper's report until when the worker's lease runs, and is stopped as planned a moment later, before
+// the worker's next keeper has found it unresponsive. The planner after that gets no report on the
+// worker and waits for the longest possible lease.
 func TestPlannerStopsAfterItHeardOfALeaseAndBeforeTheSilence(t *testing.T) {
 	t.Parallel()
-	for _, after := range []time.Duration{20 * time.Millisecond, 170 * time.Millisecond, 320 * time.Millisecond, 545 * time.Millisecond, time.Hour} {
+	for _, after := range []time.Duration{
+		20 * time.Millisecond, 170 * time.Millisecond, 320 * time.Millisecond,
+		545 * time.Millisecond, time.Hour,
+	} {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -128,9 +128,9 @@
 	}
 }
 
-// The store is away for eight seconds, and a worker is gone meanwhile. Nobody may still
-// know what ran there when the store is back, but all the other workers answer, and
-// the rooms that were open there and elsewhere are open again soon.
+// The store is down for eight seconds, and a worker leaves meanwhile. It may be that nobody knows what
+// ran there when the store is back, but all the other workers respond, and the lasting tasks there and
+// elsewhere have to run again soon.
 func TestWorkGoesOnSoonAfterTheStoreWasAway(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -142,10 +142,10 @@
 	})
 }
 
-// The same, and then entries are stopped as planned, one every two seconds. A planner
-// that took the office without having been told what runs waits for as long as the one
-// before it may have had authority. Each counts that anew and is stopped before it has
-// passed, so nothing is started in the whole region for as long as the stops go on.
+// As above, and then entries are stopped as planned, one every two seconds. A planner that took the
+// office without a copy of what runs waits for as long as the one before it may have had authority. If
+// each counts that anew and is stopped before it has passed, nothing is started in the whole region
+// for as long as the stops go on.
 func TestWorkGoesOnWhileEntriesStopAfterTheStoreWasAway(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -158,7 +158,7 @@
 	})
 }
 
-// awayWithoutAWorker has the store away for eight seconds, while a worker leaves.
+// storeOutageWithWorkerLoss takes the store down for eight seconds, while a worker leaves.
 func (w *world) awayWithoutAWorker() {
 	w.disturb(true)
 	w.setDown(true)
@@ -170,11 +170,10 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// The planner's entry, which keeps a worker itself, is killed, and then the worker is
-// gone. The standby takes over and is stopped as planned before the killed entry is back.
-// The planner after that sees its next process begin, and knows that all leases of the
-// last one end soon after; but not that one of them is the worker's, which has had
-// another keeper since.
+// The planner's entry, which keeps a worker itself, is killed, and then the worker leaves. The standby
+// takes over and is stopped as planned before the killed entry is back. The planner after that sees
+// the killed entry's next process start, and knows that all leases of the last one expire soon after;
+// but not that the worker's lease is one of them, since it has had another keeper since.
 func TestKilledKeeperIsBackAfterAnotherPlanner(t *testing.T) {
 	t.Parallel()
 	for _, again := range []time.Duration{1900 * time.Millisecond, 2100 * time.Millisecond} {
@@ -203,11 +202,10 @@
 	}
 }
 
-// A worker is gone, and a moment later all entries are killed, twice in a row, and
-// start again at once. None of them has known the earlier processes; their records say
-// that these have ended, so one lease is waited for and not the longest authority. The
-// listener of a room that should stay open all week finds it closed for no longer than
-// after the loss of one entry.
+// A worker leaves, and a moment later all entries are killed, twice in a row, and restarted at once.
+// None of them has known the earlier processes; their records say that these have ended, so one lease
+// is waited for and not the longest authority. A lasting task is down for no longer than after the
+// loss of one entry.
 func TestAllEntriesAreKilledAfterAWorkerIsGone(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
@@ -238,9 +236,9 @@
 	}
 }
 
-// A worker is gone, the store is away, and all entries are killed and started again meanwhile.
-// Their records are gone from the store by its return, so nobody saw that the keepers which the
-// roster names have ended; counted from the takeover, the wait for the worker would begin anew.
+// A worker leaves, the store is down, and all entries are killed and restarted meanwhile. Their
+// records have expired when the store is back, so nobody saw that the keepers named in the roster have
+// ended; counted from the takeover, the wait for the worker would begin anew.
 func TestKeepersThatEndedWhileTheStoreWasAwayAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
