--- a/region/accept.go
+++ b/region/accept.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// acceptRing bounds the submissions that wait to be written.
+	// acceptQueueSize bounds the submissions that wait to be written.
 	acceptRing = 1024
-	// acceptMost is how many one transaction may carry: two conditions and two writes each.
+	// maxAcceptBatch is how many submissions, of two conditions and two writes each, one
+	// transaction may carry.
 	acceptMost = winch.TxnEntries / 4
-	// acceptors is how many transactions may be on their way at once. One whose
-	// answer is lost must not hold the others up.
+	// concurrentAccepts is how many transactions may be outstanding at once, so that one whose
+	// response is lost does not delay the others.
 	acceptors = 4
-	// retryAfter is when a caller may come back while the store is away.
+	// retryAfter is after how long a refused caller may retry.
 	retryAfter = time.Second
 )
 
-// acceptor writes submissions into the store, several in one transaction.
+// acceptor writes submissions to the store, several in one transaction.
 type acceptor struct {
 	node *Node
 	ring chan *submission
 }
 
+// submission is a job that a caller has submitted; done receives the result for the caller.
 type submission struct {
 	job  *winch.PhasedJob
 	done chan winch.Result
@@ -48,6 +50,7 @@
 	group.Wait()
 }
 
+// writeBatches commits queued submissions, one batch at a time, until ctx ends.
 func (a *acceptor) write(ctx context.Context) {
 	for {
 		select {
@@ -59,8 +62,8 @@
 	}
 }
 
-// gather takes what else waits, each ID once: a second submission of an ID
-// waits for the next transaction, which finds it written.
+// gather adds the other queued submissions to a batch, each ID once. A second submission of an
+// ID waits for the next transaction, which finds the first one stored.
 func (a *acceptor) gather(first *submission) []*submission {
 	batch := []*submission{first}
 	seen := map[string]bool{first.job.ID: true}
@@ -80,6 +83,7 @@
 	return batch
 }
 
+// enqueue queues a submission. It refuses the submission if the queue is full.
 func (a *acceptor) put(s *submission) {
 	select {
 	case a.ring <- s:
@@ -88,8 +92,8 @@
 	}
 }
 
-// commit writes a batch. A submission whose key is there already was accepted
-// before; the others are written without it.
+// commit writes a batch. A submission whose key is already stored was accepted before; the
+// others are written without it.
 func (a *acceptor) commit(ctx context.Context, batch []*submission) {
 	for len(batch) > 0 {
 		txn := winch.Txn{Expect: make(map[string]uint64)}
@@ -106,43 +110,45 @@
 			a.accepted(batch, revision)
 			return
 		case errors.As(err, &conflict):
-			left := a.known(batch, conflict)
-			if len(left) == len(batch) {
+			remaining := a.known(batch, conflict)
+			if len(remaining) == len(batch) {
 				a.answer(batch, winch.Uncertain(winch.StoreUnavailable, "the store's answer does not tell what is stored"))
 				return
 			}
-			batch = left
+			batch = remaining
 		case errors.Is(err, winch.ErrUnavailable):
-			a.node.Log.Info("submissions not stored", zap.Int("count", len(batch)), zap.Error(err))
+			a.node.Log.Info("submissions not stored; callers told to retry", zap.Int("count", len(batch)), zap.Error(err))
 			a.answer(batch, winch.RefuseFor(winch.StoreUnavailable, "the store did not take the submission", retryAfter))
 			return
 		default:
-			a.node.Log.Info("submissions may be stored", zap.Int("count", len(batch)), zap.Error(err))
+			a.node.Log.Info("store did not confirm submissions; callers told to submit again", zap.Int("count", len(batch)), zap.Error(err))
 			a.answer(batch, winch.Uncertain(winch.StoreUnavailable, "the store did not answer; submit again with the same ID"))
 			return
 		}
 	}
 }
 
-// known answers the submissions that were accepted before and returns the rest.
+// answerStored answers the submissions that were accepted before and returns the others.
 func (a *acceptor) known(batch []*submission, conflict *winch.ConflictError) []*submission {
-	var left []*submission
+	var remaining []*submission
 	for _, s := range batch {
 		if conflict.Current[keyJob(s.job.ID)].Version != 0 || conflict.Current[keyEnded(s.job.ID)].Version != 0 {
 			s.done <- winch.Result{Outcome: winch.Done}
 			continue
 		}
-		left = append(left, s)
+		remaining = append(remaining, s)
 	}
-	return left
+	return remaining
 }
 
+// answerAll answers all submissions of a batch with the same result.
 func (a *acceptor) answer(batch []*submission, result winch.Result) {
 	for _, s := range batch {
 		s.done <- result
 	}
 }
 
+// accepted answers the stored submissions of a batch and notifies the planner of them.
 func (a *acceptor) accepted(batch []*submission, revision uint64) {
 	var msg proto.Accepted
 	for _, s := range batch {
@@ -155,8 +161,8 @@
 	a.node.tellPlanner(proto.KindAccepted, msg)
 }
 
-// Submit implements winch.Region. The answer comes when the job is stored, or
-// when it is known that it surely is not, or when ctx ends.
+// Submit implements winch.Region. It returns when the job is stored, when storing it has failed or
+// its outcome is unknown, or when ctx ends.
 func (n *Node) Submit(ctx context.Context, job *winch.PhasedJob) winch.Result {
 	if !n.healthy() {
 		return winch.RefuseFor(winch.StoreUnavailable, "the store does not answer", retryAfter)
--- a/region/cell.go
+++ b/region/cell.go
@@ -15,27 +15,28 @@
 	"plantainwinch/winch"
 )
 
-// endedKept is how long it is remembered that a boot of an entry has ended: longer
-// than any lease that it gave.
+// endedBootRetention is how long an ended boot of an entry is remembered. It is longer than
+// any lease that the boot can have granted.
 const endedKept = time.Minute
 
-// mostBefore bounds the boots that a record names: one that is killed again and again
-// starts once a second or so, and a lease lasts for five.
+// maxEarlierBoots bounds the earlier boots that a record names. An entry that is killed
+// repeatedly starts about once a second, and a lease lasts five seconds.
 const mostBefore = 8
 
-// cellView is what the store says of the cell: its entries, the office, the
-// last term and the roster.
+// cellView is the local copy of the cell's records in the store. The cell is the set of
+// entries that run one region; its records are those of the entries, the office, the last
+// term and the standby.
 type cellView struct {
 	mu      sync.Mutex
-	members map[string]member // members by node.
-	// last holds the last record of each node, also when it is gone, and ended when it
-	// was seen that a boot of an entry had ended: the next one listens where it did.
+	members map[string]member // members holds the present records by node.
+	// lastRecords holds the last record of each node, also after its removal. endedBoots
+	// holds, by name, a time by which the boot had ended: another one listens at its address.
 	last  map[string]member
 	ended map[string]time.Time
-	// began holds, by node, since when its present boot surely runs, and its record's revision.
+	// currentBoots holds the present boot of each node.
 	began  map[string]sighting
 	office office
-	// officeAt and termAt are the revisions of the records; zero if there is none.
+	// officeRevision and termRevision are the revisions of the records; zero if there is none.
 	officeAt uint64
 	term     office
 	termAt   uint64
@@ -44,32 +45,33 @@
 	// standby is the recorded standby of the last planner.
 	standby   standbyRecord
 	standbyAt uint64
-	read      bool
+	read      bool // loaded is set once all records have been read.
 }
 
-// sighting is the record of a boot that was seen.
+// observedBoot is a boot of an entry whose record was seen.
 type sighting struct {
 	name     string
-	revision uint64
-	since    time.Time // since is when the boot ran already.
+	revision uint64    // revision is that of the first record seen of the boot.
+	since    time.Time // runningSince is a time at which the boot was already running.
 }
 
-// clockDrift is by how much an entry's clock may be too fast.
+// maxClockDrift is the fraction by which an entry's clock may run too fast.
 const clockDrift = 0.025
 
-// since returns a time at which the boot of a record ran, which comes now.
+// runningSince returns a time at which the boot that wrote the record was already running.
+// The record has to be one that has just arrived.
 func (m *member) since() time.Time {
 	return time.Now().Add(-time.Duration(float64(m.Up) * (1 - clockDrift)))
 }
 
-// prepare makes what is remembered of boots. The mutex is held.
+// initBoots creates the maps of boots. The caller holds the mutex.
 func (c *cellView) prepare() {
 	if c.last == nil {
 		c.last, c.ended, c.began = make(map[string]member), make(map[string]time.Time), make(map[string]sighting)
 	}
 }
 
-// take applies one key.
+// apply updates the view with a change of one key.
 func (c *cellView) take(e winch.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,8 +111,8 @@
 	}
 }
 
-// succeeds notes that a boot of an entry has ended, if the next one listens at its
-// address. The mutex is held.
+// noteReplaced records that the boot of the old record has ended, if another boot now
+// listens at its address. The caller holds the mutex.
 func (c *cellView) succeeds(old, next member) {
 	if old.Name == "" || old.Name == next.Name || old.Address != next.Address {
 		return
@@ -118,7 +120,8 @@
 	c.noteEnded(next.since(), old.Name)
 }
 
-// noteEnded notes that boots of entries had ended by a time. The mutex is held.
+// noteEnded records a time by which the named boots had ended. An earlier note of a boot
+// stays. The caller holds the mutex.
 func (c *cellView) noteEnded(by time.Time, names ...string) {
 	for name, at := range c.ended {
 		if time.Since(at) > endedKept {
@@ -132,7 +135,8 @@
 	}
 }
 
-// endedBy returns a time by which a boot of an entry had ended, if it is known to.
+// endedBy returns a time by which a boot of an entry had ended, and whether it is known to
+// have ended.
 func (c *cellView) endedBy(name string) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,8 +144,8 @@
 	return at, ok
 }
 
-// noteSuccessor notes that a boot which a record of some revision names at an address has ended, if
-// another has registered there since.
+// noteSuccessor records that the named boot at an address has ended, if another boot has
+// registered there after the given revision, at which some record still named the former.
 func (c *cellView) noteSuccessor(name, address string, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +156,7 @@
 	}
 }
 
-// addressOf returns the address of a boot that is registered, or "".
+// addressOf returns the address of a registered boot, or "" if it is not registered.
 func (c *cellView) addressOf(name string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +168,7 @@
 	return ""
 }
 
-// noteEndedHere notes that an earlier boot of this entry had ended as this one began.
+// noteEarlierBoot records that an earlier boot of this entry had ended when this one began.
 func (c *cellView) noteEndedHere(name string, began time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +176,8 @@
 	c.noteEnded(began, name)
 }
 
-// reset replaces all by what was read.
+// reset replaces the members and the office by the records that were read and applies the
+// other records.
 func (c *cellView) reset(values []winch.Value) {
 	c.mu.Lock()
 	c.members = make(map[string]member)
@@ -184,14 +189,14 @@
 	}
 }
 
-// holder returns the name of the holder of the office, or "".
+// holder returns the name of the office's holder, or "" if the office is free.
 func (c *cellView) holder() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.office.Holder
 }
 
-// list returns the members, those with most processor first.
+// list returns the members, those with the largest share of a processor first.
 func (c *cellView) list() []member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,7 +210,7 @@
 	return out
 }
 
-// PeerAddresses returns where the other entries are.
+// PeerAddresses returns the addresses of the other entries.
 func (n *Node) PeerAddresses() []string {
 	var out []string
 	for _, m := range n.cell.list() {
@@ -216,7 +221,7 @@
 	return out
 }
 
-// runCell follows the cell's records until ctx ends.
+// watchCell watches the cell's records until ctx ends.
 func (n *Node) runCell(ctx context.Context) {
 	n.follow(ctx, prefixCell, pacing{wait: followWait}, func(values []winch.Value) {
 		n.cell.reset(values)
@@ -236,19 +241,20 @@
 	}
 }
 
-// manyEvents is how many changes in one answer may mean that there are more.
+// fullBatch is the number of changes in one response from which on more may be pending.
 const manyEvents = 100
 
-// pacing says how changes are followed: each call waits for a change, or calls
-// are some time apart and take all changes since the last.
+// watchOptions says how changes are watched. Either each call waits for a change, or calls
+// are separated by a delay and return all changes since the last one.
 type pacing struct {
-	wait time.Duration
-	gap  time.Duration
-	// after is the revision from which on changes are followed; zero reads all first.
+	wait time.Duration // wait is how long one call waits for a change.
+	gap  time.Duration // delay is the pause between calls.
+	// after is the revision after which changes are watched; at zero, all is read first.
 	after uint64
-	// answered, if it is set, is told after each call whether the store answered.
+	// onResponse, if set, is called after each call and says whether the store answered.
 	answered func(ok bool)
-	// asked, if it is set, is told when each call was sent that the store answered.
+	// onSuccess, if set, is called after each answered call with the time at which the
+	// call was sent.
 	asked func(at time.Time)
 }
 
@@ -261,47 +267,47 @@
 	}
 }
 
-// follow reads a prefix and then its changes, until ctx ends. After a gap in
-// the history all is read anew.
-func (n *Node) follow(ctx context.Context, prefix string, pace pacing, all func([]winch.Value), changes func([]winch.Event)) {
-	after := pace.after
+// watch reads all values under a prefix and then their changes, until ctx ends. If the store
+// has compacted changes that were not read yet, all values are read again.
+func (n *Node) follow(ctx context.Context, prefix string, options pacing, all func([]winch.Value), changes func([]winch.Event)) {
+	after := options.after
 	for ctx.Err() == nil {
 		sent := time.Now()
 		if after == 0 {
 			values, asOf, err := n.Table.Read(ctx, prefix)
 			if err != nil {
-				pace.noted(sent, false)
+				options.noted(sent, false)
 				duty.Pause(ctx, retryPause)
 				continue
 			}
 			all(values)
 			after = asOf
-			pace.noted(sent, true)
+			options.noted(sent, true)
 		}
-		events, next, err := n.followOnce(ctx, prefix, after, pace.wait)
+		events, next, err := n.followOnce(ctx, prefix, after, options.wait)
 		switch {
 		case errors.Is(err, winch.ErrCompacted):
-			n.Log.Info("history is gone, reading anew", zap.String("prefix", prefix), zap.Uint64("after", after))
+			n.Log.Info("store has compacted the change history; reading all records again", zap.String("prefix", prefix), zap.Uint64("after", after))
 			after = 0
 		case err != nil:
-			pace.noted(sent, false)
+			options.noted(sent, false)
 			duty.Pause(ctx, retryPause)
 		default:
 			after = max(after, next)
 			if len(events) > 0 {
 				changes(events)
 			}
-			pace.noted(sent, true)
-			if pace.gap > 0 && len(events) < manyEvents {
-				duty.Pause(ctx, pace.gap)
+			options.noted(sent, true)
+			if options.gap > 0 && len(events) < manyEvents {
+				duty.Pause(ctx, options.gap)
 			}
 		}
 	}
 }
 
-// followOnce makes one call that waits for changes. If the store was away and is
-// back, the call is given up: it went into the outage and may never be answered,
-// and what it waits for would be seen seconds late.
+// watchOnce makes one call that waits for changes. The call is abandoned when the store
+// answers again after an outage: a call sent into the outage may never be answered, and the
+// changes that it waits for would be seen seconds late.
 func (n *Node) followOnce(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []winch.Event, next uint64, err error) {
 	duty.Until(ctx, n.back.wait(), func(ctx context.Context) {
 		events, next, err = n.Table.Follow(ctx, prefix, after, wait)
@@ -309,22 +315,22 @@
 	return events, next, err
 }
 
-// runNode keeps the entry's own record, and with it the knowledge whether the
-// store answers.
+// runRegistration keeps the entry's own record in the store. Its calls also show whether the
+// store is responsive.
 func (n *Node) runNode(ctx context.Context) {
 	lease := uint64(0)
-	was := false
+	healthy := false
 	for ctx.Err() == nil {
 		if !n.leaving.Load() {
 			lease = n.probe(ctx, lease)
 		} else if lease != 0 && n.Table.End(ctx, lease) == nil {
 			lease = 0
 		}
-		if now := n.healthy(); now != was {
-			was = now
-			n.Log.Info("store", zap.Bool("answers", now))
+		if now := n.healthy(); now != healthy {
+			healthy = now
+			n.Log.Info("store responsiveness changed", zap.Bool("answers", now))
 		}
-		if was {
+		if healthy {
 			duty.Pause(ctx, nodeRenew)
 		} else {
 			duty.Pause(ctx, probeGap)
@@ -332,18 +338,19 @@
 	}
 }
 
-// probe renews the entry's record, for a shorter time while the store is away.
+// renewWithTimeout renews the entry's record, with a short timeout while the store is
+// unresponsive.
 func (n *Node) probe(ctx context.Context, lease uint64) uint64 {
 	if !n.healthy() {
-		short, cancel := context.WithTimeout(ctx, probeTime)
+		shortCtx, cancel := context.WithTimeout(ctx, probeTime)
 		defer cancel()
-		ctx = short
+		ctx = shortCtx
 	}
 	return n.keepRecord(ctx, lease)
 }
 
-// unlisted reports whether the entry's record is seen to be gone though its
-// lease goes on. Others would not know of the entry for good.
+// recordMissing reports whether the entry's record has been removed although its lease is
+// still renewed. Without a new record the other entries would never learn of this one.
 func (n *Node) unlisted() bool {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
@@ -351,8 +358,9 @@
 	return n.cell.read && !listed && n.healthy()
 }
 
-// earlierBoots returns the boots of this entry whose records are still there, or are
-// named there. If all entries were killed, nobody else knows that those have ended.
+// earlierBoots returns the earlier boots of this entry that its stored record belongs to or
+// names, the latest first. If all entries were killed, no other entry knows that those boots
+// have ended.
 func (n *Node) earlierBoots(ctx context.Context) ([]string, error) {
 	key := prefixNode + n.Host
 	values, _, err := n.Table.Read(ctx, key)
@@ -373,7 +381,8 @@
 	return nil, nil
 }
 
-// keepRecord renews the record's lease or writes the record, and returns the lease.
+// renewRecord renews the record's lease or writes the record under a new one, and returns the
+// lease; zero if that failed.
 func (n *Node) keepRecord(ctx context.Context, lease uint64) uint64 {
 	if lease != 0 {
 		err := n.Table.Keep(ctx, lease)
@@ -394,6 +403,6 @@
 	if err != nil {
 		return 0
 	}
-	n.Log.Info("registered", zap.String("name", n.Name), zap.Uint64("lease", lease))
+	n.Log.Info("entry registered in the store", zap.String("name", n.Name), zap.Uint64("lease", lease))
 	return lease
 }
--- a/region/command.go
+++ b/region/command.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// commandTime bounds the question to the entry that accepted a job for its command; the
-	// store is read after it.
+	// commandTimeout bounds a request to another entry for a job's command. The store is read
+	// after it.
 	commandTime = 250 * time.Millisecond
-	// commandsPause is how long after a takeover the commands of all jobs are read: what the
-	// workers run is heard first.
+	// commandsReadDelay is how long after a takeover the commands of all jobs are read, so that
+	// the workers' reports of what runs come first.
 	commandsPause = time.Second
 )
 
-var errNoCommand = merry.New("the store holds no command of the job")
+var errNoCommand = merry.New("the store holds no command for the job")
 
-// readCommands reads the commands of the jobs that have not ended, once a takeover is done:
-// keepers ask for them, and while the store is away, or this failure domain is cut off, nobody
-// else may have them.
+// readCommands reads the commands of the jobs that have not ended, once a takeover is done.
+// Keepers ask for them, and while the store is unresponsive or this failure domain is partitioned
+// no other source may be left.
 func (l *lead) readCommands(ctx context.Context) {
 	for duty.Pause(ctx, commandsPause); ctx.Err() == nil; duty.Pause(ctx, retryPause) {
 		values, _, err := l.node.Table.Read(ctx, prefixCommands)
 		if err != nil {
-			l.node.Log.Info("commands not read", zap.Error(err))
+			l.node.Log.Info("commands of jobs not read; retrying", zap.Error(err))
 			continue
 		}
 		for _, v := range values {
@@ -40,15 +40,15 @@
 	}
 }
 
-// giveCommand answers a keeper that asks for the command of a job that this entry accepted.
-func (n *Node) giveCommand(ask proto.CommandAsk) proto.CommandGive {
-	text, known := n.commands.Get(ask.Job)
+// commandResponse answers a keeper's request for the command of a job that this entry accepted.
+func (n *Node) giveCommand(request proto.CommandAsk) proto.CommandGive {
+	text, known := n.commands.Get(request.Job)
 	return proto.CommandGive{Known: known, Command: text}
 }
 
-// command gets the command of a job for this entry's keeper: from the entry that accepted
-// the job, so that the planner's link is not filled with what most keepers need. If that
-// entry does not have it any more, the planner may, and the store has it.
+// command returns the command of a job for this entry's keeper. It asks the entry that accepted
+// the job first, since requests of all keepers would saturate the planner's link. If that entry
+// no longer has the command, it asks the planner, and then reads the store.
 func (n *Node) command(ctx context.Context, job, origin string) (string, error) {
 	if text, known := n.commands.Get(job); known {
 		return text, nil
@@ -70,13 +70,14 @@
 	return "", errNoCommand
 }
 
+// requestCommand asks another entry for the command of a job.
 func (n *Node) askCommand(ctx context.Context, job, name string) (string, bool) {
 	if name == "" || name == n.Name {
 		return "", false
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTime)
 	defer cancel()
-	var give proto.CommandGive
-	err := n.Peers.Ask(ctx, name, proto.KindCommand, proto.CommandAsk{Job: job}, &give)
-	return give.Command, err == nil && give.Known
+	var response proto.CommandGive
+	err := n.Peers.Ask(ctx, name, proto.KindCommand, proto.CommandAsk{Job: job}, &response)
+	return response.Command, err == nil && response.Known
 }
--- a/region/keep_test.go
+++ b/region/keep_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Jobs end all the time, the store is slow, and old jobs are removed every few seconds. A caller that is
-// shown the end of its job may ask for it as long as jobs are kept. It asked a moment
-// before that time was over and was told that there is no such job: it was counted
-// from when the planner had heard of the end, and not from when it was shown.
+// Guards against an ended job that becomes unknown before its retention period is over. The period
+// begins when a caller can first see that the job has ended. While the store is slow, that is
+// later than the time at which the planner learned of it; counted from the latter, a caller that
+// asked shortly before the end of the period was told that there is no such job.
 func TestEndedJobIsKnownForAsLongAsPromised(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,7 +38,7 @@
 	})
 }
 
-// shownAt waits until a job is shown as ended, and returns when that was.
+// shownAt waits until a job is reported as ended, and returns the time at which it was.
 func (w *world) shownAt(id string) time.Time {
 	for w.ctx.Err() == nil {
 		if state, result := w.nodes["d0-0"].node.State(w.ctx, id); result.OK() && state.Final() {
--- a/region/keys.go
+++ b/region/keys.go
@@ -10,8 +10,8 @@
 	"plantainwinch/winch"
 )
 
-// Keys of the store that the entries of a region write. docs/PLATFORM.md tells
-// who writes which under which condition.
+// Keys of the store that the entries of a region write. docs/PLATFORM.md describes who writes
+// which key under which condition.
 const (
 	prefixCell = "cell/"
 	prefixNode = "cell/node/"
@@ -19,13 +19,13 @@
 	keyTerm    = "cell/term"
 	keyStandby = "cell/standby"
 	keyRoster  = "roster"
-	// A job that has not ended has up to four keys. What a planner reads as it takes over
-	// is the first three; commands are read a little later.
+	// A job that has not ended has up to four keys. A planner that takes over reads the job,
+	// its cancellation and its progress at once, and its command a little later.
 	prefixJobs     = "job/"
 	suffixCancel   = "/x"
 	prefixProgress = "progress/"
 	prefixCommands = "command/"
-	// prefixEnded is where the ends of jobs are kept for as long as callers may ask.
+	// prefixEnded holds the records of ended jobs for the retention period.
 	prefixEnded = "ended/"
 )
 
@@ -35,7 +35,7 @@
 func keyCommand(id string) string  { return prefixCommands + id }
 func keyEnded(id string) string    { return prefixEnded + id }
 
-// part says which part of a job a key holds.
+// jobPart says which part of a job a key holds.
 type part int
 
 const (
@@ -45,7 +45,7 @@
 	partProgress
 )
 
-// jobKey returns the job that a key belongs to, and which part of it the key holds.
+// parseJobKey returns the job that a key belongs to and the part of it that the key holds.
 func jobKey(key string) (id string, what part) {
 	if id, ok := strings.CutPrefix(key, prefixProgress); ok {
 		return id, partProgress
@@ -60,80 +60,84 @@
 	return rest, partJob
 }
 
-// member is what an entry writes of itself.
+// member is the stored record by which an entry registers itself.
 type member struct {
 	Name    string // Name is unique to the boot.
 	Node    string
 	Domain  string
 	Address string // Address is where peers reach the entry.
-	Share   int    // Share is the entry's part of a processor, in thousandths.
-	// Before names the boots before this one at the same address, the last first: they
-	// have ended, since this one listens there.
+	Share   int    // Share is the entry's share of a processor, in thousandths.
+	// Before names the earlier boots at the same address, the latest first. They have ended,
+	// since this one listens there.
 	Before []string
-	// Up is how long this boot had run as it wrote the record.
+	// Up is how long this boot had been running when it wrote the record.
 	Up time.Duration
 }
 
-// office names the holder of the region's office.
+// office is the stored record of the office, the planner's leadership lease.
 type office struct {
 	Holder string
 	Term   uint64
-	// Address is where peers reach the holder. An entry that listens there is the
-	// next process of the same VM, so it knows that the holder has ended.
+	// Address is where peers reach the holder. Another entry that listens there is a later
+	// process of the same VM, so it knows that the holder has ended.
 	Address string
 }
 
-// rostered is a worker that a planner may have given work to.
+// rosteredWorker is a worker that a planner may have given work to.
 type rostered struct {
 	VM winch.WorkerVM
-	// Keeper is the entry through which all orders to the worker go. What it knows
-	// of the worker's runs is therefore all that may run there.
+	// Keeper is the entry through which all orders to the worker go. The runs that it knows of
+	// are therefore all that may exist there.
 	Keeper string
-	// Address is where peers reach the keeper. Another boot that listens there tells that the
-	// keeper has ended.
+	// Address is where peers reach the keeper. If another boot listens there, the keeper has
+	// ended.
 	Address string
-	// Earlier are the keepers before this one that may yet renew leases at the worker: it has
-	// not answered this one.
+	// Earlier holds the earlier keepers that may still renew leases at the worker, since it has
+	// not answered the present one.
 	Earlier []keeping
-	// Settled is set when the planner handed the office over, and for a worker that
-	// does not answer and gets no work: Runs is then all that may run there.
+	// Settled says that Runs is all that may run at the worker. It is set when the planner hands
+	// the office over, and for an unresponsive worker that gets no work.
 	Settled bool
 	Runs    []winch.Running
-	// Left is set when the planner handed the office over and nobody may renew the leases at
-	// the worker: after that time, from when it was recorded, all work there has ended.
+	// Left is the time, from the writing of the record, after which all work at the worker has
+	// ended. It is set when the planner hands the office over and no keeper may renew the
+	// worker's lease.
 	Left time.Duration
-	// Turn is new whenever the worker gets another keeper. What a keeper tells of an
-	// earlier turn is not all: others may have had the worker in between.
+	// Generation changes whenever the worker is assigned to another keeper. What a keeper
+	// reports of an earlier generation is incomplete, since the worker may have been assigned
+	// to others in between.
 	Turn uint64
-	// Bound, if it is not zero, is a term in which and after which nobody may have renewed a
-	// lease at the worker, nor started work there.
+	// Bound, if not zero, is a term from whose beginning on nobody can have renewed a lease at
+	// the worker or started work there.
 	Bound uint64
 }
 
-// keeping is the turn of a keeper that had a worker before.
+// earlierKeeper is an earlier keeper of a worker, with the generation of its assignment.
 type keeping struct {
 	Keeper, Address string
 	Turn            uint64
 }
 
-// roster is the stored form of the workers: thousands have to fit into one value,
-// and each change writes them all. Of a VM it holds what it takes to reach it.
+// roster is the stored form of the rostered workers. It is compact because thousands of them
+// have to fit into one value, which each change writes as a whole. Of a worker's VM it holds
+// only what is needed to reach it.
 type roster struct {
 	Keepers   []string
 	Workers   []rosterRow
-	Turns     []uint64 // Turns holds the turn of each of Workers.
-	Addresses []string // Addresses holds that of each of Keepers.
+	Turns     []uint64 // Turns holds the generation of each of Workers.
+	Addresses []string // Addresses holds the address of each of Keepers.
 	Earlier   []earlierRow
-	Bounds    []uint64 // Bounds holds the bound of each of Workers, or nothing if none has one.
+	Bounds    []uint64 // Bounds holds the bound of each of Workers; it is empty if none has one.
 }
 
-// earlierRow is an earlier keeper of a worker.
+// earlierRow is the stored form of an earlier keeper of a worker.
 type earlierRow struct {
 	_              struct{} `cbor:",toarray"`
-	Worker, Keeper int      // Worker and Keeper are indexes into the roster's.
+	Worker, Keeper int      // Worker and Keeper are indexes into the roster's Workers and Keepers.
 	Turn           uint64
 }
 
+// rosterRow is the stored form of a rostered worker.
 type rosterRow struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
@@ -146,6 +150,7 @@
 	Left    time.Duration
 }
 
+// newRoster returns the stored form of the workers.
 func newRoster(workers map[string]rostered) roster {
 	var out roster
 	bound := false
@@ -176,7 +181,7 @@
 	return out
 }
 
-// list returns the workers; a row that names no keeper of the roster has none.
+// list returns the workers. One whose row refers to no keeper of the roster has none.
 func (r *roster) list() []rostered {
 	out := make([]rostered, 0, len(r.Workers))
 	for i, w := range r.Workers {
@@ -210,7 +215,7 @@
 	return name, address
 }
 
-// encode returns the stored form of a record.
+// encode returns the stored form of a record. It panics if the record cannot be encoded.
 func encode(v any) []byte {
 	data, err := proto.Encode(v)
 	if err != nil {
@@ -219,12 +224,13 @@
 	return data
 }
 
+// decode reads the stored form of a record.
 func decode(data []byte, into any) error {
 	return merry.Wrap(proto.Decode(data, into))
 }
 
-// stored is what the store holds of one job that has not ended, or of which runs were left
-// when it did.
+// storedJob is what the store holds of a job that has not ended, or that has ended while runs of
+// it remained.
 type stored struct {
 	job       *winch.PhasedJob
 	progress  *winch.Progress
@@ -232,7 +238,7 @@
 	cancelled bool
 }
 
-// take adds one part of the job.
+// add decodes one part of the job.
 func (s *stored) take(what part, v winch.Value) error {
 	switch what {
 	case partJob:
@@ -252,7 +258,7 @@
 	return nil
 }
 
-// state is what a caller may be told of a job.
+// state returns the state of the job to report to a caller.
 func (s *stored) state() winch.JobState {
 	switch {
 	case s.progress != nil && s.progress.State.Final():
@@ -265,7 +271,7 @@
 	return winch.JobQueued
 }
 
-// endedRecord is what is kept of a job that has ended.
+// endedRecord is the stored record of an ended job.
 type endedRecord struct {
 	State winch.JobState `cbor:"1,keyasint"`
 	At    time.Time      `cbor:"2,keyasint"`
--- a/region/named_test.go
+++ b/region/named_test.go
@@ -11,15 +11,16 @@
 	"plantainwinch/winch"
 )
 
-// The answer to the planner's record of its standby is lost, though the store holds it, and
-// then the standby is given up while the store is away. The planner believed that nobody was
-// named, and started work that the standby, taking over, started a second time.
+// Guards against work that is started twice, by a planner and by its former standby. The store
+// applies the record that names the standby, but its response is lost; then the planner gives the
+// standby up while the store is unresponsive. The planner assumed that no standby was named and
+// started work that the standby started again when it took over.
 func TestStandbyWhoseRecordWasNotAnsweredCountsAsNamed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		w := newWorld(t, 91, 3, 9)
-		lost := false
+		responseLost := false
 		w.store.mu.Lock()
 		w.store.fate = func(txn winch.Txn) (applied, answered bool) {
 			for _, x := range txn.Writes {
@@ -27,10 +28,10 @@
 				if x.Key != keyStandby || decode(x.Data, &r) != nil || len(txn.Writes) > 1 {
 					continue
 				}
-				if lost {
+				if responseLost {
 					return false, false
 				}
-				lost = r.Name != ""
+				responseLost = r.Name != ""
 				return true, false
 			}
 			return true, true
@@ -42,7 +43,7 @@
 		_ = l.duty.Do(w.ctx, func() {
 			second = l.standby.name
 			l.dropStandby()
-			l.tired = map[string]time.Time{} // Nobody else is chosen meanwhile.
+			l.tired = map[string]time.Time{} // No other standby is chosen meanwhile.
 			for name := range l.live() {
 				l.tired[name] = time.Now().Add(time.Hour)
 			}
--- a/region/node.go
+++ b/region/node.go
@@ -1,7 +1,8 @@
-// Package region is one entry of a region that runs on a platform with a
-// transactional store: it takes jobs from callers, keeps workers for the
-// planner, lends its lane to the advice service, and holds the region's office
-// if it wins it. It reaches the platform through the interfaces of package winch.
+// Package region implements one entry of a region on a platform with a transactional store.
+// The entry accepts jobs from callers, keeps workers for the planner, calls the advice service
+// in its lane for the planner, and is itself the planner while it holds the region's office, the
+// planner's leadership lease in the store. It reaches the platform through the interfaces of
+// package winch.
 package region
 
 import (
@@ -20,50 +21,52 @@
 	"plantainwinch/winch"
 )
 
-// Timing holds the times of an entry that the platform's operator bounds.
+// Timing holds the durations that the platform's operator sets for an entry.
 type Timing struct {
 	// Lease is the longest lease that workers grant on what runs.
 	Lease time.Duration
-	// Keep is how long ended jobs are still known.
+	// Keep is the retention period of ended jobs: how long callers may still ask for them.
 	Keep time.Duration
 }
 
 const (
-	// officeTTL is the lease on the office: a planner that is lost is replaced
-	// after it, and one that stands still for longer loses the office.
+	// officeTTL is the duration of the lease on the office. A lost planner is replaced after
+	// it, and a planner whose process is paused for longer loses the office.
 	officeTTL = 1500 * time.Millisecond
-	// officeRenew is how often it is renewed, so that one lost call does no harm.
+	// officeRenewInterval is how often the office's lease is renewed. One lost call does no
+	// harm.
 	officeRenew = 400 * time.Millisecond
-	// keepGrace is how long keepers go on without a planner beyond its lease. A
-	// failure domain that is cut off keeps its work that long; work that may run
-	// there is not started elsewhere before.
+	// keeperGrace is how long keepers continue without a planner after the office's lease has
+	// expired. A partitioned failure domain keeps its work running that long, and work that
+	// may run there is not started elsewhere before.
 	keepGrace = 6 * time.Second
-	// leaseMost bounds the lease that workers are given. What ran at one that is gone
-	// counts as running until its lease has surely lapsed, on a slow clock too, and a
-	// task that lasts has to run again within six seconds.
+	// maxLease bounds the lease on what runs at a worker. The runs of a lost worker count as
+	// running until its lease is guaranteed to have expired, also by a slow clock, and a
+	// lasting task has to run again within six seconds.
 	leaseMost = 5 * time.Second
-	// nodeTTL and nodeRenew are the lease on an entry's own record. The renewals
-	// also tell whether the store answers.
+	// nodeTTL is the duration of the lease on an entry's own record, and nodeRenewInterval how
+	// often it is renewed. The renewals also show whether the store is responsive.
 	nodeTTL   = 4 * time.Second
 	nodeRenew = 500 * time.Millisecond
-	// silence is how long the store may give no answer until the entry says so:
-	// two renewals.
+	// storeUnresponsiveAfter is how long the store may leave calls unanswered before the entry
+	// considers it unresponsive: two renewals.
 	silence = 1100 * time.Millisecond
-	// probeTime and probeGap bound the renewals while the store does not answer: a
-	// call that was sent into an outage gets no answer after it either, so the
-	// return is seen by the next one. A slow store takes some 300 ms.
+	// outageRenewTimeout bounds a renewal while the store is unresponsive, and outageRenewDelay
+	// is the pause before the next. A call sent during an outage is not answered after it
+	// either, so only the next call shows that the store is back. A slow store takes about
+	// 300 ms to answer.
 	probeTime = 500 * time.Millisecond
 	probeGap  = 200 * time.Millisecond
-	// followWait is how long a watch waits. Its connection may go silent for
-	// good; the next watch then opens another.
+	// maxWatchWait is how long one call of a watch waits for changes. Its connection may become
+	// unresponsive for good; the next call then opens another.
 	followWait = 3 * time.Second
-	// retryPause is the pause after a call that failed.
+	// retryDelay is the pause after a failed call.
 	retryPause = 150 * time.Millisecond
 )
 
-// Node is one entry. Set the exported fields, then Prepare and Run.
+// Node is one entry. Set the exported fields, then call Prepare and Run.
 type Node struct {
-	Name    string // Name is unique to the boot.
+	Name    string // Name is unique to the process's boot.
 	Host    string // Host is the VM's name.
 	Domain  string
 	Address string // Address is where peers reach the entry.
@@ -80,25 +83,25 @@
 	cell     cellView
 	settings settings
 	accept   acceptor
-	commands keep.Commands // commands holds those of the jobs that this entry accepted last.
+	commands keep.Commands // commands holds the commands of the jobs that this entry accepted last.
 	keeper   *keep.Keeper
 	mirror   mirror
 	prefetch prefetch
 	lead     atomic.Pointer[lead]
 	waiting  atomic.Pointer[waitingView]
-	heard    atomic.Int64 // heard is when the store last answered, in nanoseconds of started.
-	back     broadcast    // back tells that the store answers again.
+	heard    atomic.Int64 // lastContact is when the store last answered, in nanoseconds after started.
+	back     broadcast    // storeBack is sent when the store answers again.
 	started  time.Time
-	yielded  atomic.Pointer[time.Time] // yielded is when this entry last gave the office to a stronger one.
-	stopping atomic.Bool
-	leaving  atomic.Bool
+	yielded  atomic.Pointer[time.Time] // yielded is when this entry last yielded the office to a stronger one.
+	stopping atomic.Bool // stopping is set when Stop begins.
+	leaving  atomic.Bool // leaving is set once the office has been handed over.
 	// changed wakes the office after a change of the cell's records.
 	changed chan struct{}
 }
 
 var _ winch.Region = (*Node)(nil)
 
-// Prepare makes the entry ready for Run.
+// Prepare initializes the entry. It has to be called before Run.
 func (n *Node) Prepare() {
 	n.started = time.Now()
 	n.changed = make(chan struct{}, 1)
@@ -109,16 +112,16 @@
 	n.heard.Store(-int64(time.Hour))
 }
 
-// Heard notes an answer of the store.
+// NoteStoreResponse records that the store has just answered.
 func (n *Node) Heard() {
-	was := n.healthy()
+	wasHealthy := n.healthy()
 	n.heard.Store(int64(time.Since(n.started)))
-	if !was {
+	if !wasHealthy {
 		n.back.send()
 	}
 }
 
-// broadcast tells all that wait for it at the moment.
+// broadcast wakes all goroutines that wait for it at the moment.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -142,12 +145,12 @@
 	}
 }
 
-// healthy reports whether the store has answered lately.
+// healthy reports whether the store is responsive.
 func (n *Node) healthy() bool {
 	return time.Since(n.started)-time.Duration(n.heard.Load()) < silence
 }
 
-// Run serves until ctx ends. Stop should have been called before.
+// Run runs the entry until ctx ends. Stop should have been called before that.
 func (n *Node) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	for _, run := range []func(context.Context){
@@ -160,8 +163,8 @@
 
 func (n *Node) runPrefetch(ctx context.Context) { n.prefetch.run(ctx, n) }
 
-// Stop gives up the office and the workers kept, without a gap: another entry
-// takes them over while this one goes on answering its callers.
+// Stop hands the office and the workers over to another entry without a gap. This entry
+// continues to serve its callers meanwhile.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
 	if l := n.lead.Load(); l != nil {
@@ -190,12 +193,12 @@
 	return n.settings.config.Load()
 }
 
-// First returns the message that goes first on a new link to a peer.
+// First returns the message to send first on a new link to a peer.
 func (n *Node) First(string) (winch.Kind, any) {
 	return proto.KindSettings, proto.Settings{Version: n.settings.version()}
 }
 
-// LinkChanged takes note that a link to a peer stands or has broken.
+// LinkChanged notifies the entry that a link to a peer was established or has broken.
 func (n *Node) LinkChanged() {
 	if l := n.lead.Load(); l != nil {
 		l.post(l.reassignSoon)
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// pollWait is how long a keeper may wait for something to tell.
+	// pollWait is how long a keeper may wait for an event before it responds.
 	pollWait = 250 * time.Millisecond
-	// pollTime is how long its answer may take beyond that. A keeper that does not
-	// answer in time is replaced; its workers go on meanwhile.
+	// pollTimeout is how long the response may take beyond pollWait. A keeper that does not
+	// respond in time is replaced; its workers' runs continue meanwhile.
 	pollTime = 700 * time.Millisecond
-	// keeperRest is the pause before a keeper whose session broke gets another.
+	// sessionRetryDelay is the pause before a keeper whose session broke gets a new one.
 	keeperRest = 200 * time.Millisecond
-	// uneven is how many more workers than another a keeper may have.
+	// maxImbalance is how many more workers than another a keeper may have.
 	uneven = 6
-	// adviceTime is how long an answer of the advice service may take beyond what
-	// the queue's configuration says: other questions of the lane come first.
+	// adviceTimeout is how long a response of the advice service may take beyond the cost
+	// that the queue's configuration states: other requests of the lane come first.
 	adviceTime = 800 * time.Millisecond
 )
 
@@ -33,13 +33,14 @@
 	lead    *lead
 	name    string
 	session proto.Session
-	stamp   time.Duration // stamp is that of the keeper's last answer.
-	local   bool
+	stamp   time.Duration // stamp is that of the keeper's last response.
+	local   bool          // local is set if the keeper is the planner's own entry.
 	ctx     context.Context
 	cancel  context.CancelFunc
 }
 
-// sendSet tells a keeper its workers, in a new session if there is none.
+// sendAssignments sends a keeper the workers assigned to it. It begins a session if there is
+// none.
 func (l *lead) sendSet(name string) {
 	p := l.proxies[name]
 	fresh := p == nil
@@ -63,6 +64,7 @@
 	}
 }
 
+// send sends a message to the keeper and ends the session if that fails.
 func (p *proxy) tell(kind winch.Kind, body any) {
 	n := p.lead.node
 	if p.local {
@@ -75,32 +77,32 @@
 		return
 	}
 	if n.Peers.Tell(p.name, kind, body) != nil {
-		p.cancel() // What was not sent would leave both sides with different views.
+		p.cancel() // A lost message would leave planner and keeper with different views.
 	}
 }
 
-// poll takes the keeper's news until the session breaks.
+// poll fetches the keeper's events until the session ends, and then takes its workers away.
 func (p *proxy) poll() {
 	l, ctx := p.lead, p.ctx
 	for ctx.Err() == nil {
-		news, err := p.ask(ctx)
+		report, err := p.ask(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		if err == nil && news.Term > l.term {
-			// This planner was replaced and has not heard of it: it is cut off from
-			// the store, and what it would do has no effect any more.
-			l.node.Log.Info("a later planner has taken over", zap.String("keeper", p.name), zap.Uint64("term", news.Term))
+		if err == nil && report.Term > l.term {
+			// A planner of a later term has taken over. This one has not learned that from
+			// the store, so it is partitioned from it, and its orders have no effect any more.
+			l.node.Log.Info("planner of a later term has taken over; ending this term", zap.String("keeper", p.name), zap.Uint64("term", report.Term))
 			l.cancel()
 			return
 		}
-		if err != nil || news.Session != p.session {
-			l.node.Log.Info("keeper lost", zap.String("keeper", p.name), zap.Uint64("session", p.session.Number), zap.Error(err))
+		if err != nil || report.Session != p.session {
+			l.node.Log.Info("session with keeper broken", zap.String("keeper", p.name), zap.Uint64("session", p.session.Number), zap.Error(err))
 			break
 		}
-		p.stamp = news.Stamp
-		if len(news.Events) > 0 {
-			l.post(func() { l.events(p, news.Events) })
+		p.stamp = report.Stamp
+		if len(report.Events) > 0 {
+			l.post(func() { l.events(p, report.Events) })
 		}
 	}
 	l.post(func() {
@@ -112,8 +114,8 @@
 	})
 }
 
-// rest leaves a keeper alone for a moment after a session broke, so that one
-// that refuses every session does not keep the planner busy.
+// backOff gives a keeper no new session for sessionRetryDelay after one broke, so that a
+// keeper that refuses every session does not keep the planner busy.
 func (l *lead) rest(name string) {
 	l.resting[name] = true
 	l.group.Go(func() {
@@ -125,20 +127,21 @@
 	})
 }
 
+// pollOnce sends one poll request to the keeper.
 func (p *proxy) ask(ctx context.Context) (proto.KeepNews, error) {
-	ask := proto.KeepPoll{Session: p.session, Authority: p.lead.authority(), Wait: pollWait, Stamp: p.stamp}
+	request := proto.KeepPoll{Session: p.session, Authority: p.lead.authority(), Wait: pollWait, Stamp: p.stamp}
 	if p.local {
-		return p.lead.node.keeper.Poll(ctx, ask), nil
+		return p.lead.node.keeper.Poll(ctx, request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollWait+pollTime)
 	defer cancel()
-	var news proto.KeepNews
-	err := p.lead.node.Peers.Ask(ctx, p.name, proto.KindKeepPoll, ask, &news)
-	return news, err
+	var report proto.KeepNews
+	err := p.lead.node.Peers.Ask(ctx, p.name, proto.KindKeepPoll, request, &report)
+	return report, err
 }
 
-// dropKeeper takes all workers from a keeper. They are given to another, or to
-// it in a new session, with tokens that fence the old one off.
+// dropKeeper ends a keeper's session and takes all its workers away. They are assigned to
+// another keeper, or to the same one in a new session, with higher fencing tokens.
 func (l *lead) dropKeeper(p *proxy) {
 	p.cancel()
 	delete(l.proxies, p.name)
@@ -154,7 +157,7 @@
 	l.planner.Unready(ids)
 }
 
-// events takes a keeper's news; those of a session that was given up are stale.
+// handleEvents handles a keeper's events. Those of an ended session are stale and dropped.
 func (l *lead) events(p *proxy, events []proto.KeepEvent) {
 	if l.proxies[p.name] != p {
 		return
@@ -173,11 +176,12 @@
 			continue
 		}
 		if l.keepers[e.Worker] != p.name || l.kept[e.Worker].Token != e.Token {
-			continue // The worker has been given to another keeper since, and perhaps back.
+			continue // The event is of an earlier assignment of the worker.
 		}
 		l.logEvent(e)
 		if e.Kind == proto.EventLost && e.Result != winch.StartOtherBoot && l.valid.Load().left() <= 0 {
-			// Another planner may hold the worker by now, and its work may go on.
+			// The office's lease has expired: another planner may have assigned the worker, and
+			// its runs may continue.
 			l.planner.Unready([]string{e.Worker})
 			l.lostWorker(e.Worker)
 			l.lapses.inherit(e.Worker, holding{lapse: time.Now().Add(barrier())})
@@ -185,14 +189,14 @@
 		}
 		l.lapseEvent(e)
 		if vm, listed := l.workers[e.Worker]; listed && e.Kind == proto.EventLost && l.kept[e.Worker].VM.Born != vm.Born {
-			// The boot that is gone is not the one that is listed, which may well live.
+			// The lost boot is not the listed one, which may be alive.
 			l.lostWorker(e.Worker)
 			continue
 		}
 		l.planner.Event(e)
 		switch e.Kind {
 		case proto.EventFenced:
-			l.node.Log.Info("fenced off", zap.String("worker", e.Worker))
+			l.node.Log.Info("worker knows a higher fencing token; ending this term", zap.String("worker", e.Worker))
 			l.cancel()
 			return
 		case proto.EventLost:
@@ -210,37 +214,37 @@
 	l.wake()
 }
 
-// known takes what a keeper knew of a worker when this planner's session began.
-// If the roster names the keeper by the same turn, that is all that may run there.
+// handleKnown handles what a keeper knew of a worker when this planner's session began. If
+// the roster names the keeper with the same generation, that is all that may run there.
 func (l *lead) known(keeper string, e proto.KeepEvent) {
 	if w := l.before[e.Worker]; w.Keeper == keeper && w.Turn == e.Turn {
 		l.planner.Event(e)
 	}
 }
 
-// lostWorker forgets a worker's keeper, so that the worker is held again if it
-// is still listed.
+// unassignLost ends the assignment of a lost worker. The worker is assigned again if it is
+// still listed.
 func (l *lead) lostWorker(id string) {
 	l.lapses.forget(id)
 	l.unkeep(id)
 	l.reassignSoon()
 }
 
-// keep notes that a keeper has a worker under a token.
+// recordAssignment records that a worker is assigned to a keeper under a fencing token.
 func (l *lead) keep(id, keeper string, kept proto.Kept) {
 	delete(l.byToken, l.kept[id].Token)
 	l.keepers[id], l.kept[id], l.byToken[kept.Token] = keeper, kept, id
 }
 
-// unkeep notes that no keeper has a worker.
+// removeAssignment records that a worker is assigned to no keeper.
 func (l *lead) unkeep(id string) {
 	delete(l.byToken, l.kept[id].Token)
 	delete(l.keepers, id)
 	delete(l.kept, id)
 }
 
-// dispatch passes the planner's orders on: starts once the standby has heard of
-// them, the others at once.
+// dispatch sends the planner's orders to the keepers: starts once the standby has been
+// notified of them, the others at once.
 func (l *lead) dispatch() {
 	var now []proto.Order
 	for _, o := range l.planner.Orders() {
@@ -257,7 +261,7 @@
 	}
 }
 
-// send sends orders to the keepers of their workers.
+// sendOrders sends orders to the keepers of their workers.
 func (l *lead) send(orders []proto.Order) {
 	byKeeper := make(map[string]*proto.KeepOrders)
 	for _, o := range orders {
@@ -283,8 +287,9 @@
 	}
 }
 
-// unsent takes back a start that did not go out: the worker's lists come anew. If it had
-// gone out all the same, it could take effect after them and be taken for one that never was.
+// handleUnsent reports a start to the planner as not started, because it was not sent: the
+// worker is assigned anew and lists its runs again. If the start were sent, it could take
+// effect after those lists and yet be considered never started.
 func (l *lead) unsent(o proto.Order) {
 	if o.Kind == proto.OrderStart {
 		l.planner.Event(proto.KeepEvent{
@@ -293,14 +298,14 @@
 	}
 }
 
-// openings returns the questions to the advice service that may be asked now: no more than
-// lanes are free for, so that each is asked by what is known when a lane takes it.
+// openings returns how many requests to the advice service may be made now. There are no more
+// than free lanes, so that each request is based on what is known when a lane takes it.
 func (l *lead) openings() fleet.Openings {
 	urgent, usual := l.lanes.Openings(time.Now())
 	return fleet.Openings{Urgent: urgent, Usual: usual}
 }
 
-// ask deals questions to the advice service over the lanes.
+// requestAdvice distributes the planner's requests to the advice service over the lanes.
 func (l *lead) ask() {
 	for _, a := range l.planner.Asks() {
 		l.lanes.Add(lanes.Question[fleet.Ask]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
@@ -314,28 +319,30 @@
 	}
 }
 
+// callAdvice sends one request to the advice service through a lane and passes the response to
+// the planner.
 func (l *lead) question(lane string, a fleet.Ask) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceTime)
 	defer cancel()
-	ask := proto.AdviseAsk{Phase: a.Phase, Workers: a.Workers}
-	var give proto.AdviseGive
+	request := proto.AdviseAsk{Phase: a.Phase, Workers: a.Workers}
+	var response proto.AdviseGive
 	var err error
 	if lane == l.node.Name {
-		give = l.node.advise(ctx, ask)
+		response = l.node.advise(ctx, request)
 	} else {
-		err = l.node.Peers.Ask(ctx, lane, proto.KindAdvise, ask, &give)
+		err = l.node.Peers.Ask(ctx, lane, proto.KindAdvise, request, &response)
 	}
-	ok := err == nil && give.Failed == ""
+	ok := err == nil && response.Failed == ""
 	if !ok {
-		l.node.Log.Info("no advice", zap.String("lane", lane), zap.String("job", a.Phase.Job), zap.String("failed", give.Failed), zap.Error(err))
+		l.node.Log.Info("advice request failed", zap.String("lane", lane), zap.String("job", a.Phase.Job), zap.String("failed", response.Failed), zap.Error(err))
 	}
-	l.node.Log.Info("advice", zap.String("job", a.Phase.Job), zap.Int("phase", a.Phase.Phase), zap.String("lane", lane), zap.Int("asked", len(a.Workers)),
-		zap.Int("allowed", len(give.Tickets)), zap.Duration("took", time.Since(sent)), zap.Duration("waited", sent.Sub(a.Asked)))
+	l.node.Log.Info("advice request finished", zap.String("job", a.Phase.Job), zap.Int("phase", a.Phase.Phase), zap.String("lane", lane), zap.Int("asked", len(a.Workers)),
+		zap.Int("allowed", len(response.Tickets)), zap.Duration("took", time.Since(sent)), zap.Duration("waited", sent.Sub(a.Asked)))
 	l.post(func() {
 		l.lanes.Done(lane, ok, time.Now())
 		if ok {
-			l.planner.Advice(a, give.Tickets, give.Valid, sent)
+			l.planner.Advice(a, response.Tickets, response.Valid, sent)
 		} else {
 			l.planner.AdviceFailed(a)
 		}
@@ -346,27 +353,27 @@
 func (l *lead) logOrder(o proto.Order) {
 	switch o.Kind {
 	case proto.OrderStart:
-		l.node.Log.Info("start", zap.String("job", o.Task.Job), zap.Int("phase", o.Task.Phase), zap.Int("index", o.Task.Index),
+		l.node.Log.Info("run start ordered", zap.String("job", o.Task.Job), zap.Int("phase", o.Task.Phase), zap.Int("index", o.Task.Index),
 			zap.Uint64("run", o.Run), zap.String("worker", o.Worker))
 	case proto.OrderStop:
-		l.node.Log.Info("stop", zap.String("job", o.Task.Job), zap.Int("phase", o.Task.Phase), zap.Int("index", o.Task.Index),
+		l.node.Log.Info("run stop ordered", zap.String("job", o.Task.Job), zap.Int("phase", o.Task.Phase), zap.Int("index", o.Task.Index),
 			zap.Uint64("run", o.Run), zap.String("worker", o.Worker))
 	case proto.OrderPace:
-		l.node.Log.Info("pace", zap.String("job", o.Task.Job), zap.Uint64("run", o.Run), zap.String("worker", o.Worker), zap.Int("percent", o.Percent))
+		l.node.Log.Info("run throttle ordered", zap.String("job", o.Task.Job), zap.Uint64("run", o.Run), zap.String("worker", o.Worker), zap.Int("percent", o.Percent))
 	}
 }
 
 func (l *lead) logEvent(e proto.KeepEvent) {
 	switch e.Kind {
 	case proto.EventListed:
-		l.node.Log.Info("worker listed", zap.String("worker", e.Worker), zap.Int("running", len(e.Running)), zap.Int("ended", len(e.Ended)))
+		l.node.Log.Info("worker listed its runs", zap.String("worker", e.Worker), zap.Int("running", len(e.Running)), zap.Int("ended", len(e.Ended)))
 	case proto.EventLost:
-		l.node.Log.Info("worker lost", zap.String("worker", e.Worker))
+		l.node.Log.Info("worker lost; its lease has expired or it has restarted", zap.String("worker", e.Worker))
 	case proto.EventNotStarted, proto.EventVanished:
-		l.node.Log.Info("not running", zap.String("job", e.Task.Job), zap.Uint64("run", e.Run), zap.String("worker", e.Worker), zap.Stringer("result", e.Result))
+		l.node.Log.Info("run not started or no longer at its worker", zap.String("job", e.Task.Job), zap.Uint64("run", e.Run), zap.String("worker", e.Worker), zap.Stringer("result", e.Result))
 	}
 	for _, x := range e.Ended {
-		l.node.Log.Info("ended", zap.String("job", x.Task.Job), zap.Int("phase", x.Task.Phase), zap.Int("index", x.Task.Index),
+		l.node.Log.Info("run ended", zap.String("job", x.Task.Job), zap.Int("phase", x.Task.Phase), zap.Int("index", x.Task.Index),
 			zap.Uint64("run", x.Run), zap.String("worker", e.Worker), zap.String("kind", string(x.Kind)))
 	}
 }
--- a/region/record.go
+++ b/region/record.go
@@ -17,31 +17,32 @@
 )
 
 const (
-	// commitGap is the pause between two transactions that no caller waits for:
-	// one carries all that has changed meanwhile.
+	// commitDelay is the pause before a transaction that no caller waits for. The transaction
+	// carries all changes made meanwhile.
 	commitGap = 100 * time.Millisecond
-	// committers is how many transactions may be on their way at once: while the store
-	// is slow, an end that comes just after one was sent need not wait for its answer.
+	// concurrentCommits is how many transactions may be outstanding at once. While the store
+	// is slow, a completion that follows a sent transaction need not wait for its response.
 	committers = 4
-	// commitMost is how many entries of a transaction are left beside the condition on the
-	// office. A record takes a condition and a write; that of an end a write and the removal
-	// of all parts of the job, or, while runs are left, both.
+	// maxCommitCost is how many operations a transaction has left beside the condition on the
+	// office. A progress record takes a condition and a write; the record of an ended job takes
+	// a write and the removal of all keys of the job or, while runs remain, a write and a
+	// progress record.
 	commitMost   = winch.TxnEntries - 1
 	progressCost = 2
 	endCost      = 5
-	// keepMargin is added to how long an ended job is known: callers count from when
-	// they are shown its end, which the record tells no sooner than it was known here.
+	// retentionMargin is added to how long an ended job is known. Callers count from when they
+	// see that the job has ended, which is later than the time in the record.
 	keepMargin = 30 * time.Second
-	// endedPause is how long after the takeover the ends that earlier planners recorded are
-	// read.
+	// endedReadDelay is how long after the takeover the records of jobs that ended under earlier
+	// planners are read.
 	endedPause = 20 * time.Second
-	// sweepMost is how many jobs one transaction removes, of two keys each, and sweepGap the
-	// pause between two.
+	// sweepBatchSize is how many jobs, of two keys each, one transaction removes, and sweepDelay
+	// the pause between two transactions.
 	sweepMost = (winch.TxnEntries - 1) / 2
 	sweepGap  = 50 * time.Millisecond
 )
 
-// runCommits writes changed records until ctx ends.
+// runCommits writes changed job records until ctx ends.
 func (l *lead) runCommits(ctx context.Context) {
 	var group conc.WaitGroup
 	for range committers {
@@ -50,6 +51,8 @@
 	group.Wait()
 }
 
+// writeRecords commits changed records until ctx ends: at once if a caller waits for one of
+// them, after commitDelay otherwise.
 func (l *lead) writeRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -69,7 +72,7 @@
 	}
 }
 
-// recordCost is how many entries of a transaction a record takes.
+// recordCost returns how many operations of a transaction a record takes.
 func recordCost(final bool) int {
 	if final {
 		return endCost
@@ -77,8 +80,8 @@
 	return progressCost
 }
 
-// recordTxn is the transaction that writes records. What is left of a job that has ended
-// is its end, once nothing of it runs: a planner that takes over need not read it.
+// recordTxn returns the transaction that writes the records. Of an ended job without runs only
+// the ended record remains, which a planner need not read when it takes over.
 func (l *lead) recordTxn(batch []fleet.Record) winch.Txn {
 	txn := winch.Txn{Expect: map[string]uint64{keyOffice: l.revision}}
 	for _, r := range batch {
@@ -97,8 +100,8 @@
 	return txn
 }
 
-// commit writes one batch of records under the office and reports whether more
-// may be waiting.
+// commit writes one batch of records, on condition that this planner still holds the office. It
+// reports whether there were records and all of them were written.
 func (l *lead) commit(ctx context.Context) bool {
 	var batch []fleet.Record
 	if l.duty.Do(ctx, func() { batch = l.planner.RecordsWithin(commitMost, recordCost) }) != nil || len(batch) == 0 {
@@ -107,7 +110,7 @@
 	revision, err := l.node.Table.Commit(ctx, l.recordTxn(batch))
 	var conflict *winch.ConflictError
 	if errors.As(err, &conflict) && conflict.Current[keyOffice].Version != l.revision {
-		l.node.Log.Info("office is another's", zap.Uint64("term", l.term))
+		l.node.Log.Info("office is no longer held; ending this term", zap.Uint64("term", l.term))
 		l.cancel()
 		return false
 	}
@@ -117,24 +120,24 @@
 				l.planner.Saved(r, revision)
 				continue
 			}
-			// A write whose answer was lost may have changed the record's revision.
-			now := uint64(0)
+			// A write whose response was lost may have changed the record's revision.
+			current := uint64(0)
 			if conflict != nil {
-				now = conflict.Current[keyProgress(r.Job)].Version
+				current = conflict.Current[keyProgress(r.Job)].Version
 			}
-			l.planner.Unwritten(r, now)
+			l.planner.Unwritten(r, current)
 		}
 		l.logEndings()
 		l.wake()
 	})
 	if err != nil {
-		l.node.Log.Info("records not written", zap.Int("count", len(batch)), zap.Error(err))
+		l.node.Log.Info("job records not written; retrying", zap.Int("count", len(batch)), zap.Error(err))
 		duty.Pause(ctx, retryPause/3)
 	}
 	return err == nil
 }
 
-// runSweep removes what is kept of jobs that ended long ago.
+// runSweep removes the records of ended jobs after the retention period, until ctx ends.
 func (l *lead) runSweep(ctx context.Context) {
 	old := l.readEnded(ctx)
 	for ctx.Err() == nil {
@@ -158,20 +161,21 @@
 	}
 }
 
-// readEnded reads the ends that earlier planners recorded. Nobody waits for it.
+// readEnded reads when the jobs ended that earlier planners recorded as ended. It waits for
+// endedReadDelay first, since the result is not urgent.
 func (l *lead) readEnded(ctx context.Context) map[string]time.Time {
 	old := make(map[string]time.Time)
 	for ctx.Err() == nil {
 		duty.Pause(ctx, endedPause)
 		values, _, err := l.node.Table.Read(ctx, prefixEnded)
 		if err != nil {
-			l.node.Log.Info("ended jobs not read", zap.Error(err))
+			l.node.Log.Info("records of ended jobs not read; retrying", zap.Error(err))
 			continue
 		}
 		for _, v := range values {
 			var r endedRecord
 			if err := decode(v.Data, &r); err != nil {
-				l.node.Log.Error("record cannot be read", zap.String("key", v.Key), zap.Error(err))
+				l.node.Log.Error("stored record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 			}
 			old[strings.TrimPrefix(v.Key, prefixEnded)] = r.At
 		}
@@ -180,13 +184,14 @@
 	return old
 }
 
+// sweep removes the records and commands of ended jobs and has the planner forget the jobs.
 func (l *lead) sweep(ctx context.Context, ids []string) {
 	txn := winch.Txn{Expect: map[string]uint64{keyOffice: l.revision}}
 	for _, id := range ids {
 		txn.Remove = append(txn.Remove, keyEnded(id), keyCommand(id))
 	}
 	if _, err := l.node.Table.Commit(ctx, txn); err != nil {
-		l.node.Log.Info("old records not removed", zap.Error(err))
+		l.node.Log.Info("records of jobs past the retention period not removed", zap.Error(err))
 		return
 	}
 	l.post(func() {
@@ -196,21 +201,21 @@
 	})
 }
 
-// sweepOrphans removes parts of jobs that are not there any more: a write without an answer
-// may have taken effect after the job's end.
+// sweepOrphans removes keys whose job has been removed. A write without a response may have
+// taken effect after the removal of the job.
 func (l *lead) sweepOrphans(ctx context.Context) {
 	for _, id := range l.orphans {
 		_, err := l.node.Table.Commit(ctx, winch.Txn{
 			Expect: map[string]uint64{keyOffice: l.revision, keyJob(id): 0}, Remove: []string{keyCancel(id), keyProgress(id)},
 		})
-		l.node.Log.Info("parts of a job that is gone", zap.String("job", id), zap.Error(err))
+		l.node.Log.Info("leftover keys of a removed job swept", zap.String("job", id), zap.Error(err))
 	}
 	l.orphans = nil
 }
 
-// runRoster records which workers may be given work, and through which keeper,
-// before they are. A planner that takes over must hear of each of them, or wait,
-// until it starts again what an earlier one may have started.
+// runRoster records in the roster which workers may be given work, and through which keeper,
+// before they are given any. Before a planner that takes over restarts what an earlier one may
+// have started, it has to hear from each worker of the roster or wait for its lease to expire.
 func (l *lead) runRoster(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -223,11 +228,11 @@
 			wanted = maps.Clone(l.wanted)
 			for id, w := range wanted {
 				if w.Bound != 0 && l.planner.Heard(id) {
-					w.Bound = 0 // It has answered since.
+					w.Bound = 0 // The worker has answered since.
 					wanted[id] = w
 				}
 				if w.Settled {
-					l.settled[id] = true // From here on it may be in the store.
+					l.settled[id] = true // From here on the store may hold the worker as settled.
 				}
 				if w.Bound != 0 {
 					l.mayBound[id] = true
@@ -238,7 +243,7 @@
 			return
 		}
 		if err := l.writeRoster(ctx, wanted); err != nil {
-			l.node.Log.Info("roster not written", zap.Error(err))
+			l.node.Log.Info("roster not written; retrying", zap.Error(err))
 			duty.Pause(ctx, retryPause)
 			duty.Signal(l.rosterCh)
 			continue
@@ -261,6 +266,8 @@
 	}
 }
 
+// writeRoster writes the roster, on condition that this planner still holds the office and that
+// the stored roster is the one last seen.
 func (l *lead) writeRoster(ctx context.Context, workers map[string]rostered) error {
 	select {
 	case l.rosterTurn <- struct{}{}:
@@ -282,10 +289,10 @@
 	return err
 }
 
-// recordRuns writes down all that may run at each worker, once nothing more is
-// started, so that the next planner need not wait for a worker that does not answer. Of
-// workers that have not been heard it is not known what runs there, but until when: no
-// lease is renewed there any more, and the next planner need not count the longest anew.
+// recordRuns records in the roster all that may run at each worker, once nothing more is
+// started, so that the next planner need not wait for a worker that does not answer. Of an
+// unresponsive worker the runs are not known, but the time at which its lease expires is: no
+// lease is renewed there any more, so the next planner need not wait for the longest lease.
 func (l *lead) recordRuns(ctx context.Context) {
 	workers := make(map[string]rostered)
 	if l.duty.Do(ctx, func() {
@@ -301,6 +308,6 @@
 		return
 	}
 	if err := l.writeRoster(ctx, workers); err != nil {
-		l.node.Log.Info("runs not handed over", zap.Error(err))
+		l.node.Log.Info("runs not recorded for the next planner", zap.Error(err))
 	}
 }
--- a/region/records_test.go
+++ b/region/records_test.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// A planner that takes over reads all jobs that have ended, too, and on a thin link it never
-// gets to the end of them.
+// Guards against ended jobs being stored under the keys that a planner reads when it takes over.
+// On a slow link the planner would never finish reading them.
 func TestWhatEndedIsNotReadWithWhatLives(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -41,8 +41,8 @@
 	})
 }
 
-// The same submission comes again after its job has ended and its record is gone. It would
-// run a second time.
+// Guards against a job that runs a second time. It is submitted again with the same ID after it
+// has ended and its key has been removed.
 func TestSubmissionAfterTheEndIsTheSame(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -59,8 +59,9 @@
 	})
 }
 
-// An entry reads a job, the job ends, another planner takes over, and the entry's message of
-// the job reaches that one, which has never heard of it: it would run all of it again.
+// Guards against a job that runs a second time after a takeover. An entry reads the job, the job
+// ends, another planner takes over, and only then the entry's message about the job arrives. The
+// new planner does not know the job.
 func TestJobThatEndedBeforeTheTakeoverIsNotStartedAgain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -79,19 +80,19 @@
 		for w.planner() == nil || w.planner() == first {
 			time.Sleep(5 * time.Millisecond)
 		}
-		starts := w.log.count("start\t{\"job\": \"" + id)
+		starts := w.log.count("run start ordered\t{\"job\": \"" + id)
 		w.planner().node.forLead(proto.Accepted{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
 		time.Sleep(3 * time.Second)
 		state, result := w.planner().node.State(w.ctx, id)
 		is.True(result.OK())
 		is.Equal(state, winch.JobDone)
-		is.Equal(w.log.count("start\t{\"job\": \""+id), starts)
+		is.Equal(w.log.count("run start ordered\t{\"job\": \""+id), starts)
 		w.end()
 	})
 }
 
-// All entries are killed, so that nobody knows what the jobs that wait are to run but the
-// store.
+// Guards against waiting jobs that never run because no entry knows their commands. All entries
+// are killed, so that only the store still holds them.
 func TestCommandsAreReadFromTheStoreAfterAllWereKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -107,8 +108,9 @@
 	})
 }
 
-// All entries are killed, and a little later the store is away. What the jobs that wait are to
-// run was known to those that had accepted them only, and nothing of them could start.
+// Guards against waiting jobs that cannot start during a store outage. All entries are killed and
+// restarted, and the store fails a little later. The commands were known only to the processes
+// that had accepted the jobs, so the planner has to read them before the outage.
 func TestCommandsAreKnownWhileTheStoreIsAway(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -116,9 +118,9 @@
 		w := newWorld(t, 66, 3, 9)
 		settle()
 		const id = "00000000000000b3"
-		waits := simPhase(1)
-		waits.Label = "none" // No worker has it, so no keeper asks for the command.
-		w.submit(id, waits)
+		waiting := simPhase(1)
+		waiting.Label = "none" // No worker has this label, so no keeper asks for the command.
+		w.submit(id, waiting)
 		w.restartAll()
 		for w.planner() == nil {
 			time.Sleep(5 * time.Millisecond)
@@ -131,7 +133,8 @@
 	})
 }
 
-// The standby takes over and reads all jobs from the store, though it could have had them.
+// Guards against a slow takeover. The standby reads all jobs from the store when it takes over,
+// although it could have read them before.
 func TestStandbyReadsOnlyWhatCameAfter(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -168,8 +171,9 @@
 	}
 }
 
-// The store tells but some of the changes in an answer. A standby that takes the first answer
-// for all of them takes over with old progress, and runs a second time what has ended.
+// Guards against runs that are repeated after a takeover. The store returns only some of the
+// pending changes in one response. A standby that considers itself current after the first
+// response takes over with outdated progress and runs ended tasks again.
 func TestStandbyCatchesUpByAllAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
--- a/region/serve.go
+++ b/region/serve.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// stateTime bounds the question to the planner for a job's state; the store
-	// is asked after it.
+	// stateTimeout bounds the request to the planner for a job's state. The store is read
+	// after it.
 	stateTime = 300 * time.Millisecond
-	// waitingEvery is how often the planner tells all entries what waits, and
-	// waitingAge how old that may be when it is shown.
+	// waitingInterval is how often the planner reports to all entries how many jobs wait, and
+	// maxWaitingAge how old the report may be when it is shown.
 	waitingEvery = 500 * time.Millisecond
 	waitingAge   = 1900 * time.Millisecond
 )
 
-// waitingView is what the planner last told of the jobs that have not begun.
+// waitingView is the planner's last report of how many jobs have not begun, by queue.
 type waitingView struct {
 	term   uint64
 	queues map[string]int
 	at     time.Time
 }
 
-// State implements winch.Region. The planner knows most; without it the store
-// tells what is recorded.
+// State implements winch.Region. It asks the planner, which has the latest state, and reads the
+// stored state if the planner does not answer.
 func (n *Node) State(ctx context.Context, id string) (winch.JobState, winch.Result) {
-	if give := n.askState(ctx, id); give.Known {
-		return give.State, winch.Result{}
+	if response := n.askState(ctx, id); response.Known {
+		return response.State, winch.Result{}
 	}
 	s, ended, err := n.readJob(ctx, id)
 	switch {
@@ -47,21 +47,22 @@
 	return s.state(), winch.Result{}
 }
 
+// requestState asks the planner for a job's state.
 func (n *Node) askState(ctx context.Context, id string) proto.StateGive {
 	ctx, cancel := context.WithTimeout(ctx, stateTime)
 	defer cancel()
 	if l := n.lead.Load(); l != nil {
 		return l.state(ctx, id)
 	}
-	var give proto.StateGive
-	if err := n.Peers.Ask(ctx, n.cell.holder(), proto.KindState, proto.StateAsk{ID: id}, &give); err != nil {
+	var response proto.StateGive
+	if err := n.Peers.Ask(ctx, n.cell.holder(), proto.KindState, proto.StateAsk{ID: id}, &response); err != nil {
 		return proto.StateGive{}
 	}
-	return give
+	return response
 }
 
-// readJob reads what the store holds of a job, or its end. The end is read after the job:
-// both change in one transaction.
+// readJob reads what the store holds of a job, or its ended record. The ended record is read
+// last: it is written in the transaction that removes the job, so one of the two is found.
 func (n *Node) readJob(ctx context.Context, id string) (stored, *endedRecord, error) {
 	var s stored
 	for _, prefix := range []string{keyJob(id), keyProgress(id)} {
@@ -75,7 +76,7 @@
 				continue
 			}
 			if err := s.take(what, v); err != nil {
-				n.Log.Error("record cannot be read", zap.String("key", v.Key), zap.Error(err))
+				n.Log.Error("stored record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 				return s, nil, err
 			}
 		}
@@ -90,7 +91,7 @@
 	return s, ended, err
 }
 
-// readEnd reads the end of a job; nil if none is recorded.
+// readEndedRecord reads the ended record of a job; nil if there is none.
 func (n *Node) readEnd(ctx context.Context, id string) (*endedRecord, error) {
 	values, _, err := n.Table.Read(ctx, keyEnded(id))
 	if err != nil {
@@ -105,7 +106,7 @@
 	return nil, nil
 }
 
-// Cancel implements winch.Region. It is answered when the cancel is stored.
+// Cancel implements winch.Region. It returns when the cancellation is stored.
 func (n *Node) Cancel(ctx context.Context, id string) winch.Result {
 	if !n.healthy() {
 		return winch.RefuseFor(winch.StoreUnavailable, "the store does not answer", retryAfter)
@@ -123,7 +124,7 @@
 	_, err = n.Table.Commit(ctx, winch.Txn{
 		Expect: map[string]uint64{key: 0, keyJob(id): s.job.Revision}, Writes: []winch.Write{{Key: key, Data: encode(time.Now())}},
 	})
-	// A conflict says that it is cancelled already, or has ended.
+	// A conflict means that the job is already cancelled or has ended.
 	if err != nil && !errors.Is(err, winch.ErrConflict) {
 		if errors.Is(err, winch.ErrUnavailable) {
 			return winch.RefuseFor(winch.StoreUnavailable, "the store did not take the cancel", retryAfter)
@@ -143,15 +144,15 @@
 	return v.queues[queue], winch.Result{}
 }
 
-// tellPlanner passes something on that is in the store. A message that is lost
-// does no harm: the planner reads the store's changes too.
+// notifyPlanner notifies the planner of something that has been stored. A lost message does no
+// harm, since the planner also watches the store.
 func (n *Node) tellPlanner(kind winch.Kind, body any) {
 	if !n.forLead(body) {
 		_ = n.Peers.Tell(n.cell.holder(), kind, body)
 	}
 }
 
-// Handle answers messages from other entries.
+// Handle handles a message from another entry and returns the response, if there is one.
 func (n *Node) Handle(ctx context.Context, from string, kind winch.Kind, read func(into any) error) any {
 	switch kind {
 	case proto.KindKeepSet:
@@ -190,11 +191,11 @@
 			return proto.StateGive{}
 		})
 	}
-	n.Log.Error("message of an unknown kind", zap.String("from", from), zap.String("kind", string(kind)))
+	n.Log.Error("received a message of unknown kind", zap.String("from", from), zap.String("kind", string(kind)))
 	return nil
 }
 
-// got decodes a message and passes it to f; one that cannot be read is dropped.
+// handleMessage decodes a message and passes it to f. A message that cannot be decoded is dropped.
 func got[T any](read func(into any) error, f func(T) any) any {
 	var m T
 	if read(&m) != nil {
@@ -203,8 +204,8 @@
 	return f(m)
 }
 
-// forLead gives something to this entry's time as planner, and reports whether
-// it is the planner.
+// handToLead passes a message to this entry's planner, and reports whether this entry is the
+// planner.
 func (n *Node) forLead(body any) bool {
 	l := n.lead.Load()
 	if l != nil {
@@ -213,6 +214,8 @@
 	return l != nil
 }
 
+// updateWaiting stores the planner's report of waiting jobs, unless a planner of a later term has
+// sent one.
 func (n *Node) takeWaiting(m proto.Waiting) {
 	if v := n.waiting.Load(); v != nil && v.term > m.Term {
 		return
@@ -221,8 +224,8 @@
 }
 
 // advise calls the advice service in this entry's lane.
-func (n *Node) advise(ctx context.Context, ask proto.AdviseAsk) proto.AdviseGive {
-	tickets, valid, err := n.Advisor.Advise(ctx, ask.Phase, ask.Workers)
+func (n *Node) advise(ctx context.Context, request proto.AdviseAsk) proto.AdviseGive {
+	tickets, valid, err := n.Advisor.Advise(ctx, request.Phase, request.Workers)
 	if err != nil {
 		return proto.AdviseGive{Failed: err.Error()}
 	}
--- a/region/settings.go
+++ b/region/settings.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// hearWait is how long an entry that hears of a newer configuration waits for
-	// the store to tell it: the store tells all entries within some milliseconds,
-	// and a copy for each from its peers would fill the small VMs' links.
+	// peerFetchDelay is how long an entry that learns of a newer configuration waits for the
+	// store to send it. The store notifies all entries within a few milliseconds, and copies
+	// from peers to each of them would saturate the links of small VMs.
 	hearWait = 150 * time.Millisecond
-	// blindGap is how often an entry that the store does not serve asks a peer. A
-	// withdrawn key has to stop working there within two seconds as well.
+	// peerPollInterval is how often an entry that the store does not answer asks a peer for a
+	// newer configuration. A withdrawn key has to stop working there within two seconds, too.
 	blindGap = 300 * time.Millisecond
-	// settingsTime bounds one question to a peer.
+	// settingsTimeout bounds one request to a peer.
 	settingsTime = 500 * time.Millisecond
 )
 
-// settings holds the operator's configuration. Each entry reads it from the
-// store; one that the store does not serve asks its peers, so that one which
-// reaches either is current. It never goes back in a boot, and stays in force
-// while the store is away.
+// settings holds the operator's configuration. Each entry reads it from the store. An entry that
+// the store does not answer asks its peers, so that it is current if it reaches either. The
+// version never decreases during a boot, and the configuration stays in force while the store is
+// unresponsive.
 type settings struct {
 	node   *Node
 	mu     sync.Mutex
 	data   []byte
 	config atomic.Pointer[winch.RegionConfig]
-	// heard holds the last peer that has a newer version than this entry.
+	// newerPeer holds the name of a peer that has a newer version than this entry.
 	heard chan string
-	// missed says that the store did not answer the last call of the watch.
+	// watchFailed says that the store did not answer the last call of the watch.
 	missed atomic.Bool
 }
 
@@ -45,6 +45,7 @@
 	s.heard = make(chan string, 1)
 }
 
+// run watches the configuration in the store until ctx ends.
 func (s *settings) run(ctx context.Context) {
 	s.node.follow(ctx, s.node.Codec.ConfigKey(), pacing{wait: followWait, answered: func(ok bool) { s.missed.Store(!ok) }}, func(values []winch.Value) {
 		for _, v := range values {
@@ -59,13 +60,13 @@
 	})
 }
 
-// blind reports whether the store answers nothing, or other calls but not the
-// watch.
+// uninformed reports whether the store is unresponsive, or answers other calls but not the watch
+// of the configuration.
 func (s *settings) blind() bool {
 	return s.missed.Load() || !s.node.healthy()
 }
 
-// runAsk asks peers for what the store has not told.
+// runPeerFetch fetches the configuration from peers if the store has not sent it, until ctx ends.
 func (s *settings) runAsk(ctx context.Context) {
 	ticker := time.NewTicker(blindGap)
 	defer ticker.Stop()
@@ -84,7 +85,7 @@
 	}
 }
 
-// wait leaves the store time to tell by itself, unless there is nothing to go on with.
+// waitForStore gives the store time to send the configuration, unless the entry has none yet.
 func (s *settings) wait(ctx context.Context) {
 	if s.config.Load() == nil {
 		return
@@ -97,38 +98,39 @@
 	}
 }
 
+// fetch asks a peer for a configuration that is newer than this entry's.
 func (s *settings) ask(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, settingsTime)
 	defer cancel()
-	var give proto.Settings
-	if s.node.Peers.Ask(ctx, name, proto.KindSettingAsk, proto.SettingsAsk{Have: s.version()}, &give) == nil && len(give.Data) > 0 {
-		s.take(s.node.Codec.ConfigKey(), give.Data, name)
+	var response proto.Settings
+	if s.node.Peers.Ask(ctx, name, proto.KindSettingAsk, proto.SettingsAsk{Have: s.version()}, &response) == nil && len(response.Data) > 0 {
+		s.take(s.node.Codec.ConfigKey(), response.Data, name)
 	}
 }
 
-// hear notes that a peer has a version.
+// noteVersion records which version a peer has.
 func (s *settings) hear(name string, version uint64) {
 	if version <= s.version() {
 		return
 	}
 	select {
 	case s.heard <- name:
-	default: // Another peer that has a newer one is asked already.
+	default: // Another peer with a newer version is about to be asked.
 	}
 }
 
-// give answers a peer's question.
-func (s *settings) give(ask proto.SettingsAsk) proto.Settings {
+// respond answers a peer's request with the configuration, if it is newer than the peer's.
+func (s *settings) give(request proto.SettingsAsk) proto.Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.config.Load()
-	if c == nil || c.Version <= ask.Have {
+	if c == nil || c.Version <= request.Have {
 		return proto.Settings{}
 	}
 	return proto.Settings{Version: c.Version, Data: s.data}
 }
 
-// version returns the version in force, zero if there is none.
+// version returns the version of the configuration in force, or zero if there is none.
 func (s *settings) version() uint64 {
 	if c := s.config.Load(); c != nil {
 		return c.Version
@@ -136,30 +138,31 @@
 	return 0
 }
 
-// take puts a configuration in force if it is newer.
+// apply puts a configuration in force if it is newer than the present one.
 func (s *settings) take(key string, data []byte, from string) {
 	if key != s.node.Codec.ConfigKey() {
 		return
 	}
 	config, err := s.node.Codec.Config(data)
 	if err != nil {
-		s.node.Log.Error("configuration refused", zap.String("from", from), zap.Error(err))
+		s.node.Log.Error("configuration cannot be decoded; keeping the present one", zap.String("from", from), zap.Error(err))
 		return
 	}
 	if !s.replace(config, data) {
 		return
 	}
-	s.node.Log.Info("configuration in force", zap.Uint64("version", config.Version), zap.String("from", from),
+	s.node.Log.Info("configuration applied", zap.Uint64("version", config.Version), zap.String("from", from),
 		zap.Int("queues", len(config.Queues)), zap.Int("teams", len(config.Teams)))
 	if l := s.node.lead.Load(); l != nil {
 		l.post(func() { l.planner.SetConfig(config); l.wake() })
 	}
 }
 
+// replace stores a configuration and reports whether it is newer than the present one.
 func (s *settings) replace(config *winch.RegionConfig, data []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := s.config.Load(); now != nil && now.Version >= config.Version {
+	if present := s.config.Load(); present != nil && present.Version >= config.Version {
 		return false
 	}
 	s.data = data
