--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -1,5 +1,6 @@
-// Package member keeps an entry's view of the cell: which entries are live by
-// their heartbeats, how full their executors are, and the platform's VM list.
+// Package member maintains an entry's view of the cell, the set of entries that work together:
+// which of them are live according to their heartbeats, how loaded their executors are, and the
+// platform's list of VMs.
 package member
 
 import (
@@ -18,38 +19,39 @@
 )
 
 const (
-	// DefaultBeat is how often an entry sends its heartbeat.
+	// DefaultHeartbeatInterval is how often an entry sends its heartbeat.
 	DefaultBeat = time.Second
-	// beatsMissed is how many heartbeats may be missed before a peer counts as gone.
+	// maxMissedHeartbeats is for how many heartbeat intervals a peer may be unresponsive before it
+	// is removed from the view.
 	beatsMissed = 3
-	// listEvery is how often the platform's list is read.
+	// listInterval is how often the platform's list is read.
 	listEvery = time.Second
 	// listTimeout bounds one read of the list.
 	listTimeout = 2 * time.Second
 )
 
-// Peer is what is known of another entry.
+// Peer is another entry, with its last heartbeat and the time at which that arrived.
 type Peer struct {
 	Name string
 	Seen time.Time
 	Beat proto.Beat
 }
 
-// View is one consistent picture. It must not be changed.
+// View is a consistent snapshot of the cell. It must not be changed.
 type View struct {
 	Self    string
 	Domain  string
-	Leaving bool
-	// Peers holds the live peers only.
+	Leaving bool // Leaving says that this entry is shutting down.
+	// Peers holds the live peers, by name.
 	Peers map[string]Peer
 	VMs   []winch.VM
-	// Listed says that the platform's list was read at least once.
+	// Listed says that the platform's list has been read at least once.
 	Listed bool
 }
 
-// Home returns the entry that hands out an executor's slots: the same on all
-// entries with the same view, and moved only for the executors of an entry that
-// came or went. It is empty if no entry of the executor's domain is live.
+// Home returns the name of the home entry of an executor, the entry that assigns its slots, or ""
+// if no entry of the executor's domain is live. It uses rendezvous hashing: entries with the same
+// view agree, and when an entry joins or leaves, only the executors that it is the home of move.
 func (v *View) Home(vm winch.VM) string {
 	best, bestScore := "", uint64(0)
 	consider := func(name string) {
@@ -68,23 +70,24 @@
 	return best
 }
 
+// weight returns the rendezvous hash of an entry and a VM.
 func weight(entry, vm string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(entry + "\x00" + vm))
 	x := h.Sum64()
-	// FNV's high bits differ little between names that differ at the end only.
+	// Mixes the bits, since FNV's high bits differ little between names that differ only at the end.
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
 	return x
 }
 
-// OfRole returns the VMs of one role.
+// WithRole returns the VMs of one role.
 func (v *View) OfRole(role winch.Role) []winch.VM {
 	return slices.DeleteFunc(slices.Clone(v.VMs), func(vm winch.VM) bool { return vm.Role != role })
 }
 
-// Domains returns the failure domains that have a live entry, sorted.
+// Domains returns the failure domains that have live entries, sorted.
 func (v *View) Domains() []string {
 	out := []string{v.Domain}
 	for _, p := range v.Peers {
@@ -94,7 +97,7 @@
 	return slices.Compact(out)
 }
 
-// InDomain returns the live entries of a domain that are not leaving, sorted.
+// InDomain returns the names of the live entries of a domain that are not leaving, sorted.
 func (v *View) InDomain(domain string) []string {
 	var out []string
 	if v.Domain == domain && !v.Leaving {
@@ -109,8 +112,8 @@
 	return out
 }
 
-// Placer returns the entry that places work in a domain, as far as heartbeats
-// tell, and its epoch.
+// Placer returns the name of the entry that places work in a domain according to the heartbeat with
+// the highest epoch, and that epoch.
 func (v *View) Placer(domain string) (string, uint64) {
 	name, epoch := "", uint64(0)
 	for _, p := range v.Peers {
@@ -121,18 +124,19 @@
 	return name, epoch
 }
 
-// Keeper owns the view. Set the fields before Run.
+// Tracker maintains the view. Set the exported fields before calling Prepare and Run.
 type Keeper struct {
 	Self   string
 	Domain string
 	Every  time.Duration
 	Peers  winch.Peers
 	Lister winch.Lister
-	// Beat returns the heartbeat to send.
+	// Heartbeat returns the heartbeat to send.
 	Beat func(ctx context.Context) proto.Beat
-	// Changed is called after the set of live peers or the VM list has changed.
+	// OnChange is called after the set of live peers, whether one of them is leaving, or the VM
+	// list has changed.
 	Changed func()
-	// Heard is called after each heartbeat of a peer.
+	// OnHeartbeat is called after each heartbeat of a peer.
 	Heard   func(name string, beat proto.Beat)
 	Duty    *duty.Duty
 	Metrics metrics.Registry
@@ -145,76 +149,77 @@
 	view    atomic.Pointer[View]
 }
 
-// Prepare makes the keeper ready for Run.
-func (k *Keeper) Prepare() {
-	if k.Every == 0 {
-		k.Every = DefaultBeat
+// Prepare initializes the tracker. It has to be called before Run.
+func (t *Keeper) Prepare() {
+	if t.Every == 0 {
+		t.Every = DefaultBeat
 	}
-	if k.Metrics == nil {
-		k.Metrics = metrics.NewRegistry()
+	if t.Metrics == nil {
+		t.Metrics = metrics.NewRegistry()
 	}
-	if k.Duty == nil {
-		k.Duty = duty.New("Member", 0, k.Metrics)
+	if t.Duty == nil {
+		t.Duty = duty.New("Member", 0, t.Metrics)
 	}
-	k.peers = make(map[string]Peer)
-	k.publish()
+	t.peers = make(map[string]Peer)
+	t.publish()
 }
 
 // View returns the current view.
-func (k *Keeper) View() *View {
-	return k.view.Load()
+func (t *Keeper) View() *View {
+	return t.view.Load()
 }
 
-// Leave marks this entry as leaving; peers learn it with the next heartbeat,
-// which is sent at once.
-func (k *Keeper) Leave(ctx context.Context) {
-	k.leaving.Store(true)
-	_ = k.Duty.Do(ctx, k.publish)
-	k.Changed()
-	k.send(ctx)
+// Leave marks this entry as leaving and sends a heartbeat at once to notify the peers.
+func (t *Keeper) Leave(ctx context.Context) {
+	t.leaving.Store(true)
+	_ = t.Duty.Do(ctx, t.publish)
+	t.Changed()
+	t.send(ctx)
 }
 
-// Announce sends a heartbeat now.
-func (k *Keeper) Announce(ctx context.Context) {
-	k.send(ctx)
+// Announce sends a heartbeat at once.
+func (t *Keeper) Announce(ctx context.Context) {
+	t.send(ctx)
 }
 
-func (k *Keeper) publish() {
-	v := &View{Self: k.Self, Domain: k.Domain, Leaving: k.leaving.Load(), VMs: k.vms, Listed: k.listed}
-	v.Peers = make(map[string]Peer, len(k.peers))
-	for name, p := range k.peers {
+// publish replaces the view by a new snapshot.
+func (t *Keeper) publish() {
+	v := &View{Self: t.Self, Domain: t.Domain, Leaving: t.leaving.Load(), VMs: t.vms, Listed: t.listed}
+	v.Peers = make(map[string]Peer, len(t.peers))
+	for name, p := range t.peers {
 		v.Peers[name] = p
 	}
-	k.view.Store(v)
+	t.view.Store(v)
 }
 
-// Receive takes a heartbeat.
-func (k *Keeper) Receive(from string, beat proto.Beat) {
-	_ = k.Duty.Post(func() {
-		old, known := k.peers[from]
-		k.peers[from] = Peer{Name: from, Seen: time.Now(), Beat: beat}
-		k.publish()
+// Receive handles a peer's heartbeat.
+func (t *Keeper) Receive(from string, beat proto.Beat) {
+	_ = t.Duty.Post(func() {
+		old, known := t.peers[from]
+		t.peers[from] = Peer{Name: from, Seen: time.Now(), Beat: beat}
+		t.publish()
 		if !known || old.Beat.Leaving != beat.Leaving {
-			k.Changed()
+			t.Changed()
 		}
-		k.Heard(from, beat)
+		t.Heard(from, beat)
 	})
 }
 
-// Run sends heartbeats and drops silent peers until ctx ends. The list is read
-// by RunList, since a slow platform must not hold heartbeats up.
-func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(k.Every)
+// Run executes the tracker's duty and removes unresponsive peers until ctx ends. RunHeartbeats
+// sends heartbeats and RunList reads the VM list, so that a slow platform does not delay
+// heartbeats.
+func (t *Keeper) Run(ctx context.Context) {
+	ticker := time.NewTicker(t.Every)
 	defer ticker.Stop()
-	k.Duty.Every(ctx, ticker.C, k.prune)
+	t.Duty.Every(ctx, ticker.C, t.prune)
 }
 
-// RunBeats sends heartbeats until ctx ends.
-func (k *Keeper) RunBeats(ctx context.Context) {
-	ticker := time.NewTicker(k.Every)
+// RunHeartbeats sends heartbeats until ctx ends.
+func (t *Keeper) RunBeats(ctx context.Context) {
+	ticker := time.NewTicker(t.Every)
 	defer ticker.Stop()
 	for {
-		k.send(ctx)
+		t.send(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -223,37 +228,39 @@
 	}
 }
 
-func (k *Keeper) send(ctx context.Context) {
-	beat := k.Beat(ctx)
-	beat.Domain = k.Domain
-	beat.Leaving = k.leaving.Load()
-	for _, name := range k.Peers.Names() {
-		_ = k.Peers.Tell(name, proto.KindBeat, beat)
+// send sends a heartbeat to all peers.
+func (t *Keeper) send(ctx context.Context) {
+	beat := t.Beat(ctx)
+	beat.Domain = t.Domain
+	beat.Leaving = t.leaving.Load()
+	for _, name := range t.Peers.Names() {
+		_ = t.Peers.Tell(name, proto.KindBeat, beat)
 	}
 }
 
-func (k *Keeper) prune() {
-	limit := time.Now().Add(-beatsMissed * k.Every)
-	gone := false
-	for name, p := range k.peers {
-		if p.Seen.Before(limit) {
-			delete(k.peers, name)
-			gone = true
+// prune removes peers whose last heartbeat is too old.
+func (t *Keeper) prune() {
+	oldest := time.Now().Add(-beatsMissed * t.Every)
+	removed := false
+	for name, p := range t.peers {
+		if p.Seen.Before(oldest) {
+			delete(t.peers, name)
+			removed = true
 		}
 	}
-	if gone {
-		k.publish()
-		k.Changed()
+	if removed {
+		t.publish()
+		t.Changed()
 	}
 }
 
-// RunList reads the platform's list until ctx ends. While the platform is down
-// the last list stays in force.
-func (k *Keeper) RunList(ctx context.Context) {
+// RunList reads the platform's VM list periodically until ctx ends. While the platform is
+// unavailable, the last list remains in use.
+func (t *Keeper) RunList(ctx context.Context) {
 	ticker := time.NewTicker(listEvery)
 	defer ticker.Stop()
 	for {
-		k.readList(ctx)
+		t.readList(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -262,21 +269,22 @@
 	}
 }
 
-func (k *Keeper) readList(ctx context.Context) {
+// readList reads the VM list once and updates the view if the list has changed.
+func (t *Keeper) readList(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	list, version, err := k.Lister.VMs(callCtx, k.version)
+	list, version, err := t.Lister.VMs(callCtx, t.version)
 	if err != nil {
-		metrics.GetOrRegisterCounter("Member.ListFailed", k.Metrics).Inc(1)
+		metrics.GetOrRegisterCounter("Member.ListFailed", t.Metrics).Inc(1)
 		return
 	}
-	if version == k.version && k.listed {
+	if version == t.version && t.listed {
 		return
 	}
 	slices.SortFunc(list, func(a, b winch.VM) int { return cmp.Compare(a.ID, b.ID) })
-	_ = k.Duty.Do(ctx, func() {
-		k.vms, k.version, k.listed = list, version, true
-		k.publish()
-		k.Changed()
+	_ = t.Duty.Do(ctx, func() {
+		t.vms, t.version, t.listed = list, version, true
+		t.publish()
+		t.Changed()
 	})
 }
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -1,43 +1,43 @@
-// Package retry bounds how much work retries may add.
+// Package retry bounds the load that retries may add.
 package retry
 
 import "sync"
 
 const (
-	// ratio is the retries that each first attempt earns.
+	// retriesPerAttempt is how many retries each first attempt adds to the budget.
 	ratio = 0.1
-	// most bounds what is saved up.
+	// maxBudget bounds the retries that a budget may accumulate.
 	most = 10.0
 )
 
-// Key says whose budget it is.
+// Key identifies a budget.
 type Key struct {
 	Team, Class string
 }
 
-// Budgets holds a budget for each team and class. When everything fails,
-// retries without a budget multiply the load just when there is least room for
-// it, which shows as a short failure that does not end.
+// Budgets holds a retry budget for each team and class. Without a budget, retries multiply the
+// load while everything fails, when there is the least capacity for it, so that a short outage
+// does not end by itself.
 type Budgets struct {
 	mu   sync.Mutex
-	left map[Key]float64
+	left map[Key]float64 // remaining holds the retries left in each budget.
 }
 
-// Earn counts a first attempt.
+// Earn counts a first attempt. A new budget is half full.
 func (b *Budgets) Earn(k Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.left == nil {
 		b.left = make(map[Key]float64)
 	}
-	have, ok := b.left[k]
+	budget, ok := b.left[k]
 	if !ok {
-		have = most / 2
+		budget = most / 2
 	}
-	b.left[k] = min(most, have+ratio)
+	b.left[k] = min(most, budget+ratio)
 }
 
-// Spend takes one retry out of the budget and reports whether there was one.
+// Spend takes one retry out of a budget and reports whether there was one left.
 func (b *Budgets) Spend(k Key) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coord/route/route.go
+++ b/coord/route/route.go
@@ -1,4 +1,4 @@
-// Package route chooses the home entry that a call asks for a slot.
+// Package route chooses the entry from which a call requests a slot.
 package route
 
 import (
@@ -8,26 +8,28 @@
 	"plantainwinch/proto"
 )
 
+// candidate is an entry that has executors of the service.
 type choice struct {
 	name string
 	load proto.Load
-	near bool
+	near bool // near is set for an entry in the same failure domain.
 }
 
+// free returns the number of slots that are neither busy nor claimed by queued calls.
 func (c choice) free() int {
 	return c.load.Slots - c.load.Busy - c.load.Queued
 }
 
-// full returns how many calls there are for each slot.
+// utilization returns the number of calls per slot.
 func (c choice) full() float64 {
 	return float64(c.load.Busy+c.load.Queued) / float64(max(1, c.load.Slots))
 }
 
-// Pick returns the entry to ask for a slot of a service, or "" if no entry has
-// executors of it. This entry comes first if it has a slot free, since that
-// costs no hop; then the less loaded of two in the same failure domain, then of
-// two in other domains. If all are full, it is the one with the shortest queue
-// of two. Skip names entries that were asked already.
+// Pick returns the entry from which to request a slot of a service, or "" if no entry has executors
+// of it. This entry is preferred if it has a free slot, since that saves a network hop. Next come
+// entries with free slots in the same failure domain, then those in other domains; of each group
+// it takes the less loaded of two random entries. If no entry has a free slot, it takes the less
+// loaded of two random entries of all. The entries in skip have already been asked.
 func Pick(view *member.View, service string, own []proto.Load, skip map[string]bool, rnd *rand.Rand) string {
 	var near, far, all []choice
 	consider := func(name string, loads []proto.Load, isNear bool) {
@@ -65,6 +67,7 @@
 	return ""
 }
 
+// lessLoaded returns the name of the less loaded of two random entries of a group.
 func lesser(group []choice, rnd *rand.Rand) string {
 	a, b := group[rnd.IntN(len(group))], group[rnd.IntN(len(group))]
 	if b.full() < a.full() {
--- a/region/node.go
+++ b/region/node.go
@@ -93,9 +93,9 @@
 	back     broadcast    // storeBack is sent when the store answers again.
 	started  time.Time
 	yielded  atomic.Pointer[time.Time] // yielded is when this entry last yielded the office to a stronger one.
-	stopping atomic.Bool // stopping is set when Stop begins.
-	leaving  atomic.Bool // leaving is set once the office has been handed over.
-	// changed wakes the office after a change of the cell's records.
+	stopping atomic.Bool               // stopping is set when Stop begins.
+	leaving  atomic.Bool               // leaving is set once the office has been handed over.
+	// changed wakes the loop that takes the office after a change of the cell's records.
 	changed chan struct{}
 }
 
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -368,7 +368,7 @@
 	case proto.EventListed:
 		l.node.Log.Info("worker listed its runs", zap.String("worker", e.Worker), zap.Int("running", len(e.Running)), zap.Int("ended", len(e.Ended)))
 	case proto.EventLost:
-		l.node.Log.Info("worker lost; its lease has expired or it has restarted", zap.String("worker", e.Worker))
+		l.node.Log.Info("worker reported as lost", zap.String("worker", e.Worker))
 	case proto.EventNotStarted, proto.EventVanished:
 		l.node.Log.Info("run not started or no longer at its worker", zap.String("job", e.Task.Job), zap.Uint64("run", e.Run), zap.String("worker", e.Worker), zap.Stringer("result", e.Result))
 	}
