--- a/region/cell.go
+++ b/region/cell.go
@@ -29,7 +29,7 @@
 type cellView struct {
 	mu      sync.Mutex
 	members map[string]member // members holds the present records by node.
-	// lastRecords holds the last record of each node, also after its removal. endedBoots
+	// lastRecords holds the latest record of each node, also after its removal. endedBoots
 	// holds, by name, a time by which the boot had ended: another one listens at its address.
 	last  map[string]member
 	ended map[string]time.Time
@@ -251,7 +251,7 @@
 	gap  time.Duration // delay is the pause between calls.
 	// after is the revision after which changes are watched; at zero, all is read first.
 	after uint64
-	// onResponse, if set, is called after each call and says whether the store answered.
+	// onResponse, if set, is called after each call with whether the store responded.
 	answered func(ok bool)
 	// onSuccess, if set, is called after each answered call with the time at which the
 	// call was sent.
--- a/region/keys.go
+++ b/region/keys.go
@@ -35,7 +35,7 @@
 func keyCommand(id string) string  { return prefixCommands + id }
 func keyEnded(id string) string    { return prefixEnded + id }
 
-// jobPart says which part of a job a key holds.
+// jobPart identifies what a key holds of a job.
 type part int
 
 const (
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -97,7 +97,7 @@
 			return
 		}
 		if err != nil || report.Session != p.session {
-			l.node.Log.Info("session with keeper broken", zap.String("keeper", p.name), zap.Uint64("session", p.session.Number), zap.Error(err))
+			l.node.Log.Info("session with keeper ended unexpectedly", zap.String("keeper", p.name), zap.Uint64("session", p.session.Number), zap.Error(err))
 			break
 		}
 		p.stamp = report.Stamp
@@ -157,7 +157,8 @@
 	l.planner.Unready(ids)
 }
 
-// handleEvents handles a keeper's events. Those of an ended session are stale and dropped.
+// handleEvents handles what a keeper has reported. Reports of an ended session are stale and
+// dropped.
 func (l *lead) events(p *proxy, events []proto.KeepEvent) {
 	if l.proxies[p.name] != p {
 		return
