--- a/region/assign.go
+++ b/region/assign.go
@@ -11,7 +11,7 @@
 )
 
 // live returns the entries that can be keepers and use lanes at present.
-func (l *lead) live() map[string]member {
+func (l *leadership) live() map[string]member {
 	connected := make(map[string]bool)
 	for _, name := range l.node.Peers.Names() {
 		connected[name] = true
@@ -27,80 +27,80 @@
 
 // reassignSoon has the workers' keepers recomputed with the next decision. Hundreds of entries may
 // come and go at once, and each computation goes over all workers.
-func (l *lead) reassignSoon() {
-	l.assign = true
+func (l *leadership) reassignSoon() {
+	l.reassignPending = true
 	l.wake()
 }
 
 // reassign gives each worker a keeper: one of its own failure domain if there is one, so that a
 // partitioned domain keeps its work. A keeper is used once it is recorded in the roster.
-func (l *lead) reassign() {
+func (l *leadership) reassign() {
 	if l.closed {
 		return
 	}
-	l.assign, l.assigned = false, time.Now()
+	l.reassignPending, l.reassignedAt = false, time.Now()
 	live := l.live()
 	l.lanes.SetLanes(slices.Collect(maps.Keys(live)))
-	for name := range l.resting {
+	for name := range l.keeperBackoff {
 		delete(live, name)
 	}
 	for name, p := range l.proxies {
-		if _, ok := live[name]; !ok && !l.reached(name) {
+		if _, ok := live[name]; !ok && !l.reachable(name) {
 			l.dropKeeper(p)
 		}
 	}
 	l.chooseStandby(live)
 	held := l.planner.Held()
-	l.want(held, live)
-	l.endKeepers()
-	l.activate(held, live)
-	l.askEarlier()
-	l.awake()
+	l.chooseKeepers(held, live)
+	l.expireEndedKeepers()
+	l.activateKeepers(held, live)
+	l.askEarlierKeepers()
+	l.resumeResponsive()
 	l.wake()
 }
 
 // askEarlierKeepers opens a session with each entry that kept workers for the earlier planner and
 // keeps none now, so that it reports what it knows of them. An entry that is stopping has left the
 // list by then, but responds for two more seconds.
-func (l *lead) askEarlier() {
-	for _, w := range l.before {
-		if !l.asked[w.Keeper] && l.proxies[w.Keeper] == nil && l.reached(w.Keeper) {
+func (l *leadership) askEarlierKeepers() {
+	for _, w := range l.previousRoster {
+		if !l.askedKeepers[w.Keeper] && l.proxies[w.Keeper] == nil && l.reachable(w.Keeper) {
 			l.sendSet(w.Keeper)
 		}
-		l.asked[w.Keeper] = l.asked[w.Keeper] || l.proxies[w.Keeper] != nil
+		l.askedKeepers[w.Keeper] = l.askedKeepers[w.Keeper] || l.proxies[w.Keeper] != nil
 	}
 }
 
 // reachable reports whether messages can be sent to an entry, including one that is stopping. Such a
 // keeper keeps its workers until others have been recorded for them, and then reports until when its
 // leases run: it responds for two more seconds.
-func (l *lead) reached(name string) bool {
-	return !l.resting[name] && slices.Contains(l.node.Peers.Names(), name)
+func (l *leadership) reachable(name string) bool {
+	return !l.keeperBackoff[name] && slices.Contains(l.node.Peers.Names(), name)
 }
 
 // chooseKeepers chooses the keepers, and has them recorded where they differ from the roster.
-func (l *lead) want(held []winch.WorkerVM, live map[string]member) {
-	pools := newPools(live, l.busy()...)
+func (l *leadership) chooseKeepers(held []winch.WorkerVM, live map[string]member) {
+	pools := newKeeperPools(live, l.busyEntries()...)
 	wanted := make(map[string]rostered, len(held))
 	workers := make(map[string]int)
 	for _, vm := range held {
-		pools.add(l.wanted[vm.ID].Keeper)
+		pools.add(l.desired[vm.ID].Keeper)
 		workers[vm.Domain]++
 	}
 	pools.limit(workers)
 	for _, vm := range held {
-		if keeper := pools.choose(vm.Domain, l.wanted[vm.ID].Keeper); keeper != "" {
-			wanted[vm.ID] = l.entryOf(vm, keeper, l.turnOf(vm.ID, keeper))
+		if keeper := pools.choose(vm.Domain, l.desired[vm.ID].Keeper); keeper != "" {
+			wanted[vm.ID] = l.rosterRecord(vm, keeper, l.generationOf(vm.ID, keeper))
 		}
 	}
-	l.wanted = wanted
-	if !maps.EqualFunc(wanted, l.roster, sameEntry) {
+	l.desired = wanted
+	if !maps.EqualFunc(wanted, l.roster, sameRosterRecord) {
 		duty.Signal(l.rosterCh)
 	}
 }
 
 // busyEntries returns the entries with additional work: the planner and its standby.
-func (l *lead) busy() []string {
+func (l *leadership) busyEntries() []string {
 	out := []string{l.node.Name}
 	if l.standby != nil {
 		out = append(out, l.standby.name)
@@ -110,20 +110,20 @@
 
 // maxEarlierKeepers bounds the earlier keepers that are recorded for a worker. One without a name
 // stands for those left out, of which nothing can be learnt any more.
-const mostEarlier = 16
+const maxEarlierKeepers = 16
 
-func sameEntry(a, b rostered) bool {
+func sameRosterRecord(a, b rostered) bool {
 	return a.Keeper == b.Keeper && a.Turn == b.Turn && a.VM.Born == b.VM.Born && a.Settled == b.Settled && a.Bound == b.Bound && slices.Equal(a.Earlier, b.Earlier)
 }
 
 // generationOf returns the generation of a worker's assignment to a keeper: a new one if the keeper
 // has changed.
-func (l *lead) turnOf(worker, keeper string) uint64 {
-	if last := l.wanted[worker]; last.Keeper == keeper && last.Turn != 0 {
+func (l *leadership) generationOf(worker, keeper string) uint64 {
+	if last := l.desired[worker]; last.Keeper == keeper && last.Turn != 0 {
 		return last.Turn
 	}
-	l.turns++
-	return l.term*turnsPerTerm + l.turns
+	l.generations++
+	return l.term*generationsPerTerm + l.generations
 }
 
 // rosterRecord returns what is to be recorded for a worker. For one that does not respond, the record
@@ -131,18 +131,18 @@
 // again. Without that, if the planner and its standby were lost together, the next planner would have
 // to delay all other work until everything there has surely ended. The record is not complete before
 // it is known what an earlier planner started there.
-func (l *lead) entryOf(vm winch.WorkerVM, keeper string, turn uint64) rostered {
-	last := l.wanted[vm.ID]
+func (l *leadership) rosterRecord(vm winch.WorkerVM, keeper string, turn uint64) rostered {
+	last := l.desired[vm.ID]
 	out := rostered{VM: vm, Keeper: keeper, Address: last.Address, Turn: turn}
-	if !l.lapses.open[vm.ID] {
+	if !l.expiries.renewable[vm.ID] {
 		out.Earlier = last.Earlier
 	}
 	if last.Turn != turn {
 		out.Address = l.node.cell.addressOf(keeper)
 		if last.Keeper != "" {
 			out.Earlier = append(slices.Clone(out.Earlier), keeping{last.Keeper, last.Address, last.Turn})
-			if n := len(out.Earlier); n > mostEarlier {
-				out.Earlier = append([]keeping{{}}, out.Earlier[n-mostEarlier+1:]...)
+			if n := len(out.Earlier); n > maxEarlierKeepers {
+				out.Earlier = append([]keeping{{}}, out.Earlier[n-maxEarlierKeepers+1:]...)
 			}
 		}
 	}
@@ -155,19 +155,19 @@
 
 // resumeResponsive allows work again on workers that respond again and that the store surely does not
 // record as settled.
-func (l *lead) awake() {
+func (l *leadership) resumeResponsive() {
 	for id := range l.roster {
-		if unresponsive, responds := l.planner.Quiet(id); unresponsive && responds && !l.settled[id] && !l.mayBound[id] {
+		if unresponsive, responds := l.planner.Quiet(id); unresponsive && responds && !l.maybeSettled[id] && !l.maybeBound[id] {
 			l.planner.Awake(id)
 		}
 	}
 }
 
 // activateKeepers assigns workers to their recorded keepers.
-func (l *lead) activate(held []winch.WorkerVM, live map[string]member) {
+func (l *leadership) activateKeepers(held []winch.WorkerVM, live map[string]member) {
 	changed := make(map[string]bool)
 	for _, vm := range held {
-		name, turn := l.wanted[vm.ID].Keeper, l.wanted[vm.ID].Turn
+		name, turn := l.desired[vm.ID].Keeper, l.desired[vm.ID].Turn
 		recorded := l.roster[vm.ID]
 		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Turn != turn || recorded.VM.Born != vm.Born {
 			continue
@@ -177,8 +177,8 @@
 		}
 		if old := l.keepers[vm.ID]; old != "" {
 			changed[old] = true
-			l.lapses.moved(vm.ID, old, l.kept[vm.ID].Token, l.authority())
-			l.lapseNews = true
+			l.expiries.endAssignment(vm.ID, old, l.kept[vm.ID].Token, l.authority())
+			l.expiriesChanged = true
 			l.planner.Unready([]string{vm.ID})
 		}
 		changed[name] = true
@@ -188,21 +188,21 @@
 			Empty: l.planner.Empty(vm.ID),
 		})
 	}
-	l.dropKept(held, changed)
+	l.dropUnheld(held, changed)
 	for name := range changed {
 		l.sendSet(name)
 	}
 }
 
 // dropUnheld ends the assignments of workers that the planner no longer holds.
-func (l *lead) dropKept(vms []winch.WorkerVM, changed map[string]bool) {
+func (l *leadership) dropUnheld(vms []winch.WorkerVM, changed map[string]bool) {
 	held := make(map[string]bool)
 	for _, vm := range vms {
 		held[vm.ID] = true
 	}
 	for id, name := range l.keepers {
 		if !held[id] {
-			l.lapses.forget(id) // No run that the planner knows of is left there.
+			l.expiries.forget(id) // No run that the planner knows of is left there.
 			l.unkeep(id)
 			changed[name] = true
 		}
--- a/region/command.go
+++ b/region/command.go
@@ -26,7 +26,7 @@
 // readCommands reads the commands of the jobs that have not ended, once a takeover is done.
 // Keepers ask for them, and while the store is unresponsive or this failure domain is partitioned
 // no other source may be left.
-func (l *lead) readCommands(ctx context.Context) {
+func (l *leadership) readCommands(ctx context.Context) {
 	for duty.Pause(ctx, commandsPause); ctx.Err() == nil; duty.Pause(ctx, retryPause) {
 		values, _, err := l.node.Table.Read(ctx, prefixCommands)
 		if err != nil {
--- a/region/expiry.go
+++ b/region/expiry.go
@@ -13,101 +13,101 @@
 // guaranteed to have expired. That time is passed on when keepers and planners change: if each new one
 // counted it anew, it would never be reached while entries are stopped or killed one after the other,
 // and lasting tasks would stay down.
-type lapses struct {
+type leaseExpiries struct {
 	// earlier lists, by worker, the assignments before the current one.
-	past map[string][]holding
+	earlier map[string][]assignment
 	// renewable holds the workers whose current keeper may renew the lease.
-	open map[string]bool
+	renewable map[string]bool
 	// fixed holds the lease expiry of workers that responded to their current keeper and no longer do;
 	// the keeper renews nothing until it is ordered to.
-	shut map[string]time.Time
+	fixed map[string]time.Time
 	// unresponsive holds the workers that do not respond to their keeper.
-	mute map[string]bool
+	unresponsive map[string]bool
 }
 
 // assignment is an earlier assignment of a worker to a keeper.
-type holding struct {
+type assignment struct {
 	// token is zero for an assignment by an earlier planner; generation identifies it then.
-	token  uint64
-	turn   uint64
-	keeper string
+	token      uint64
+	generation uint64
+	keeper     string
 	// address is the keeper's address as recorded in the roster.
 	address string
 	// expiry is when the leases under the assignment are guaranteed to have expired.
-	lapse time.Time
+	expiry time.Time
 }
 
-func newLapses() lapses {
-	return lapses{
-		past: make(map[string][]holding), open: make(map[string]bool),
-		shut: make(map[string]time.Time), mute: make(map[string]bool),
+func newLeaseExpiries() leaseExpiries {
+	return leaseExpiries{
+		earlier: make(map[string][]assignment), renewable: make(map[string]bool),
+		fixed: make(map[string]time.Time), unresponsive: make(map[string]bool),
 	}
 }
 
 // add adds an assignment by an earlier planner.
-func (s *lapses) inherit(worker string, a holding) {
-	s.past[worker] = append(s.past[worker], a)
+func (s *leaseExpiries) add(worker string, a assignment) {
+	s.earlier[worker] = append(s.earlier[worker], a)
 }
 
 // markListed records that a worker has responded to its current keeper: all earlier keepers are fenced
 // off, and the current one is about to be allowed to renew the lease.
-func (s *lapses) listed(worker string) {
-	delete(s.past, worker)
-	s.back(worker)
+func (s *leaseExpiries) markListed(worker string) {
+	delete(s.earlier, worker)
+	s.markResponsive(worker)
 }
 
 // markResponsive records that a worker responds to its current keeper again.
-func (s *lapses) back(worker string) {
-	delete(s.shut, worker)
-	delete(s.mute, worker)
-	s.open[worker] = true
+func (s *leaseExpiries) markResponsive(worker string) {
+	delete(s.fixed, worker)
+	delete(s.unresponsive, worker)
+	s.renewable[worker] = true
 }
 
 // markUnresponsive records that a worker does not respond to its current keeper, under which leases
 // run for at most left.
-func (s *lapses) silent(worker string, left time.Duration) {
-	s.mute[worker] = true
-	if s.open[worker] {
-		delete(s.open, worker)
-		s.shut[worker] = time.Now().Add(left)
+func (s *leaseExpiries) markUnresponsive(worker string, left time.Duration) {
+	s.unresponsive[worker] = true
+	if s.renewable[worker] {
+		delete(s.renewable, worker)
+		s.fixed[worker] = time.Now().Add(left)
 	}
 }
 
 // endAssignment records that the current assignment of a worker ends. A keeper that could renew the
 // lease may go on for as long as it has authority; it may report an earlier expiry later.
-func (s *lapses) moved(worker, keeper string, token uint64, authority time.Duration) {
-	expiry, fixed := s.shut[worker]
-	if s.open[worker] {
+func (s *leaseExpiries) endAssignment(worker, keeper string, token uint64, authority time.Duration) {
+	expiry, fixed := s.fixed[worker]
+	if s.renewable[worker] {
 		expiry, fixed = time.Now().Add(keep.Surely(authority)), true
 	}
 	if fixed {
-		s.past[worker] = append(s.past[worker], holding{token: token, keeper: keeper, lapse: expiry})
+		s.earlier[worker] = append(s.earlier[worker], assignment{token: token, keeper: keeper, expiry: expiry})
 	}
-	delete(s.open, worker)
-	delete(s.shut, worker)
+	delete(s.renewable, worker)
+	delete(s.fixed, worker)
 }
 
 // applyRelease applies a keeper's report on an assignment that has ended, and reports whether the
 // leases expire earlier than was known.
-func (s *lapses) released(keeper string, e proto.KeepEvent) bool {
-	return s.shorten(e.Worker, time.Now().Add(e.Left), func(a holding) bool {
-		return a.token == e.Token || a.token == 0 && a.keeper == keeper && a.turn == e.Turn
+func (s *leaseExpiries) applyRelease(keeper string, e proto.KeepEvent) bool {
+	return s.shorten(e.Worker, time.Now().Add(e.Left), func(a assignment) bool {
+		return a.token == e.Token || a.token == 0 && a.keeper == keeper && a.generation == e.Turn
 	})
 }
 
 // endKeeper records that the leases of a keeper whose process is over expire at expiry. It reports
 // whether that is earlier than was known for a worker.
-func (s *lapses) ended(worker, keeper string, expiry time.Time) bool {
-	return s.shorten(worker, expiry, func(a holding) bool { return a.keeper == keeper })
+func (s *leaseExpiries) endKeeper(worker, keeper string, expiry time.Time) bool {
+	return s.shorten(worker, expiry, func(a assignment) bool { return a.keeper == keeper })
 }
 
 // shorten limits the matching earlier assignments of a worker to expiry, and reports whether any of
 // them would have expired later.
-func (s *lapses) shorten(worker string, expiry time.Time, matches func(holding) bool) bool {
+func (s *leaseExpiries) shorten(worker string, expiry time.Time, matches func(assignment) bool) bool {
 	shortened := false
-	for i, a := range s.past[worker] {
-		if matches(a) && expiry.Before(a.lapse) {
-			s.past[worker][i].lapse = expiry
+	for i, a := range s.earlier[worker] {
+		if matches(a) && expiry.Before(a.expiry) {
+			s.earlier[worker][i].expiry = expiry
 			shortened = true
 		}
 	}
@@ -115,30 +115,30 @@
 }
 
 // forget drops a worker whose work has surely ended.
-func (s *lapses) forget(worker string) {
-	delete(s.past, worker)
-	delete(s.mute, worker)
-	delete(s.open, worker)
-	delete(s.shut, worker)
+func (s *leaseExpiries) forget(worker string) {
+	delete(s.earlier, worker)
+	delete(s.unresponsive, worker)
+	delete(s.renewable, worker)
+	delete(s.fixed, worker)
 }
 
 // remaining returns how long leases under earlier assignments of a worker may still run.
-func (s *lapses) left(worker string) time.Duration {
+func (s *leaseExpiries) remaining(worker string) time.Duration {
 	left := time.Duration(0)
-	for _, a := range s.past[worker] {
-		left = max(left, time.Until(a.lapse))
+	for _, a := range s.earlier[worker] {
+		left = max(left, time.Until(a.expiry))
 	}
 	return left
 }
 
 // expiresIn returns after how long all leases at a worker have expired if nobody may renew them at
 // present, and zero if its keeper may.
-func (s *lapses) ends(worker string) time.Duration {
-	if s.open[worker] {
+func (s *leaseExpiries) expiresIn(worker string) time.Duration {
+	if s.renewable[worker] {
 		return 0
 	}
-	left := s.left(worker)
-	if expiry, fixed := s.shut[worker]; fixed {
+	left := s.remaining(worker)
+	if expiry, fixed := s.fixed[worker]; fixed {
 		left = max(left, time.Until(expiry))
 	}
 	return max(left, time.Millisecond)
@@ -146,20 +146,20 @@
 
 // updates returns until when work may run at the unresponsive workers whose leases nobody may renew at
 // present; with withoutContact, also at those that have not responded to their current keeper yet.
-func (s *lapses) told(keepers map[string]string, withoutContact bool) []proto.MirrorLapse {
+func (s *leaseExpiries) updates(keepers map[string]string, withoutContact bool) []proto.MirrorLapse {
 	var out []proto.MirrorLapse
-	for worker := range s.mute {
-		expiry, fixed := s.shut[worker]
-		if fixed || len(s.past[worker]) == 0 {
+	for worker := range s.unresponsive {
+		expiry, fixed := s.fixed[worker]
+		if fixed || len(s.earlier[worker]) == 0 {
 			out = append(out, proto.MirrorLapse{Worker: worker, Keeper: keepers[worker], Left: time.Until(expiry)})
 		}
 	}
-	for worker, list := range s.past {
-		if !s.mute[worker] && !withoutContact {
+	for worker, list := range s.earlier {
+		if !s.unresponsive[worker] && !withoutContact {
 			continue
 		}
 		for _, a := range list {
-			out = append(out, proto.MirrorLapse{Worker: worker, Keeper: a.keeper, Left: time.Until(a.lapse)})
+			out = append(out, proto.MirrorLapse{Worker: worker, Keeper: a.keeper, Left: time.Until(a.expiry)})
 		}
 	}
 	return out
@@ -167,87 +167,87 @@
 
 // inheritExpiries determines until when work of the earlier planner may run at its workers: as long as
 // its authority may last, or until the expiry that this entry was sent as its standby.
-func (l *lead) inheritLapses() {
-	latest := l.began.Add(barrier())
-	for id, w := range l.before {
+func (l *leadership) inheritExpiries() {
+	latest := l.startedAt.Add(barrier())
+	for id, w := range l.previousRoster {
 		expiry := latest
 		if at, seen := l.node.cell.termSeen(l.boundOf(w)); seen {
 			expiry = earlier(expiry, at.Add(barrier()))
 		}
 		if w.Left > 0 {
-			expiry = earlier(expiry, l.began.Add(w.Left))
+			expiry = earlier(expiry, l.startedAt.Add(w.Left))
 		}
-		if l.copiedLapses[id] == nil {
+		if l.copiedExpiries[id] == nil {
 			for _, k := range append([]keeping{{w.Keeper, w.Address, w.Turn}}, w.Earlier...) {
-				l.lapses.inherit(id, holding{turn: k.Turn, keeper: k.Keeper, address: k.Address, lapse: expiry})
+				l.expiries.add(id, assignment{generation: k.Turn, keeper: k.Keeper, address: k.Address, expiry: expiry})
 			}
 		}
-		l.lapses.past[id] = append(l.lapses.past[id], l.copiedLapses[id]...)
+		l.expiries.earlier[id] = append(l.expiries.earlier[id], l.copiedExpiries[id]...)
 	}
 }
 
 // expireEndedKeepers handles keepers whose successors have been seen. Those keepers can't be asked any
 // more, but a process that has ended renews nothing. So the authority that it had does not count, only
 // one lease from its end on.
-func (l *lead) endKeepers() {
-	for id, list := range l.lapses.past {
+func (l *leadership) expireEndedKeepers() {
+	for id, list := range l.expiries.earlier {
 		for _, a := range list {
 			l.noteEarlierBoot(a)
 			at, ended := l.node.cell.endedBy(a.keeper)
-			if ended && l.lapses.ended(id, a.keeper, at.Add(keep.Surely(leaseMost))) && l.lapses.mute[id] {
-				l.lapsed = append(l.lapsed, id)
+			if ended && l.expiries.endKeeper(id, a.keeper, at.Add(keep.Surely(leaseMost))) && l.expiries.unresponsive[id] {
+				l.changedExpiries = append(l.changedExpiries, id)
 			}
 		}
 	}
-	l.tellLapses()
+	l.sendExpiries()
 }
 
 // noteEarlierBoot notes that an earlier planner's keeper has ended if another boot, possibly this one,
 // is seen at its address.
-func (l *lead) noteEarlierBoot(a holding) {
+func (l *leadership) noteEarlierBoot(a assignment) {
 	switch {
 	case a.address == "" || a.keeper == l.node.Name:
 	case a.address == l.node.Address:
 		l.node.cell.noteEndedHere(a.keeper, l.node.started)
 	default:
-		l.node.cell.noteSuccessor(a.keeper, a.address, l.rosterRead)
+		l.node.cell.noteSuccessor(a.keeper, a.address, l.loadedRosterRevision)
 	}
 }
 
 // releaseAssignment handles a keeper's report on an ended assignment. It is more precise than the
 // assumed expiry, so it is passed on to the worker's current keeper unless the worker has responded to
 // that one: the current keeper may have to report it to the next planner.
-func (l *lead) letGo(keeper string, e proto.KeepEvent) {
-	if l.lapses.released(keeper, e) && !l.lapses.open[e.Worker] {
-		l.lapsed = append(l.lapsed, e.Worker)
+func (l *leadership) releaseAssignment(keeper string, e proto.KeepEvent) {
+	if l.expiries.applyRelease(keeper, e) && !l.expiries.renewable[e.Worker] {
+		l.changedExpiries = append(l.changedExpiries, e.Worker)
 	}
 }
 
 // applyExpiryEvent updates the lease expiries with an event of a worker's current assignment.
-func (l *lead) lapseEvent(e proto.KeepEvent) {
+func (l *leadership) applyExpiryEvent(e proto.KeepEvent) {
 	switch e.Kind {
 	case proto.EventListed:
-		l.lapses.listed(e.Worker)
+		l.expiries.markListed(e.Worker)
 		l.allowRenewal(e)
 	case proto.EventBack:
-		l.lapses.back(e.Worker)
+		l.expiries.markResponsive(e.Worker)
 		l.allowRenewal(e)
 	case proto.EventSilent:
-		l.lapses.silent(e.Worker, e.Left)
-		l.lapsed = append(l.lapsed, e.Worker)
+		l.expiries.markUnresponsive(e.Worker, e.Left)
+		l.changedExpiries = append(l.changedExpiries, e.Worker)
 	}
 }
 
 // allowRenewal lets a worker's keeper renew the lease. If a standby may know an expiry of that lease,
 // it is told first that the expiry no longer holds: otherwise it would start the work a second time
 // after taking over.
-func (l *lead) allowRenewal(e proto.KeepEvent) {
-	if l.recorded {
+func (l *leadership) allowRenewal(e proto.KeepEvent) {
+	if l.runsRecorded {
 		return // The time at which the leases there expire is recorded.
 	}
 	o := proto.Order{Kind: proto.OrderRenew, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
-	if l.mayBound[e.Worker] {
-		l.renewals[e.Worker] = o
+	if l.maybeBound[e.Worker] {
+		l.pendingRenewals[e.Worker] = o
 		l.reassignSoon()
 		return
 	}
@@ -255,10 +255,10 @@
 }
 
 // sendRenewal sends an order to renew once the standby uses no earlier expiry of the worker.
-func (l *lead) sendRenewal(o proto.Order) {
-	if l.words[o.Worker] {
-		l.queued = append(l.queued, o)
-		l.lapseNews = true
+func (l *leadership) sendRenewal(o proto.Order) {
+	if l.standbyExpiries[o.Worker] {
+		l.queuedOrders = append(l.queuedOrders, o)
+		l.expiriesChanged = true
 		return
 	}
 	l.send([]proto.Order{o})
@@ -267,39 +267,39 @@
 // refreshStandby sends the expiries of unresponsive workers to the standby again before its copy becomes
 // stale. If no standby can be reached, all copies are stale after a while. Then renewals that wait for
 // an acknowledgement go out: if the store were down as well, the leases would expire otherwise.
-func (l *lead) keepWords() {
-	if len(l.lapses.mute) > 0 && time.Since(l.wordsAt) > wordAgain {
-		l.lapseNews = true
-		l.pump()
+func (l *leadership) refreshStandby() {
+	if len(l.expiries.unresponsive) > 0 && time.Since(l.expiriesSentAt) > expiriesInterval {
+		l.expiriesChanged = true
+		l.sendQueued()
 	}
-	if len(l.words) == 0 || time.Since(l.wordsHeard) < wordTime+wordMargin {
+	if len(l.standbyExpiries) == 0 || time.Since(l.standbyAnsweredAt) < expiriesLifetime+expiriesMargin {
 		return
 	}
-	l.words, l.acked, l.lapseNews = make(map[string]bool), nil, true
-	waiting := slices.Concat(l.queued, l.told)
+	l.standbyExpiries, l.ackedExpiries, l.expiriesChanged = make(map[string]bool), nil, true
+	waiting := slices.Concat(l.queuedOrders, l.mirroredOrders)
 	renews := func(o proto.Order) bool { return o.Kind == proto.OrderRenew }
 	starts := func(o proto.Order) bool { return !renews(o) }
-	l.queued = slices.DeleteFunc(l.queued, renews)
-	l.told = slices.DeleteFunc(l.told, renews)
+	l.queuedOrders = slices.DeleteFunc(l.queuedOrders, renews)
+	l.mirroredOrders = slices.DeleteFunc(l.mirroredOrders, renews)
 	l.send(slices.DeleteFunc(waiting, starts))
 }
 
 // sendExpiries passes changed expiries on: those under earlier assignments to the workers' current
 // keepers, and all to the standby.
-func (l *lead) tellLapses() {
-	if len(l.lapsed) == 0 {
+func (l *leadership) sendExpiries() {
+	if len(l.changedExpiries) == 0 {
 		return
 	}
 	keepers := make(map[string]bool)
-	for _, id := range l.lapsed {
-		if len(l.lapses.past[id]) > 0 && l.proxies[l.keepers[id]] != nil {
+	for _, id := range l.changedExpiries {
+		if len(l.expiries.earlier[id]) > 0 && l.proxies[l.keepers[id]] != nil {
 			keepers[l.keepers[id]] = true
 		}
 	}
-	l.lapsed = nil
+	l.changedExpiries = nil
 	for name := range keepers {
 		l.sendSet(name)
 	}
-	l.lapseNews = true
-	l.pump()
+	l.expiriesChanged = true
+	l.sendQueued()
 }
--- a/region/expiry_test.go
+++ b/region/expiry_test.go
@@ -12,7 +12,7 @@
 
 // workerKeptBy returns a worker with work and its keeper: the planner's own entry, or one that is
 // neither planner nor standby.
-func (w *world) keptBy(p *simNode, own bool) (worker string, keeper *simNode) {
+func (w *world) workerKeptBy(p *simNode, own bool) (worker string, keeper *simNode) {
 	l := p.node.lead.Load()
 	_ = l.duty.Do(w.ctx, func() {
 		for id, name := range l.keepers {
@@ -51,13 +51,13 @@
 // A worker leaves, and a moment later its keeper is killed for good, so the keeper never reports until
 // when the worker's lease runs. The planner knows since when the worker was unresponsive, and that
 // nothing was renewed after that; it must not wait as long as for a keeper that may still renew.
-func TestKeeperIsKilledAfterItsWorkerIsGone(t *testing.T) {
+func TestKeeperIsKilledAfterItsWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{2500 * time.Millisecond, 3500 * time.Millisecond, 4500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			w := lastingWorld(t, 31)
-			worker, keeper := w.keptBy(w.planner(), false)
+			worker, keeper := w.workerKeptBy(w.planner(), false)
 			w.leave(worker)
 			time.Sleep(after)
 			keeper.kill()
@@ -69,14 +69,14 @@
 // A worker leaves, and a moment later the planner, which is also its keeper, is killed. Its standby
 // was sent the expiry of the worker's lease. The standby must not count the lost planner's maximum
 // authority from its own start: lasting tasks would be down for twice as long.
-func TestPlannerIsKilledAfterItsWorkerIsGone(t *testing.T) {
+func TestPlannerIsKilledAfterItsWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{2500 * time.Millisecond, 3500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			w := lastingWorld(t, 32)
 			p := w.planner()
-			worker, _ := w.keptBy(p, true)
+			worker, _ := w.workerKeptBy(p, true)
 			w.leave(worker)
 			time.Sleep(after)
 			p.kill()
@@ -88,13 +88,13 @@
 // A worker is unresponsive for two seconds, so the standby was sent the expiry of its lease, and
 // then it responds again. Its keeper and the planner are killed soon after. The work there goes on
 // under a renewed lease, and a standby that used the old expiry would start it a second time.
-func TestWorkerAnswersAgainBeforePlannerAndKeeperAreKilled(t *testing.T) {
+func TestWorkerRespondsAgainBeforePlannerAndKeeperAreKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := lastingWorld(t, 33)
 		p := w.planner()
-		worker, keeper := w.keptBy(p, false)
+		worker, keeper := w.workerKeptBy(p, false)
 		w.silence(worker, true)
 		time.Sleep(2500 * time.Millisecond)
 		w.silence(worker, false)
@@ -113,45 +113,45 @@
 // The expiry of earlier leases is bounded by what each assignment may have granted: the longest
 // counts, a keeper's report replaces what was assumed of that assignment alone, and a keeper that
 // never had contact with the worker adds nothing.
-func TestLapsesOfEarlierHoldings(t *testing.T) {
+func TestLeaseExpiriesOfEarlierAssignments(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newLapses()
-		s.inherit("w", holding{keeper: "a", turn: 2, lapse: time.Now().Add(8 * time.Second)})
-		is.Equal(s.left("w"), 8*time.Second)
-		s.moved("w", "b", 5, 7*time.Second) // It never listed the worker's runs.
-		is.Equal(s.left("w"), 8*time.Second)
-		is.True(!s.released("b", proto.KeepEvent{Worker: "w", Token: 5, Left: time.Second}))
+		s := newLeaseExpiries()
+		s.add("w", assignment{keeper: "a", generation: 2, expiry: time.Now().Add(8 * time.Second)})
+		is.Equal(s.remaining("w"), 8*time.Second)
+		s.endAssignment("w", "b", 5, 7*time.Second) // It never listed the worker's runs.
+		is.Equal(s.remaining("w"), 8*time.Second)
+		is.True(!s.applyRelease("b", proto.KeepEvent{Worker: "w", Token: 5, Left: time.Second}))
 		// Other keepers had the worker since.
-		is.True(!s.released("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second}))
-		is.True(s.released("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 2, Left: 4 * time.Second}))
-		is.Equal(s.left("w"), 4*time.Second)
+		is.True(!s.applyRelease("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second}))
+		is.True(s.applyRelease("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 2, Left: 4 * time.Second}))
+		is.Equal(s.remaining("w"), 4*time.Second)
 		time.Sleep(time.Second)
-		is.Equal(s.left("w"), 3*time.Second)
+		is.Equal(s.remaining("w"), 3*time.Second)
 
-		s.listed("w")
-		is.Equal(s.left("w"), time.Duration(0))
-		s.moved("w", "c", 9, 7*time.Second) // It could renew until its authority ends.
-		is.True(s.left("w") > 7*time.Second)
-		is.True(s.released("c", proto.KeepEvent{Worker: "w", Token: 9, Left: 2 * time.Second}))
-		is.Equal(s.left("w"), 2*time.Second)
+		s.markListed("w")
+		is.Equal(s.remaining("w"), time.Duration(0))
+		s.endAssignment("w", "c", 9, 7*time.Second) // It could renew until its authority ends.
+		is.True(s.remaining("w") > 7*time.Second)
+		is.True(s.applyRelease("c", proto.KeepEvent{Worker: "w", Token: 9, Left: 2 * time.Second}))
+		is.Equal(s.remaining("w"), 2*time.Second)
 
-		s.listed("w")
-		s.silent("w", 5*time.Second)
+		s.markListed("w")
+		s.markUnresponsive("w", 5*time.Second)
 		time.Sleep(time.Second)
-		s.moved("w", "d", 11, 7*time.Second) // It renewed nothing after that report.
-		is.Equal(s.left("w"), 4*time.Second)
-		is.Equal(len(s.told(nil, false)), 1)
-		s.back("w")
-		is.Equal(len(s.told(nil, false)), 0)
+		s.endAssignment("w", "d", 11, 7*time.Second) // It renewed nothing after that report.
+		is.Equal(s.remaining("w"), 4*time.Second)
+		is.Equal(len(s.updates(nil, false)), 1)
+		s.markResponsive("w")
+		is.Equal(len(s.updates(nil, false)), 0)
 	})
 }
 
 // A planner that cannot reach its standby renews, after a while, leases whose expiry it had sent to
 // the standby. So the standby uses what it was sent for a short time only. That time counts from one of
 // the standby's own responses, since a message may wait for seconds before it is read.
-func TestStandbyGoesByNoOldWord(t *testing.T) {
+func TestStandbyIgnoresStaleExpiries(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -166,10 +166,10 @@
 			}
 			out, whole := m.claim(2)
 			is.True(whole)
-			return len(out.lapses)
+			return len(out.expiries)
 		}
 		is.Equal(claimed(0, false), 0) // The age of the message is not known.
 		is.Equal(claimed(time.Second, true), 1)
-		is.Equal(claimed(wordTime+time.Millisecond, true), 0)
+		is.Equal(claimed(expiriesLifetime+time.Millisecond, true), 0)
 	})
 }
--- a/region/handover.go
+++ b/region/handover.go
@@ -16,35 +16,35 @@
 const (
 	// handOverTimeout bounds the handing over of the office at a planned stop. A slow store takes 0.3
 	// s for each call; the process may go on for several seconds.
-	handOverTime = 2500 * time.Millisecond
+	handOverTimeout = 2500 * time.Millisecond
 	// maxHandOverCommits bounds the transactions that write records at a planned stop.
-	commitsAtEnd = 3
+	maxHandOverCommits = 3
 	// strongShare is the fraction of the largest processor share from which on an entry counts as able
 	// to plan for the region. A planner on a VM with a quarter of the processor decided too late on
 	// everything for as long as it held the office.
-	strongPart = 0.5
+	strongShare = 0.5
 	// weakYieldDelay is how long a planner on a weak VM serves before it yields the office.
-	yieldAfter = 1500 * time.Millisecond
+	weakYieldDelay = 1500 * time.Millisecond
 	// stuckYieldDelay is when it yields the office without a standby. A strong planner has contact
 	// with all workers within a second.
-	stuckAfter = 2500 * time.Millisecond
+	stuckYieldDelay = 2500 * time.Millisecond
 )
 
 // handOver gives the office up: nothing more is started, and the end of the lease notifies the other
 // entries. If the standby knows all runs, nothing else is needed: workers list again what is not
 // recorded yet, and each further call to a slow store would only delay the next start. Without such a
 // standby, completions and running work are recorded first.
-func (l *lead) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTime)
+func (l *leadership) handOver(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	_ = l.duty.Do(ctx, func() {
 		l.closed = true
-		l.lapseNews = true // The standby gets the expiries of workers without contact, too.
+		l.expiriesChanged = true // The standby gets the expiries of workers without contact, too.
 		l.dispatch()
-		l.pump()
+		l.sendQueued()
 	})
-	mirrored := l.mirrored(ctx)
-	for range commitsAtEnd {
+	mirrored := l.awaitMirror(ctx)
+	for range maxHandOverCommits {
 		if mirrored && !l.crashesUnrecorded(ctx) || !l.commit(ctx) {
 			break
 		}
@@ -65,42 +65,42 @@
 
 // crashesUnrecorded reports whether crashes have been counted that are not in the store yet: the next
 // planner would count them again.
-func (l *lead) crashesUnrecorded(ctx context.Context) (yes bool) {
+func (l *leadership) crashesUnrecorded(ctx context.Context) (yes bool) {
 	_ = l.duty.Do(ctx, func() { yes = len(l.planner.Unrecorded()) > 0 }) // An error means that the leadership is over.
 	return yes
 }
 
 // awaitMirror waits for the standby's pending response, and reports whether the standby then knows all
 // runs and is named by the store.
-func (l *lead) mirrored(ctx context.Context) bool {
+func (l *leadership) awaitMirror(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		var pending, covered bool
 		if l.duty.Do(ctx, func() {
-			pending, covered = l.mirroring, l.covered()
+			pending, covered = l.mirrorPending, l.covered()
 		}) != nil {
 			return false
 		}
 		if !pending {
 			return covered
 		}
-		duty.Pause(ctx, gatherTime)
+		duty.Pause(ctx, gatherDelay)
 	}
 	return false
 }
 
 // covered reports whether the standby knows all runs that were started, and is named by the store.
-func (l *lead) covered() bool {
+func (l *leadership) covered() bool {
 	s := l.standby
-	return s != nil && s.synced && l.named == s.name && len(l.mayName) == 0
+	return s != nil && s.synced && l.namedStandby == s.name && len(l.maybeNamed) == 0
 }
 
 // strong reports whether a processor share is large enough for planning, given the largest one.
 func strong(share, largest int) bool {
-	return float64(share) >= strongPart*float64(largest)
+	return float64(share) >= strongShare*float64(largest)
 }
 
 // maxShare returns the largest processor share of the entries.
-func mostShare(entries iter.Seq[member]) int {
+func maxShare(entries iter.Seq[member]) int {
 	largest := 0
 	for m := range entries {
 		largest = max(largest, m.Share)
@@ -112,17 +112,17 @@
 // weak and a strong one is live. The office goes to the standby if that is strong and knows all runs,
 // or to any entry if this one does not even get to know what runs. A planner does not yield in its
 // first moments, in which the keepers' sessions begin.
-func (l *lead) yield(live map[string]member) {
-	largest := mostShare(maps.Values(live))
-	weak := time.Since(l.began) >= yieldAfter && !strong(l.node.Share, largest)
+func (l *leadership) yield(live map[string]member) {
+	largest := maxShare(maps.Values(live))
+	weak := time.Since(l.startedAt) >= weakYieldDelay && !strong(l.node.Share, largest)
 	ready := l.covered() && strong(live[l.standby.name].Share, largest)
-	stuck := l.planner.Adopting() && time.Since(l.began) > stuckAfter
+	stuck := l.planner.Adopting() && time.Since(l.startedAt) > stuckYieldDelay
 	slow := ready && l.slow()
 	if !slow && !(weak && (ready || stuck)) {
 		return
 	}
 	l.node.Log.Info("yielding the office to a stronger or faster entry", zap.Bool("standby", ready),
-		zap.Duration("lag", l.lag.mean), zap.Duration("answered", l.answered))
+		zap.Duration("lag", l.lag.mean), zap.Duration("answered", l.mirrorRoundTrip))
 	now := time.Now()
 	l.node.yielded.Store(&now)
 	l.closed = true
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -14,14 +14,14 @@
 const (
 	// completionWait is how long the response for a job that may end soon waits for its completion: it
 	// takes some 20 ms from the end of a task until that is recorded, more under load.
-	endingWait = 60 * time.Millisecond
+	completionWait = 60 * time.Millisecond
 	// waitersCleanupInterval is how often requests that timed out waiting are forgotten.
-	endingForget = 10 * time.Second
+	waitersCleanupInterval = 10 * time.Second
 )
 
 // addJobs adds the jobs that the planner does not know yet, and returns the IDs of those of which the
 // store holds other records but no job record.
-func (l *lead) takeJobs(values []winch.Value) (orphans []string) {
+func (l *leadership) addJobs(values []winch.Value) (orphans []string) {
 	all := make(map[string]*stored)
 	for _, v := range values {
 		id, what := jobKey(v.Key)
@@ -55,14 +55,14 @@
 }
 
 // followJobs applies the jobs that are accepted or cancelled after the revision that was read.
-func (l *lead) followJobs(ctx context.Context) {
+func (l *leadership) followJobs(ctx context.Context) {
 	take := func(values []winch.Value) {
 		l.post(func() {
-			l.takeJobs(values)
+			l.addJobs(values)
 			l.wake()
 		})
 	}
-	l.node.follow(ctx, prefixJobs, pacing{gap: jobsGap, after: l.jobsAt}, take, func(events []winch.Event) {
+	l.node.follow(ctx, prefixJobs, pacing{gap: jobsPollInterval, after: l.jobsRevision}, take, func(events []winch.Event) {
 		var values []winch.Value
 		for _, e := range events {
 			if !e.Deleted {
@@ -74,12 +74,12 @@
 }
 
 // applyNotification applies an entry's notification: accepted jobs or a cancellation.
-func (l *lead) take(body any) {
+func (l *leadership) applyNotification(body any) {
 	l.post(func() {
 		switch m := body.(type) {
 		case proto.Accepted:
 			for _, a := range m.Jobs {
-				if a.Revision <= l.jobsAt {
+				if a.Revision <= l.jobsRevision {
 					continue // It was read from the store, or had ended by then.
 				}
 				if a.Command != "" {
@@ -99,22 +99,22 @@
 // state returns the known state of a job. Callers often ask just as the last task ends, a moment
 // before that is recorded and may be reported; with an immediate response they would learn of it only
 // when they ask again. So the response for a job that may end soon waits briefly.
-func (l *lead) state(ctx context.Context, id string) proto.StateGive {
+func (l *leadership) state(ctx context.Context, id string) proto.StateGive {
 	var resp proto.StateGive
 	var ended chan struct{}
 	if l.duty.Do(ctx, func() {
-		if l.valid.Load().left() <= -staleTime {
+		if l.validity.Load().remaining() <= -maxOfficeOverrun {
 			return
 		}
 		resp.State, resp.Known = l.planner.State(id)
 		if l.planner.Ending(id) {
 			ended = make(chan struct{})
-			l.asking[id] = append(l.asking[id], ended)
+			l.stateWaiters[id] = append(l.stateWaiters[id], ended)
 		}
 	}) != nil || ended == nil {
 		return resp // Without a response the caller reads the store.
 	}
-	timer := time.NewTimer(endingWait)
+	timer := time.NewTimer(completionWait)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -126,23 +126,23 @@
 }
 
 // stateNow returns the state that the planner has of a job.
-func (l *lead) stateNow(ctx context.Context, id string) (state winch.JobState, known bool) {
+func (l *leadership) stateNow(ctx context.Context, id string) (state winch.JobState, known bool) {
 	_ = l.duty.Do(ctx, func() { state, known = l.planner.State(id) })
 	return state, known
 }
 
 // notifyWaiters wakes the requests that wait for the end of a job.
-func (l *lead) tellAsking(id string) {
-	for _, ended := range l.asking[id] {
+func (l *leadership) notifyWaiters(id string) {
+	for _, ended := range l.stateWaiters[id] {
 		close(ended)
 	}
-	delete(l.asking, id)
+	delete(l.stateWaiters, id)
 }
 
 // dropWaiters forgets requests that timed out waiting for jobs that did not end.
-func (l *lead) dropAsking() {
-	if time.Since(l.askingAt) > endingForget {
-		l.askingAt = time.Now()
-		clear(l.asking)
+func (l *leadership) dropWaiters() {
+	if time.Since(l.waitersClearedAt) > waitersCleanupInterval {
+		l.waitersClearedAt = time.Now()
+		clear(l.stateWaiters)
 	}
 }
--- a/region/jobs_test.go
+++ b/region/jobs_test.go
@@ -11,7 +11,7 @@
 // A caller requests the state of its job just as the last task ends, a few milliseconds before that is
 // recorded. The fault was a response that the job runs: the caller asked again a quarter of a second
 // later.
-func TestCallerThatAsksAsItsJobEndsIsToldTheEnd(t *testing.T) {
+func TestStateRequestAtTheEndOfAJobReturnsTheFinalState(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -39,7 +39,7 @@
 }
 
 // The state of a job that has further phases or lasting tasks is returned at once.
-func TestStateOfAJobThatGoesOnIsToldAtOnce(t *testing.T) {
+func TestStateOfARunningJobIsReturnedAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -50,7 +50,7 @@
 		state, result := w.nodes["d0-0"].node.State(w.ctx, "00000000000000c2")
 		is.True(result.OK())
 		is.True(!state.Final())
-		is.True(time.Since(begin) < endingWait/2)
+		is.True(time.Since(begin) < completionWait/2)
 		w.end()
 	})
 }
--- a/region/keeperpools_test.go
+++ b/region/keeperpools_test.go
@@ -8,7 +8,7 @@
 )
 
 // domainEntries returns live entries of one failure domain.
-func entriesOf(count int) map[string]member {
+func domainEntries(count int) map[string]member {
 	live := make(map[string]member)
 	for i := range count {
 		name := fmt.Sprintf("e%02d", i)
@@ -18,7 +18,7 @@
 }
 
 // assignKeepers gives workers keepers and returns how many workers each keeper has.
-func keepersOf(p *pools, workers int, keepers map[int]string) map[string]int {
+func assignKeepers(p *keeperPools, workers int, keepers map[int]string) map[string]int {
 	for i := range workers {
 		p.add(keepers[i])
 	}
@@ -33,27 +33,27 @@
 
 // Without a limit every entry of a large failure domain keeps a few workers, and the planner has a
 // session with each.
-func TestKeepersAreAsManyAsTheirWorkersNeed(t *testing.T) {
+func TestNumberOfKeepersFollowsNumberOfWorkers(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(keepersOf(newPools(entriesOf(30)), 220, make(map[int]string))), 7)
-	is.Equal(len(keepersOf(newPools(entriesOf(30)), 10, make(map[int]string))), leastKeepers)
-	is.Equal(len(keepersOf(newPools(entriesOf(1)), 220, make(map[int]string))), 1)
+	is.Equal(len(assignKeepers(newKeeperPools(domainEntries(30)), 220, make(map[int]string))), 7)
+	is.Equal(len(assignKeepers(newKeeperPools(domainEntries(30)), 10, make(map[int]string))), minKeepers)
+	is.Equal(len(assignKeepers(newKeeperPools(domainEntries(1)), 220, make(map[int]string))), 1)
 }
 
 // Keepers must not change while those in place work: the workers that move get no starts meanwhile.
-func TestKeepersStayWhoTheyAre(t *testing.T) {
+func TestKeepersDoNotChangeWhenAnEntryJoins(t *testing.T) {
 	is := is.New(t)
-	live, keepers := entriesOf(30), make(map[int]string)
-	before := keepersOf(newPools(live), 220, keepers)
+	live, keepers := domainEntries(30), make(map[int]string)
+	before := assignKeepers(newKeeperPools(live), 220, keepers)
 	live["a-new"] = member{Name: "a-new", Domain: "d", Share: 800}
-	after := keepersOf(newPools(live), 220, keepers)
+	after := assignKeepers(newKeeperPools(live), 220, keepers)
 	is.Equal(after, before)
 }
 
 // If the planner's entry keeps workers, they compete with its other work.
 func TestBusyEntriesAreKeepersOnlyWhereOthersAreFew(t *testing.T) {
 	is := is.New(t)
-	count := keepersOf(newPools(entriesOf(4), "e00", "e01"), 40, make(map[int]string))
+	count := assignKeepers(newKeeperPools(domainEntries(4), "e00", "e01"), 40, make(map[int]string))
 	is.Equal(count["e00"]+count["e01"], 0)
-	is.Equal(len(keepersOf(newPools(entriesOf(2), "e00", "e01"), 40, make(map[int]string))), 2)
+	is.Equal(len(assignKeepers(newKeeperPools(domainEntries(2), "e00", "e01"), 40, make(map[int]string))), 2)
 }
--- a/region/lag.go
+++ b/region/lag.go
@@ -7,13 +7,13 @@
 
 const (
 	// lagHalfLife is how long it takes until half of a change of the lag shows in the mean.
-	lagHalf = 500 * time.Millisecond
+	lagHalfLife = 500 * time.Millisecond
 	// maxLag is the lag from which on a planner counts as too slow: each phase of an urgent job is
 	// delayed by that much.
-	lagMost = 150 * time.Millisecond
+	maxLag = 150 * time.Millisecond
 	// lagYieldDelay is how long a planner serves before it yields the office because of its lag: the
 	// extra work of a takeover is done by then.
-	lagAfter = 4 * time.Second
+	lagYieldDelay = 4 * time.Second
 )
 
 // lag measures how much later than scheduled the planner decides, as a moving average. On a VM that
@@ -32,7 +32,7 @@
 	late := max(0, now.Sub(l.due))
 	kept := 0.0
 	if !l.at.IsZero() {
-		kept = math.Exp2(-(now.Sub(l.at) + time.Millisecond).Seconds() / lagHalf.Seconds())
+		kept = math.Exp2(-(now.Sub(l.at) + time.Millisecond).Seconds() / lagHalfLife.Seconds())
 	}
 	l.mean = late + time.Duration(kept*float64(l.mean-late))
 	l.at = now
@@ -40,6 +40,6 @@
 
 // slow reports whether the planner decides much later than scheduled, and its standby, which responds
 // sooner, would not.
-func (l *lead) slow() bool {
-	return l.lag.mean > lagMost && time.Since(l.began) > lagAfter && l.covered() && l.answered < l.lag.mean
+func (l *leadership) slow() bool {
+	return l.lag.mean > maxLag && time.Since(l.startedAt) > lagYieldDelay && l.covered() && l.mirrorRoundTrip < l.lag.mean
 }
--- a/region/lag_test.go
+++ b/region/lag_test.go
@@ -10,7 +10,7 @@
 
 // The planner's VM becomes slow without stopping. Its lease is renewed all the while, and it decides a
 // third of a second late for as long as that lasts.
-func TestSlowPlannerGivesTheOfficeToItsStandby(t *testing.T) {
+func TestSlowPlannerYieldsTheOfficeToItsStandby(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -17,20 +17,20 @@
 const (
 	// mirrorTimeout bounds the standby's response. Starts wait for it, so a slow standby is dropped
 	// early.
-	mirrorTime = 400 * time.Millisecond
+	mirrorTimeout = 400 * time.Millisecond
 	// mirrorTimeoutPerRun is added to the timeout for each run in a message: the copy of all runs
 	// takes time on a slow link.
-	mirrorRunTime = 300 * time.Microsecond
+	mirrorTimeoutPerRun = 300 * time.Microsecond
 	// standbyRetryDelay is how long an entry that failed as standby is not tried again.
-	standbyRest = time.Second
+	standbyRetryDelay = time.Second
 	// standbyCheckInterval is how often the standby is compared with other entries.
-	standbyLook = 500 * time.Millisecond
+	standbyCheckInterval = 500 * time.Millisecond
 	// expiriesLifetime is how long a standby may use the expiries that it was sent: longer than it
 	// takes to replace a lost planner. expiriesInterval is how often they are sent again, and
 	// expiriesMargin is what the planner adds before it assumes that the standby no longer uses them.
-	wordTime   = 2100 * time.Millisecond
-	wordAgain  = 150 * time.Millisecond
-	wordMargin = 100 * time.Millisecond
+	expiriesLifetime = 2100 * time.Millisecond
+	expiriesInterval = 150 * time.Millisecond
+	expiriesMargin   = 100 * time.Millisecond
 )
 
 // mirror is the copy that an entry holds as standby of the planner: all runs that may exist at the
@@ -43,33 +43,33 @@
 	session uint64
 	runs    map[proto.MirrorRun]bool
 	// expiries holds the assignments under which leases may run at unresponsive workers.
-	lapses map[string][]holding
+	expiries map[string][]assignment
 	// lastContact is when the planner's last message was accepted.
-	heard time.Time
+	lastContact time.Time
 	// stampBase is the time of stamp zero; expiriesUntil is until when expiries may be used.
-	started time.Time
-	until   time.Time
+	stampBase     time.Time
+	expiriesUntil time.Time
 }
 
 // mirrorCopy is what a standby knows as it takes the office over: the runs of each worker, and until
 // when those at unresponsive workers may go on.
-type mirrored struct {
-	runs   map[string][]winch.Running
-	lapses map[string][]holding
+type mirrorCopy struct {
+	runs     map[string][]winch.Running
+	expiries map[string][]assignment
 }
 
 // answer applies a message and returns the acknowledgement.
 func (m *mirror) answer(msg proto.Mirror) proto.MirrorAck {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.started.IsZero() {
-		m.started = time.Now().Add(-time.Millisecond) // No stamp may be zero.
+	if m.stampBase.IsZero() {
+		m.stampBase = time.Now().Add(-time.Millisecond) // No stamp may be zero.
 	}
-	return proto.MirrorAck{OK: m.take(msg), Stamp: time.Since(m.started)}
+	return proto.MirrorAck{OK: m.apply(msg), Stamp: time.Since(m.stampBase)}
 }
 
 // apply applies a message and reports whether it was accepted. The caller holds the mutex.
-func (m *mirror) take(msg proto.Mirror) bool {
+func (m *mirror) apply(msg proto.Mirror) bool {
 	if msg.Term < m.term || msg.Term == m.term && msg.Session < m.session {
 		return false
 	}
@@ -80,7 +80,7 @@
 	if msg.Term != m.term || msg.Session != m.session || m.runs == nil {
 		return false
 	}
-	m.heard = time.Now()
+	m.lastContact = time.Now()
 	for _, r := range msg.Add {
 		m.runs[r] = true
 	}
@@ -88,42 +88,42 @@
 		delete(m.runs, r)
 	}
 	if !msg.Same {
-		m.lapses = make(map[string][]holding, len(msg.Lapses))
+		m.expiries = make(map[string][]assignment, len(msg.Lapses))
 	}
 	for _, e := range msg.Lapses {
-		m.lapses[e.Worker] = append(m.lapses[e.Worker], holding{keeper: e.Keeper, lapse: time.Now().Add(e.Left)})
+		m.expiries[e.Worker] = append(m.expiries[e.Worker], assignment{keeper: e.Keeper, expiry: time.Now().Add(e.Left)})
 	}
-	m.until = time.Time{}
+	m.expiriesUntil = time.Time{}
 	if msg.Stamp > 0 {
-		m.until = m.started.Add(msg.Stamp + wordTime)
+		m.expiriesUntil = m.stampBase.Add(msg.Stamp + expiriesLifetime)
 	}
 	return true
 }
 
 // active reports whether this entry is the standby of a planner that has lately sent a message.
-func (m *mirror) fresh() bool {
+func (m *mirror) active() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.runs != nil && time.Since(m.heard) < prefetchTime
+	return m.runs != nil && time.Since(m.lastContact) < prefetchTimeout
 }
 
 // claim ends the copying because this entry has taken the office for a term, and returns the runs by
 // worker if the copy is of the previous term. No message of an earlier planner is accepted any more,
 // so that planner can start nothing that this entry does not know of.
-func (m *mirror) claim(term uint64) (mirrored, bool) {
+func (m *mirror) claim(term uint64) (mirrorCopy, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	complete := m.runs != nil && m.term+1 == term
-	out := mirrored{runs: make(map[string][]winch.Running)}
-	if time.Now().Before(m.until) {
-		out.lapses = m.lapses
+	out := mirrorCopy{runs: make(map[string][]winch.Running)}
+	if time.Now().Before(m.expiriesUntil) {
+		out.expiries = m.expiries
 	}
 	if complete {
 		for r := range m.runs {
 			out.runs[r.Worker] = append(out.runs[r.Worker], winch.Running{Task: r.Task, Run: r.Run})
 		}
 	}
-	m.term, m.session, m.runs, m.lapses = term, 0, nil, nil
+	m.term, m.session, m.runs, m.expiries = term, 0, nil, nil
 	return out, complete
 }
 
@@ -146,11 +146,11 @@
 // another failure domain, so that a partition does not cut off both. It has to wait until all runs of
 // an earlier planner are known: with an incomplete copy the standby would start the missing ones
 // twice.
-func (l *lead) chooseStandby(live map[string]member) {
+func (l *leadership) chooseStandby(live map[string]member) {
 	if l.planner.Adopting() {
 		return
 	}
-	largest := mostShare(maps.Values(live))
+	largest := maxShare(maps.Values(live))
 	best := l.bestStandby(live, largest)
 	if s := l.standby; s != nil {
 		current, ok := live[s.name]
@@ -162,12 +162,12 @@
 	if best == "" {
 		return
 	}
-	l.mirrors++
-	l.standby = &standby{name: best, session: l.mirrors}
-	l.pump()
+	l.mirrorSessions++
+	l.standby = &standby{name: best, session: l.mirrorSessions}
+	l.sendQueued()
 }
 
-func (l *lead) bestStandby(live map[string]member, largest int) string {
+func (l *leadership) bestStandby(live map[string]member, largest int) string {
 	best := ""
 	better := func(a, b string) bool {
 		if b == "" {
@@ -182,7 +182,7 @@
 		return live[a].Share > live[b].Share || live[a].Share == live[b].Share && a < b
 	}
 	for name := range live {
-		if name != l.node.Name && time.Now().After(l.tired[name]) && better(name, best) {
+		if name != l.node.Name && time.Now().After(l.standbyBackoff[name]) && better(name, best) {
 			best = name
 		}
 	}
@@ -190,110 +190,110 @@
 }
 
 // dropStandby drops the standby. Starts wait until the store no longer names it.
-func (l *lead) dropStandby() {
+func (l *leadership) dropStandby() {
 	l.node.Log.Info("standby dropped", zap.String("standby", l.standby.name))
-	l.tired[l.standby.name] = time.Now().Add(standbyRest)
+	l.standbyBackoff[l.standby.name] = time.Now().Add(standbyRetryDelay)
 	l.standby = nil
-	l.removed = nil
-	l.queued = append(l.told, l.queued...)
-	l.told = nil
+	l.removedRuns = nil
+	l.queuedOrders = append(l.mirroredOrders, l.queuedOrders...)
+	l.mirroredOrders = nil
 	duty.Signal(l.standbyCh)
 }
 
 // releasable reports whether starts that the standby has acknowledged may be sent: the store names no
 // other entry that could take over as standby without them.
-func (l *lead) released() bool {
+func (l *leadership) releasable() bool {
 	mine := func(name string) bool {
 		return name == "" || l.standby != nil && l.standby.synced && name == l.standby.name
 	}
-	for name := range l.mayName {
+	for name := range l.maybeNamed {
 		if !mine(name) {
 			return false
 		}
 	}
-	return mine(l.named)
+	return mine(l.namedStandby)
 }
 
 // release sends the orders that the standby has acknowledged. Expiries that earlier standbys were sent
 // no longer matter.
-func (l *lead) release() {
-	if !l.released() {
+func (l *leadership) release() {
+	if !l.releasable() {
 		return
 	}
-	if !l.mirroring {
-		l.words = make(map[string]bool, len(l.acked))
-		maps.Copy(l.words, l.acked)
+	if !l.mirrorPending {
+		l.standbyExpiries = make(map[string]bool, len(l.ackedExpiries))
+		maps.Copy(l.standbyExpiries, l.ackedExpiries)
 	}
-	if len(l.told) == 0 {
+	if len(l.mirroredOrders) == 0 {
 		return
 	}
-	starts := l.told
-	l.told = nil
+	starts := l.mirroredOrders
+	l.mirroredOrders = nil
 	l.send(starts)
 }
 
 // sendQueued sends queued orders: after the standby's acknowledgement, or directly if the store surely
 // names no standby.
-func (l *lead) pump() {
-	if l.mirroring {
+func (l *leadership) sendQueued() {
+	if l.mirrorPending {
 		return
 	}
 	if l.standby == nil {
-		l.acked = nil // The next standby is sent all expiries again.
+		l.ackedExpiries = nil // The next standby is sent all expiries again.
 		l.planner.Gone()
-		l.told, l.queued = append(l.told, l.queued...), nil
+		l.mirroredOrders, l.queuedOrders = append(l.mirroredOrders, l.queuedOrders...), nil
 		l.release()
 		return
 	}
 	s := l.standby
 	for _, g := range l.planner.Gone() {
-		l.removed = append(l.removed, proto.MirrorRun{Worker: g.Worker, Task: g.Task, Run: g.Run})
+		l.removedRuns = append(l.removedRuns, proto.MirrorRun{Worker: g.Worker, Task: g.Task, Run: g.Run})
 	}
-	if s.synced && len(l.queued) == 0 && !l.lapseNews {
+	if s.synced && len(l.queuedOrders) == 0 && !l.expiriesChanged {
 		return // Runs that ended are sent with the next starts.
 	}
 	msg := proto.Mirror{
-		Term: l.term, Session: s.session, Full: !s.synced, Remove: l.removed,
-		Same: s.synced && !l.lapseNews, Stamp: s.stamp,
+		Term: l.term, Session: s.session, Full: !s.synced, Remove: l.removedRuns,
+		Same: s.synced && !l.expiriesChanged, Stamp: s.stamp,
 	}
 	if !msg.Same {
-		msg.Lapses = l.lapses.told(l.keepers, l.closed)
+		msg.Lapses = l.expiries.updates(l.keepers, l.closed)
 	}
 	if msg.Full {
 		msg.Add, msg.Remove = l.allRuns(), nil
 	} else {
-		for _, o := range l.queued {
+		for _, o := range l.queuedOrders {
 			if o.Kind == proto.OrderStart {
 				msg.Add = append(msg.Add, proto.MirrorRun{Worker: o.Worker, Task: o.Task, Run: o.Run})
 			}
 		}
 	}
 	for _, x := range msg.Lapses {
-		l.words[x.Worker] = true
+		l.standbyExpiries[x.Worker] = true
 	}
-	starts := l.queued
-	l.queued, l.removed, l.mirroring, l.lapseNews, l.wordsAt = nil, nil, true, false, time.Now()
-	l.group.Go(func() { l.tellMirror(s, msg, starts) })
+	starts := l.queuedOrders
+	l.queuedOrders, l.removedRuns, l.mirrorPending, l.expiriesChanged, l.expiriesSentAt = nil, nil, true, false, time.Now()
+	l.group.Go(func() { l.sendMirror(s, msg, starts) })
 }
 
-func (l *lead) tellMirror(s *standby, msg proto.Mirror, starts []proto.Order) {
-	ctx, cancel := context.WithTimeout(l.ctx, mirrorTime+time.Duration(len(msg.Add))*mirrorRunTime)
+func (l *leadership) sendMirror(s *standby, msg proto.Mirror, starts []proto.Order) {
+	ctx, cancel := context.WithTimeout(l.ctx, mirrorTimeout+time.Duration(len(msg.Add))*mirrorTimeoutPerRun)
 	defer cancel()
 	var ack proto.MirrorAck
 	sent := time.Now()
 	err := l.node.Peers.Ask(ctx, s.name, proto.KindMirror, msg, &ack)
 	took := time.Since(sent)
 	l.post(func() {
-		l.mirroring, l.answered = false, took
+		l.mirrorPending, l.mirrorRoundTrip = false, took
 		if err == nil {
-			l.wordsHeard, s.stamp = time.Now(), ack.Stamp
+			l.standbyAnsweredAt, s.stamp = time.Now(), ack.Stamp
 		}
 		if err != nil || !ack.OK || l.standby != s {
-			l.queued = append(starts, l.queued...)
+			l.queuedOrders = append(starts, l.queuedOrders...)
 			if l.standby == s {
 				l.dropStandby()
 			}
-			l.pump()
+			l.sendQueued()
 			return
 		}
 		if !s.synced {
@@ -301,19 +301,19 @@
 			duty.Signal(l.standbyCh)
 		}
 		if !msg.Same {
-			l.acked = make(map[string]bool, len(msg.Lapses))
+			l.ackedExpiries = make(map[string]bool, len(msg.Lapses))
 		}
 		for _, x := range msg.Lapses {
-			l.acked[x.Worker] = true
+			l.ackedExpiries[x.Worker] = true
 		}
-		l.told = append(l.told, starts...)
+		l.mirroredOrders = append(l.mirroredOrders, starts...)
 		l.release()
-		l.pump()
+		l.sendQueued()
 	})
 }
 
 // allRuns returns all runs that may exist, including those of queued starts.
-func (l *lead) allRuns() []proto.MirrorRun {
+func (l *leadership) allRuns() []proto.MirrorRun {
 	var out []proto.MirrorRun
 	for _, vm := range l.planner.Held() {
 		for _, r := range l.planner.RunsAt(vm.ID) {
@@ -327,7 +327,7 @@
 }
 
 // runStandby keeps the store's record of the standby up to date.
-func (l *lead) runStandby(ctx context.Context) {
+func (l *leadership) runStandby(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -335,7 +335,7 @@
 		case <-l.standbyCh:
 		}
 		for ctx.Err() == nil {
-			done, err := l.nameStandby(ctx)
+			done, err := l.recordStandby(ctx)
 			if err != nil {
 				l.node.Log.Info("recording the standby failed; retrying", zap.Error(err))
 				duty.Pause(ctx, retryPause/3)
@@ -349,7 +349,7 @@
 
 // recordStandby writes the record if it differs, and reports whether it is up to date. A write whose
 // response was lost may take effect until the record's revision has changed.
-func (l *lead) nameStandby(ctx context.Context) (bool, error) {
+func (l *leadership) recordStandby(ctx context.Context) (bool, error) {
 	name := ""
 	same := true
 	revisionBefore := uint64(0)
@@ -357,11 +357,11 @@
 		if l.standby != nil && l.standby.synced {
 			name = l.standby.name
 		}
-		same = name == l.named && len(l.mayName) == 0
+		same = name == l.namedStandby && len(l.maybeNamed) == 0
 		if !same {
-			l.mayName[name] = true
+			l.maybeNamed[name] = true
 		}
-		revisionBefore = l.namedAt
+		revisionBefore = l.namedRevision
 	}); err != nil || same {
 		return true, nil // The leadership is over, or nothing is to be written.
 	}
@@ -377,25 +377,25 @@
 		return false, err
 	}
 	l.node.Log.Info("standby recorded", zap.String("standby", name))
-	return false, l.nowNamed(ctx, name, revision)
+	return false, l.standbyNamed(ctx, name, revision)
 }
 
 // learnStandby applies the record that a write with a lost response has left.
-func (l *lead) learnStandby(ctx context.Context, v winch.Value) error {
+func (l *leadership) learnStandby(ctx context.Context, v winch.Value) error {
 	var r standbyRecord
 	if err := decode(v.Data, &r); err != nil {
 		return err
 	}
 	l.node.Log.Info("standby already recorded by a write with a lost response", zap.String("standby", r.Name))
-	return l.nowNamed(ctx, r.Name, v.Version)
+	return l.standbyNamed(ctx, r.Name, v.Version)
 }
 
 // standbyNamed records which standby the store names. No earlier write can change that any more.
-func (l *lead) nowNamed(ctx context.Context, name string, revision uint64) error {
+func (l *leadership) standbyNamed(ctx context.Context, name string, revision uint64) error {
 	return l.duty.Do(ctx, func() {
-		l.named, l.namedAt = name, revision
-		clear(l.mayName)
+		l.namedStandby, l.namedRevision = name, revision
+		clear(l.maybeNamed)
 		l.release()
-		l.pump()
+		l.sendQueued()
 	})
 }
--- a/region/named_test.go
+++ b/region/named_test.go
@@ -43,15 +43,15 @@
 		_ = l.duty.Do(w.ctx, func() {
 			second = l.standby.name
 			l.dropStandby()
-			l.tired = map[string]time.Time{} // No other standby is chosen meanwhile.
+			l.standbyBackoff = map[string]time.Time{} // No other standby is chosen meanwhile.
 			for name := range l.live() {
-				l.tired[name] = time.Now().Add(time.Hour)
+				l.standbyBackoff[name] = time.Now().Add(time.Hour)
 			}
 		})
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
 			released := true
-			_ = l.duty.Do(w.ctx, func() { released = l.released() })
+			_ = l.duty.Do(w.ctx, func() { released = l.releasable() })
 			is.True(!released)
 		}
 		is.True(strings.HasPrefix(second, "d"))
--- a/region/node.go
+++ b/region/node.go
@@ -87,7 +87,7 @@
 	keeper   *keep.Keeper
 	mirror   mirror
 	prefetch prefetch
-	lead     atomic.Pointer[lead]
+	lead     atomic.Pointer[leadership]
 	waiting  atomic.Pointer[waitingView]
 	heard    atomic.Int64 // lastContact is when the store last answered, in nanoseconds after started.
 	back     broadcast    // storeBack is sent when the store answers again.
--- a/region/office.go
+++ b/region/office.go
@@ -21,26 +21,26 @@
 	weakDelay = 600 * time.Millisecond
 	// yieldBackoff is how long an entry that yielded the office to a stronger one stays behind, so
 	// that it does not take the office back before the stronger one has noticed.
-	yieldRest = 2 * time.Second
+	yieldBackoff = 2 * time.Second
 	// officePollInterval is how often the office is checked if no change was reported.
-	officeLook = time.Second
+	officePollInterval = time.Second
 	// validityMargin is subtracted from the office's lease: work that is decided just before the lease
 	// expires still has to be sent.
-	validMargin = 150 * time.Millisecond
+	validityMargin = 150 * time.Millisecond
 )
 
 // runOffice takes the region's office, the planner's leadership lease in the store, whenever it is
 // free, until ctx ends.
 func (n *Node) runOffice(ctx context.Context) {
 	for ctx.Err() == nil {
-		n.endOffice(ctx)
+		n.endStaleOffice(ctx)
 		if n.mayTake() {
-			duty.Pause(ctx, n.turn())
+			duty.Pause(ctx, n.electionDelay())
 			if n.mayTake() {
 				n.tryOffice(ctx)
 			}
 		}
-		timer := time.NewTimer(officeLook)
+		timer := time.NewTimer(officePollInterval)
 		select {
 		case <-ctx.Done():
 		case <-n.changed:
@@ -60,7 +60,7 @@
 // endStaleOffice frees the office if an earlier process of this VM holds it, so that nobody waits for
 // its lease to expire. That process has ended, since it listened on the address on which this one
 // listens. Its standby takes over at once.
-func (n *Node) endOffice(ctx context.Context) {
+func (n *Node) endStaleOffice(ctx context.Context) {
 	n.cell.mu.Lock()
 	held, at := n.cell.office, n.cell.officeAt
 	n.cell.mu.Unlock()
@@ -77,17 +77,17 @@
 
 // electionDelay returns how long this entry leaves a free office to others: to those ranked before it,
 // and longer to those that can plan better.
-func (n *Node) turn() time.Duration {
+func (n *Node) electionDelay() time.Duration {
 	rank := n.rank()
 	wait := time.Duration(rank) * rankDelay
 	if rank == 0 {
 		return wait
 	}
-	if !strong(n.Share, mostShare(slices.Values(n.cell.list()))) {
+	if !strong(n.Share, maxShare(slices.Values(n.cell.list()))) {
 		wait += weakDelay
 	}
-	if yielded := n.yielded.Load(); yielded != nil && time.Since(*yielded) < yieldRest {
-		wait += yieldRest
+	if yielded := n.yielded.Load(); yielded != nil && time.Since(*yielded) < yieldBackoff {
+		wait += yieldBackoff
 	}
 	return wait
 }
@@ -139,14 +139,14 @@
 	n.Log.Info("office taken", zap.Uint64("term", mine.Term), zap.Uint64("revision", revision))
 	n.cell.take(winch.Event{Value: winch.Value{Key: keyOffice, Data: encode(mine), Version: revision}})
 	n.cell.take(winch.Event{Value: winch.Value{Key: keyTerm, Data: encode(mine), Version: revision}})
-	l := newLead(n, mine.Term, revision, lease, sent.Add(officeTTL))
-	l.last = lastTerm.Holder
-	l.prefetched = n.prefetch.take()
+	l := newLeadership(n, mine.Term, revision, lease, sent.Add(officeTTL))
+	l.lastHolder = lastTerm.Holder
+	l.prefetched = n.prefetch.result()
 	copied, complete := n.mirror.claim(mine.Term)
 	if complete && lastStandby.Term == lastTerm.Term && lastStandby.Name == n.Name {
 		n.Log.Info("taking over as standby of the last planner", zap.Uint64("term", mine.Term),
-			zap.Int("workers", len(copied.runs)), zap.Int("silent", len(copied.lapses)))
-		l.copied, l.copiedLapses = copied.runs, copied.lapses
+			zap.Int("workers", len(copied.runs)), zap.Int("silent", len(copied.expiries)))
+		l.copiedRuns, l.copiedExpiries = copied.runs, copied.expiries
 	}
 	l.run(ctx)
 	n.lead.CompareAndSwap(l, nil)
@@ -184,15 +184,15 @@
 // renewal was sent, on two clocks: the monotonic clock stands still while the VM is suspended, and the
 // time of day may be set.
 type validity struct {
-	steady time.Time
-	wall   time.Time
+	monotonic time.Time
+	wall      time.Time
 }
 
 func newValidity(until time.Time) validity {
-	return validity{steady: until, wall: until.Round(0)}
+	return validity{monotonic: until, wall: until.Round(0)}
 }
 
-func (v validity) left() time.Duration {
+func (v validity) remaining() time.Duration {
 	now := time.Now()
-	return min(v.steady.Sub(now), v.wall.Sub(now.Round(0))) - validMargin
+	return min(v.monotonic.Sub(now), v.wall.Sub(now.Round(0))) - validityMargin
 }
--- a/region/prefetch.go
+++ b/region/prefetch.go
@@ -17,29 +17,29 @@
 const (
 	// prefetchTimeout is how long after the planner's last message a standby goes on following the
 	// jobs. prefetchCheckInterval is how often that is checked.
-	prefetchTime = 30 * time.Second
-	prefetchLook = 200 * time.Millisecond
+	prefetchTimeout       = 30 * time.Second
+	prefetchCheckInterval = 200 * time.Millisecond
 )
 
 // prefixCopy is a copy of the values under a prefix as of a revision; the zero value means that
 // nothing was read.
-type copied struct {
-	values map[string]winch.Value
-	at     uint64
+type prefixCopy struct {
+	values   map[string]winch.Value
+	revision uint64
 }
 
-func (c *copied) list() []winch.Value {
+func (c *prefixCopy) list() []winch.Value {
 	return slices.Collect(maps.Values(c.values))
 }
 
-func (c *copied) reset(values []winch.Value, at uint64) {
-	c.values, c.at = make(map[string]winch.Value, len(values)), at
+func (c *prefixCopy) reset(values []winch.Value, at uint64) {
+	c.values, c.revision = make(map[string]winch.Value, len(values)), at
 	for _, v := range values {
 		c.values[v.Key] = v
 	}
 }
 
-func (c *copied) apply(events []winch.Event, at uint64) {
+func (c *prefixCopy) apply(events []winch.Event, at uint64) {
 	for _, e := range events {
 		if e.Deleted {
 			delete(c.values, e.Key)
@@ -47,24 +47,24 @@
 			c.values[e.Key] = e.Value
 		}
 	}
-	c.at = max(c.at, at)
+	c.revision = max(c.revision, at)
 }
 
 // catchUp reads what has changed since the copy's revision, up to the given revision, or all values if
 // the changes have been compacted. One response of the store may hold only some of the changes.
-func (c *copied) catchUp(ctx context.Context, table winch.Table, prefix string, until uint64) error {
+func (c *prefixCopy) catchUp(ctx context.Context, table winch.Table, prefix string, until uint64) error {
 	for {
 		changes, err := c.advance(ctx, table, prefix)
-		if err != nil || changes == 0 || c.at >= until {
+		if err != nil || changes == 0 || c.revision >= until {
 			return err
 		}
 	}
 }
 
 // advance reads one response of the store, and returns the number of changes in it.
-func (c *copied) advance(ctx context.Context, table winch.Table, prefix string) (int, error) {
-	if c.at != 0 {
-		events, at, err := table.Follow(ctx, prefix, c.at, 0)
+func (c *prefixCopy) advance(ctx context.Context, table winch.Table, prefix string) (int, error) {
+	if c.revision != 0 {
+		events, at, err := table.Follow(ctx, prefix, c.revision, 0)
 		if err == nil {
 			c.apply(events, at)
 			return len(events), nil
@@ -82,23 +82,23 @@
 
 // prefetched is what a standby has read of the jobs that have not ended.
 type prefetched struct {
-	jobs, progress copied
+	jobs, progress prefixCopy
 }
 
 // prefetch follows the jobs while this entry is standby, so that it need not read all of them during a
 // takeover.
 type prefetch struct {
 	mu   sync.Mutex
-	have prefetched
+	data prefetched
 }
 
 // run follows the jobs whenever this entry is standby, until ctx ends.
 func (p *prefetch) run(ctx context.Context, n *Node) {
 	for ctx.Err() == nil {
-		if n.mirror.fresh() {
+		if n.mirror.active() {
 			p.follow(ctx, n)
 		}
-		duty.Pause(ctx, prefetchLook)
+		duty.Pause(ctx, prefetchCheckInterval)
 	}
 }
 
@@ -108,23 +108,23 @@
 	defer cancel()
 	var group conc.WaitGroup
 	defer group.Wait()
-	for prefix, into := range map[string]*copied{prefixJobs: &p.have.jobs, prefixProgress: &p.have.progress} {
+	for prefix, into := range map[string]*prefixCopy{prefixJobs: &p.data.jobs, prefixProgress: &p.data.progress} {
 		group.Go(func() { p.followPrefix(ctx, n, prefix, into) })
 	}
-	for ctx.Err() == nil && n.mirror.fresh() {
-		duty.Pause(ctx, prefetchLook)
+	for ctx.Err() == nil && n.mirror.active() {
+		duty.Pause(ctx, prefetchCheckInterval)
 	}
 	cancel()
 	group.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.have = prefetched{}
+	p.data = prefetched{}
 }
 
-func (p *prefetch) followPrefix(ctx context.Context, n *Node, prefix string, into *copied) {
+func (p *prefetch) followPrefix(ctx context.Context, n *Node, prefix string, into *prefixCopy) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		next := copied{values: maps.Clone(into.values), at: into.at}
+		next := prefixCopy{values: maps.Clone(into.values), revision: into.revision}
 		p.mu.Unlock()
 		changes, err := next.advance(ctx, n.Table, prefix)
 		if err == nil && ctx.Err() == nil {
@@ -133,19 +133,19 @@
 			p.mu.Unlock()
 		}
 		if changes < manyEvents {
-			duty.Pause(ctx, jobsGap)
+			duty.Pause(ctx, jobsPollInterval)
 		}
 	}
 }
 
 // result returns a copy of what was read, or nil if it is not complete.
-func (p *prefetch) take() *prefetched {
+func (p *prefetch) result() *prefetched {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.have.jobs.at == 0 || p.have.progress.at == 0 {
+	if p.data.jobs.revision == 0 || p.data.progress.revision == 0 {
 		return nil
 	}
-	out := p.have
+	out := p.data
 	out.jobs.values, out.progress.values = maps.Clone(out.jobs.values), maps.Clone(out.progress.values)
 	return &out
 }
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -30,7 +30,7 @@
 
 // proxy is the planner's side of one keeper in one session.
 type proxy struct {
-	lead    *lead
+	lead    *leadership
 	name    string
 	session proto.Session
 	stamp   time.Duration // stamp is that of the keeper's last response.
@@ -41,7 +41,7 @@
 
 // sendAssignments sends a keeper the workers assigned to it. It begins a session if there is
 // none.
-func (l *lead) sendSet(name string) {
+func (l *leadership) sendSet(name string) {
 	p := l.proxies[name]
 	fresh := p == nil
 	if fresh {
@@ -54,7 +54,7 @@
 	for id, keeper := range l.keepers {
 		if keeper == name {
 			kept := l.kept[id]
-			kept.Left = l.lapses.left(id)
+			kept.Left = l.expiries.remaining(id)
 			set.Workers = append(set.Workers, kept)
 		}
 	}
@@ -116,12 +116,12 @@
 
 // backOff gives a keeper no new session for sessionRetryDelay after one broke, so that a
 // keeper that refuses every session does not keep the planner busy.
-func (l *lead) rest(name string) {
-	l.resting[name] = true
+func (l *leadership) rest(name string) {
+	l.keeperBackoff[name] = true
 	l.group.Go(func() {
 		duty.Pause(l.ctx, keeperRest)
 		l.post(func() {
-			delete(l.resting, name)
+			delete(l.keeperBackoff, name)
 			l.reassignSoon()
 		})
 	})
@@ -142,24 +142,24 @@
 
 // dropKeeper ends a keeper's session and takes all its workers away. They are assigned to
 // another keeper, or to the same one in a new session, with higher fencing tokens.
-func (l *lead) dropKeeper(p *proxy) {
+func (l *leadership) dropKeeper(p *proxy) {
 	p.cancel()
 	delete(l.proxies, p.name)
 	var ids []string
 	for id, name := range l.keepers {
 		if name == p.name {
 			ids = append(ids, id)
-			l.lapses.moved(id, name, l.kept[id].Token, l.authority())
+			l.expiries.endAssignment(id, name, l.kept[id].Token, l.authority())
 			l.unkeep(id)
 		}
 	}
-	l.lapseNews = true
+	l.expiriesChanged = true
 	l.planner.Unready(ids)
 }
 
 // handleEvents handles what a keeper has reported. Reports of an ended session are stale and
 // dropped.
-func (l *lead) events(p *proxy, events []proto.KeepEvent) {
+func (l *leadership) events(p *proxy, events []proto.KeepEvent) {
 	if l.proxies[p.name] != p {
 		return
 	}
@@ -173,22 +173,22 @@
 			l.known(p.name, e)
 			continue
 		case proto.EventReleased:
-			l.letGo(p.name, e)
+			l.releaseAssignment(p.name, e)
 			continue
 		}
 		if l.keepers[e.Worker] != p.name || l.kept[e.Worker].Token != e.Token {
 			continue // The event is of an earlier assignment of the worker.
 		}
 		l.logEvent(e)
-		if e.Kind == proto.EventLost && e.Result != winch.StartOtherBoot && l.valid.Load().left() <= 0 {
+		if e.Kind == proto.EventLost && e.Result != winch.StartOtherBoot && l.validity.Load().remaining() <= 0 {
 			// The office's lease has expired: another planner may have assigned the worker, and
 			// its runs may continue.
 			l.planner.Unready([]string{e.Worker})
 			l.lostWorker(e.Worker)
-			l.lapses.inherit(e.Worker, holding{lapse: time.Now().Add(barrier())})
+			l.expiries.add(e.Worker, assignment{expiry: time.Now().Add(barrier())})
 			continue
 		}
-		l.lapseEvent(e)
+		l.applyExpiryEvent(e)
 		if vm, listed := l.workers[e.Worker]; listed && e.Kind == proto.EventLost && l.kept[e.Worker].VM.Born != vm.Born {
 			// The lost boot is not the listed one, which may be alive.
 			l.lostWorker(e.Worker)
@@ -207,8 +207,8 @@
 			changed = changed || quiet || len(l.roster[e.Worker].Earlier) > 0
 		}
 	}
-	l.tellLapses()
-	l.save()
+	l.sendExpiries()
+	l.signalSave()
 	if changed {
 		l.reassignSoon()
 	}
@@ -217,28 +217,28 @@
 
 // handleKnown handles what a keeper knew of a worker when this planner's session began. If
 // the roster names the keeper with the same generation, that is all that may run there.
-func (l *lead) known(keeper string, e proto.KeepEvent) {
-	if w := l.before[e.Worker]; w.Keeper == keeper && w.Turn == e.Turn {
+func (l *leadership) known(keeper string, e proto.KeepEvent) {
+	if w := l.previousRoster[e.Worker]; w.Keeper == keeper && w.Turn == e.Turn {
 		l.planner.Event(e)
 	}
 }
 
 // unassignLost ends the assignment of a lost worker. The worker is assigned again if it is
 // still listed.
-func (l *lead) lostWorker(id string) {
-	l.lapses.forget(id)
+func (l *leadership) lostWorker(id string) {
+	l.expiries.forget(id)
 	l.unkeep(id)
 	l.reassignSoon()
 }
 
 // recordAssignment records that a worker is assigned to a keeper under a fencing token.
-func (l *lead) keep(id, keeper string, kept proto.Kept) {
+func (l *leadership) keep(id, keeper string, kept proto.Kept) {
 	delete(l.byToken, l.kept[id].Token)
 	l.keepers[id], l.kept[id], l.byToken[kept.Token] = keeper, kept, id
 }
 
 // removeAssignment records that a worker is assigned to no keeper.
-func (l *lead) unkeep(id string) {
+func (l *leadership) unkeep(id string) {
 	delete(l.byToken, l.kept[id].Token)
 	delete(l.keepers, id)
 	delete(l.kept, id)
@@ -246,24 +246,24 @@
 
 // dispatch sends the planner's orders to the keepers: starts once the standby has been
 // notified of them, the others at once.
-func (l *lead) dispatch() {
+func (l *leadership) dispatch() {
 	var now []proto.Order
 	for _, o := range l.planner.Orders() {
 		o.Token = l.kept[o.Worker].Token
 		if o.Kind == proto.OrderStart {
-			l.queued = append(l.queued, o)
+			l.queuedOrders = append(l.queuedOrders, o)
 		} else {
 			now = append(now, o)
 		}
 	}
 	l.send(now)
-	if len(l.queued) > 0 {
-		l.pump()
+	if len(l.queuedOrders) > 0 {
+		l.sendQueued()
 	}
 }
 
 // sendOrders sends orders to the keepers of their workers.
-func (l *lead) send(orders []proto.Order) {
+func (l *leadership) send(orders []proto.Order) {
 	byKeeper := make(map[string]*proto.KeepOrders)
 	for _, o := range orders {
 		name := l.keepers[o.Worker]
@@ -291,7 +291,7 @@
 // handleUnsent reports a start to the planner as not started, because it was not sent: the
 // worker is assigned anew and lists its runs again. If the start were sent, it could take
 // effect after those lists and yet be considered never started.
-func (l *lead) unsent(o proto.Order) {
+func (l *leadership) unsent(o proto.Order) {
 	if o.Kind == proto.OrderStart {
 		l.planner.Event(proto.KeepEvent{
 			Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused,
@@ -301,13 +301,13 @@
 
 // openings returns how many requests to the advice service may be made now. There are no more
 // than free lanes, so that each request is based on what is known when a lane takes it.
-func (l *lead) openings() fleet.Openings {
+func (l *leadership) openings() fleet.Openings {
 	urgent, usual := l.lanes.Openings(time.Now())
 	return fleet.Openings{Urgent: urgent, Usual: usual}
 }
 
 // requestAdvice distributes the planner's requests to the advice service over the lanes.
-func (l *lead) ask() {
+func (l *leadership) ask() {
 	for _, a := range l.planner.Asks() {
 		l.lanes.Add(lanes.Question[fleet.Ask]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
@@ -322,7 +322,7 @@
 
 // callAdvice sends one request to the advice service through a lane and passes the response to
 // the planner.
-func (l *lead) question(lane string, a fleet.Ask) {
+func (l *leadership) question(lane string, a fleet.Ask) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceTime)
 	defer cancel()
@@ -351,7 +351,7 @@
 	})
 }
 
-func (l *lead) logOrder(o proto.Order) {
+func (l *leadership) logOrder(o proto.Order) {
 	switch o.Kind {
 	case proto.OrderStart:
 		l.node.Log.Info("run start ordered", zap.String("job", o.Task.Job), zap.Int("phase", o.Task.Phase), zap.Int("index", o.Task.Index),
@@ -364,7 +364,7 @@
 	}
 }
 
-func (l *lead) logEvent(e proto.KeepEvent) {
+func (l *leadership) logEvent(e proto.KeepEvent) {
 	switch e.Kind {
 	case proto.EventListed:
 		l.node.Log.Info("worker listed its runs", zap.String("worker", e.Worker), zap.Int("running", len(e.Running)), zap.Int("ended", len(e.Ended)))
--- a/region/record.go
+++ b/region/record.go
@@ -43,7 +43,7 @@
 )
 
 // runCommits writes changed job records until ctx ends.
-func (l *lead) runCommits(ctx context.Context) {
+func (l *leadership) runCommits(ctx context.Context) {
 	var group conc.WaitGroup
 	for range committers {
 		group.Go(func() { l.writeRecords(ctx) })
@@ -53,17 +53,17 @@
 
 // writeRecords commits changed records until ctx ends: at once if a caller waits for one of
 // them, after commitDelay otherwise.
-func (l *lead) writeRecords(ctx context.Context) {
+func (l *leadership) writeRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.pressing:
+		case <-l.urgentSave:
 		case <-l.unsaved:
 			timer := time.NewTimer(commitGap)
 			select {
 			case <-ctx.Done():
-			case <-l.pressing:
+			case <-l.urgentSave:
 			case <-timer.C:
 			}
 			timer.Stop()
@@ -82,7 +82,7 @@
 
 // recordTxn returns the transaction that writes the records. Of an ended job without runs only
 // the ended record remains, which a planner need not read when it takes over.
-func (l *lead) recordTxn(batch []fleet.Record) winch.Txn {
+func (l *leadership) recordTxn(batch []fleet.Record) winch.Txn {
 	txn := winch.Txn{Expect: map[string]uint64{keyOffice: l.revision}}
 	for _, r := range batch {
 		if r.Progress.State.Final() {
@@ -102,7 +102,7 @@
 
 // commit writes one batch of records, on condition that this planner still holds the office. It
 // reports whether there were records and all of them were written.
-func (l *lead) commit(ctx context.Context) bool {
+func (l *leadership) commit(ctx context.Context) bool {
 	var batch []fleet.Record
 	if l.duty.Do(ctx, func() { batch = l.planner.RecordsWithin(commitMost, recordCost) }) != nil || len(batch) == 0 {
 		return false
@@ -127,7 +127,7 @@
 			}
 			l.planner.Unwritten(r, current)
 		}
-		l.logEndings()
+		l.logCompletions()
 		l.wake()
 	})
 	if err != nil {
@@ -138,10 +138,10 @@
 }
 
 // runSweep removes the records of ended jobs after the retention period, until ctx ends.
-func (l *lead) runSweep(ctx context.Context) {
+func (l *leadership) runSweep(ctx context.Context) {
 	old := l.readEnded(ctx)
 	for ctx.Err() == nil {
-		duty.Pause(ctx, sweepEvery)
+		duty.Pause(ctx, sweepInterval)
 		before := time.Now().Add(-l.node.Timing.Keep - keepMargin)
 		var ids []string
 		if l.duty.Do(ctx, func() { ids = l.planner.Expired(before) }) != nil {
@@ -163,7 +163,7 @@
 
 // readEnded reads when the jobs ended that earlier planners recorded as ended. It waits for
 // endedReadDelay first, since the result is not urgent.
-func (l *lead) readEnded(ctx context.Context) map[string]time.Time {
+func (l *leadership) readEnded(ctx context.Context) map[string]time.Time {
 	old := make(map[string]time.Time)
 	for ctx.Err() == nil {
 		duty.Pause(ctx, endedPause)
@@ -185,7 +185,7 @@
 }
 
 // sweep removes the records and commands of ended jobs and has the planner forget the jobs.
-func (l *lead) sweep(ctx context.Context, ids []string) {
+func (l *leadership) sweep(ctx context.Context, ids []string) {
 	txn := winch.Txn{Expect: map[string]uint64{keyOffice: l.revision}}
 	for _, id := range ids {
 		txn.Remove = append(txn.Remove, keyEnded(id), keyCommand(id))
@@ -203,7 +203,7 @@
 
 // sweepOrphans removes keys whose job has been removed. A write without a response may have
 // taken effect after the removal of the job.
-func (l *lead) sweepOrphans(ctx context.Context) {
+func (l *leadership) sweepOrphans(ctx context.Context) {
 	for _, id := range l.orphans {
 		_, err := l.node.Table.Commit(ctx, winch.Txn{
 			Expect: map[string]uint64{keyOffice: l.revision, keyJob(id): 0}, Remove: []string{keyCancel(id), keyProgress(id)},
@@ -216,7 +216,7 @@
 // runRoster records in the roster which workers may be given work, and through which keeper,
 // before they are given any. Before a planner that takes over restarts what an earlier one may
 // have started, it has to hear from each worker of the roster or wait for its lease to expire.
-func (l *lead) runRoster(ctx context.Context) {
+func (l *leadership) runRoster(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -225,17 +225,17 @@
 		}
 		var wanted map[string]rostered
 		if l.duty.Do(ctx, func() {
-			wanted = maps.Clone(l.wanted)
+			wanted = maps.Clone(l.desired)
 			for id, w := range wanted {
 				if w.Bound != 0 && l.planner.Heard(id) {
 					w.Bound = 0 // The worker has answered since.
 					wanted[id] = w
 				}
 				if w.Settled {
-					l.settled[id] = true // From here on the store may hold the worker as settled.
+					l.maybeSettled[id] = true // From here on the store may hold the worker as settled.
 				}
 				if w.Bound != 0 {
-					l.mayBound[id] = true
+					l.maybeBound[id] = true
 					l.planner.SetQuiet(id)
 				}
 			}
@@ -250,15 +250,15 @@
 		}
 		l.post(func() {
 			l.roster = wanted
-			for id := range l.settled {
+			for id := range l.maybeSettled {
 				if !wanted[id].Settled {
-					delete(l.settled, id)
+					delete(l.maybeSettled, id)
 				}
 			}
-			for id := range l.mayBound {
+			for id := range l.maybeBound {
 				if wanted[id].Bound == 0 {
-					delete(l.mayBound, id)
-					l.renewPending(id)
+					delete(l.maybeBound, id)
+					l.sendPendingRenewal(id)
 				}
 			}
 			l.reassign()
@@ -268,23 +268,23 @@
 
 // writeRoster writes the roster, on condition that this planner still holds the office and that
 // the stored roster is the one last seen.
-func (l *lead) writeRoster(ctx context.Context, workers map[string]rostered) error {
+func (l *leadership) writeRoster(ctx context.Context, workers map[string]rostered) error {
 	select {
-	case l.rosterTurn <- struct{}{}:
+	case l.rosterLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-l.rosterTurn }()
+	defer func() { <-l.rosterLock }()
 	revision, err := l.node.Table.Commit(ctx, winch.Txn{
-		Expect: map[string]uint64{keyOffice: l.revision, keyRoster: l.rosterAt},
+		Expect: map[string]uint64{keyOffice: l.revision, keyRoster: l.rosterRevision},
 		Writes: []winch.Write{{Key: keyRoster, Data: encode(newRoster(workers))}},
 	})
 	var conflict *winch.ConflictError
 	if errors.As(err, &conflict) {
-		l.rosterAt = conflict.Current[keyRoster].Version
+		l.rosterRevision = conflict.Current[keyRoster].Version
 	}
 	if err == nil {
-		l.rosterAt = revision
+		l.rosterRevision = revision
 	}
 	return err
 }
@@ -293,12 +293,12 @@
 // started, so that the next planner need not wait for a worker that does not answer. Of an
 // unresponsive worker the runs are not known, but the time at which its lease expires is: no
 // lease is renewed there any more, so the next planner need not wait for the longest lease.
-func (l *lead) recordRuns(ctx context.Context) {
+func (l *leadership) recordRuns(ctx context.Context) {
 	workers := make(map[string]rostered)
 	if l.duty.Do(ctx, func() {
-		l.recorded = true
+		l.runsRecorded = true
 		for id, w := range l.roster {
-			w.Settled, w.Runs, w.Left = l.planner.Heard(id), nil, l.lapses.ends(id)
+			w.Settled, w.Runs, w.Left = l.planner.Heard(id), nil, l.expiries.expiresIn(id)
 			if w.Settled {
 				w.Runs, w.Bound = l.planner.RunsAt(id), 0
 			}
--- a/region/report.go
+++ b/region/report.go
@@ -14,12 +14,12 @@
 )
 
 // runWaiting periodically sends all entries the number of jobs that have not begun.
-func (l *lead) runWaiting(ctx context.Context) {
+func (l *leadership) runWaiting(ctx context.Context) {
 	for ctx.Err() == nil {
 		var msg proto.Waiting
 		if l.duty.Do(ctx, func() {
 			msg = proto.Waiting{Term: l.term, Queues: l.planner.Waiting(), Settings: l.node.settings.version()}
-		}) == nil && l.valid.Load().left() > 0 {
+		}) == nil && l.validity.Load().remaining() > 0 {
 			l.node.takeWaiting(msg)
 			for _, name := range l.node.Peers.Names() {
 				// A peer that gets no message reports the number as unknown.
@@ -44,7 +44,7 @@
 }
 
 // runLoad periodically logs the region's capacity and use.
-func (l *lead) runLoad(ctx context.Context) {
+func (l *leadership) runLoad(ctx context.Context) {
 	for ctx.Err() == nil {
 		var load fleet.Load
 		var asks int
@@ -58,15 +58,15 @@
 			zap.Any("waiting", load.Waiting), zap.Int("capped", load.Capped),
 			zap.Int64("filling", load.Filling), zap.Int("asks", asks),
 			zap.Any("bytes", l.node.linkBytes()))
-		duty.Pause(ctx, loadEvery)
+		duty.Pause(ctx, loadInterval)
 	}
 }
 
 // logCompletions logs for each job that has ended what its time was spent on.
-func (l *lead) logEndings() {
-	l.dropAsking()
+func (l *leadership) logCompletions() {
+	l.dropWaiters()
 	for _, e := range l.planner.Endings() {
-		l.tellAsking(e.Job)
+		l.notifyWaiters(e.Job)
 		waited := make(map[string]float64, len(e.Waited))
 		for reason, d := range e.Waited {
 			waited[reason.String()] = d.Seconds()
@@ -80,14 +80,14 @@
 
 // maxLossRuns bounds the runs that are named in the log line of a lost worker: the most recent starts,
 // one of which may have been the cause.
-const lossRuns = 8
+const maxLossRuns = 8
 
 // logLosses logs which runs ended with a worker. A task that crashes its workers comes first in the
 // lines of all of them.
-func (l *lead) logLosses() {
+func (l *leadership) logLosses() {
 	for _, x := range l.planner.Losses() {
 		var runs []string
-		for _, r := range x.Runs[:min(lossRuns, len(x.Runs))] {
+		for _, r := range x.Runs[:min(maxLossRuns, len(x.Runs))] {
 			runs = append(runs, fmt.Sprintf("%s.%d.%d.%d/%d lived %v confirmed %t", r.Task.Job, r.Task.K,
 				r.Task.Phase, r.Task.Index, r.Run, r.Lived, r.Confirmed))
 		}
--- a/region/serve.go
+++ b/region/serve.go
@@ -164,7 +164,7 @@
 	case proto.KindCommand:
 		return got(read, func(m proto.CommandAsk) any { return n.giveCommand(m) })
 	case proto.KindTerm:
-		return got(read, func(m proto.TermAsk) any { return n.giveTerm(m) })
+		return got(read, func(m proto.TermAsk) any { return n.answerTerm(m) })
 	case proto.KindMirror:
 		return got(read, func(m proto.Mirror) any { return n.mirror.answer(m) })
 	case proto.KindAdvise:
@@ -209,7 +209,7 @@
 func (n *Node) forLead(body any) bool {
 	l := n.lead.Load()
 	if l != nil {
-		l.take(body)
+		l.applyNotification(body)
 	}
 	return l != nil
 }
--- a/region/staleinfo_test.go
+++ b/region/staleinfo_test.go
@@ -15,7 +15,7 @@
 
 // endWithoutDowntimeCheck stops the world and reports what ran twice. How long tasks are down is not
 // checked: a planner that no one can tell how long work runs on has to wait.
-func (w *world) endOnce() {
+func (w *world) endWithoutDowntimeCheck() {
 	w.mu.Lock()
 	w.broken = slices.DeleteFunc(w.broken, func(line string) bool { return strings.Contains(line, "did not run for") })
 	w.mu.Unlock()
@@ -26,7 +26,7 @@
 // while the store is slow. The next planner looks at the entries only once it has read all records. By
 // then the stopping entry has taken itself off the list, so no session is opened to it and it is never
 // asked until when the worker's lease runs: its longest possible authority counts instead.
-func TestPlannerIsStoppedAsItsOwnWorkerIsGone(t *testing.T) {
+func TestPlannerIsStoppedAsItsOwnWorkerLeaves(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
 		for _, before := range []time.Duration{0, 500 * time.Millisecond, time.Second} {
@@ -34,7 +34,7 @@
 				is := is.NewRelaxed(t)
 				w := lastingWorld(t, 34)
 				p := w.planner()
-				worker, _ := w.keptBy(p, true)
+				worker, _ := w.workerKeptBy(p, true)
 				is.True(worker != "")
 				w.store.mu.Lock()
 				w.store.slow = slow
@@ -59,22 +59,22 @@
 // The planner is killed every three seconds, with its standby and the keeper of a worker that has
 // left. No remaining entry knows what ran there. Each planner counts the longest authority of the one
 // before anew, and chooses no standby meanwhile; all work that the region has accepted is delayed.
-func TestWaitForAnEarlierPlannerIsNotCountedAnewByEach(t *testing.T) {
+func TestWaitForAnEarlierPlannerIsNotRestartedByEachPlanner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 40)
 		p := w.planner()
 		l := p.node.lead.Load()
-		worker, keeper := w.keptApart(p)
+		worker, keeper := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		standby := ""
 		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		w.leave(worker)
 		gone := time.Now()
 		p.kill()
-		w.killNamed(standby)
-		w.killNamed(keeper)
+		w.killEntry(standby)
+		w.killEntry(keeper)
 		for range 4 {
 			for w.planner() == nil {
 				time.Sleep(10 * time.Millisecond)
@@ -94,12 +94,12 @@
 		}
 		t.Log("all run again after", time.Since(gone))
 		is.True(time.Since(gone) < 12*time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
 // awaitLeadState waits until a condition on a planner's state holds.
-func (w *world) awaitLead(l *lead, limit time.Duration, condition func() bool) bool {
+func (w *world) awaitLeadState(l *leadership, limit time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		ok := false
 		_ = l.duty.Do(w.ctx, func() { ok = condition() })
@@ -116,22 +116,22 @@
 // longer unresponsive, so the planner allows the renewal at once although the standby still has the
 // old expiry. Then the planner is killed and the worker is partitioned; the standby takes over, finds
 // the lease expired by the old expiry, and starts the work a second time while the first run goes on.
-func TestRenewalAfterAnotherKeeperGotTheWorkerWaitsForTheStandbyToo(t *testing.T) {
+func TestRenewalThroughANewKeeperWaitsForTheStandby(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 35)
 		p := w.planner()
 		l := p.node.lead.Load()
-		worker, keeper := w.keptBy(p, false)
+		worker, keeper := w.workerKeptBy(p, false)
 		is.True(worker != "")
 		w.silence(worker, true)
-		is.True(w.awaitLead(l, 4*time.Second, func() bool { return l.lapses.mute[worker] && !l.mirroring }))
+		is.True(w.awaitLeadState(l, 4*time.Second, func() bool { return l.expiries.unresponsive[worker] && !l.mirrorPending }))
 		time.Sleep(100 * time.Millisecond)
 		planner := p.node.Name
 		w.lose(func(from, _ string, kind winch.Kind) bool { return from == planner && kind == proto.KindMirror })
 		w.silence(worker, false)
-		is.True(w.awaitLead(l, time.Second, func() bool { return !l.lapses.mute[worker] }))
+		is.True(w.awaitLeadState(l, time.Second, func() bool { return !l.expiries.unresponsive[worker] }))
 		keeper.kill()
 		p.node.LinkChanged()
 		x := w.workers[worker]
@@ -148,7 +148,7 @@
 		p.kill()
 		w.lose(nil)
 		time.Sleep(12 * time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
@@ -170,7 +170,7 @@
 
 // workerInThirdDomain returns a worker in a failure domain with neither planner nor standby, and its
 // keeper.
-func (w *world) keptApart(p *simNode) (worker, keeper string) {
+func (w *world) workerInThirdDomain(p *simNode) (worker, keeper string) {
 	l := p.node.lead.Load()
 	_ = l.duty.Do(w.ctx, func() {
 		for id, name := range l.keepers {
@@ -188,7 +188,7 @@
 }
 
 // killEntry kills the entry with a name.
-func (w *world) killNamed(name string) {
+func (w *world) killEntry(name string) {
 	for _, n := range w.nodes {
 		if n.node != nil && n.node.Name == name {
 			n.kill()
@@ -200,10 +200,10 @@
 // the first is not notified that its assignments are over. Then it calls meanwhile, kills the other
 // keeper, kills the planner as soon as the store names the first keeper again, and partitions the
 // worker.
-func staleHolding(w *world, is *is.I, meanwhile func()) {
+func makeStaleAssignment(w *world, is *is.I, meanwhile func()) {
 	p := w.planner()
 	l := p.node.lead.Load()
-	worker, name := w.keptApart(p)
+	worker, name := w.workerInThirdDomain(p)
 	is.True(worker != "")
 	planner := p.node.Name
 	polls := 0
@@ -215,17 +215,17 @@
 		return polls == 1
 	})
 	other := ""
-	is.True(w.awaitLead(l, 4*time.Second, func() bool {
+	is.True(w.awaitLeadState(l, 4*time.Second, func() bool {
 		other = l.keepers[worker]
 		return other != "" && other != name
 	}))
 	meanwhile()
 	time.Sleep(7 * time.Second)
-	is.True(w.awaitLead(l, time.Second, func() bool { return l.keepers[worker] == other && l.proxies[name] == nil }))
+	is.True(w.awaitLeadState(l, time.Second, func() bool { return l.keepers[worker] == other && l.proxies[name] == nil }))
 	w.store.mu.Lock()
 	w.store.slow = 200 * time.Millisecond
 	w.store.mu.Unlock()
-	w.killNamed(other)
+	w.killEntry(other)
 	p.node.LinkChanged()
 	for end := time.Now().Add(3 * time.Second); w.rosterKeeper(worker) != name && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
@@ -241,33 +241,33 @@
 // is partitioned. The next planner asks the first keeper until when its leases run. By the old
 // assignment that has long passed, but the other keeper renewed the lease just now: the work is
 // started a second time.
-func TestStaleHoldingDoesNotTellWhenALaterLeaseEnds(t *testing.T) {
+func TestStaleAssignmentDoesNotBoundALaterLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := lastingWorld(t, 36)
-		staleHolding(w, is.NewRelaxed(t), func() {})
+		makeStaleAssignment(w, is.NewRelaxed(t), func() {})
 		time.Sleep(15 * time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
 // As above, but the planner's standby is killed with it, so that the next planner learns from the
 // first keeper what runs at the partitioned worker. That keeper does not know of anything that the
 // other one has started since, which is then started once more.
-func TestStaleHoldingDoesNotTellWhatALaterOneStarted(t *testing.T) {
+func TestStaleAssignmentDoesNotReportLaterRuns(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := lastingWorld(t, 36)
 		p := w.planner()
 		standby := ""
-		staleHolding(w, is.NewRelaxed(t), func() {
+		makeStaleAssignment(w, is.NewRelaxed(t), func() {
 			w.last("00000000000000a2", 12)
 			l := p.node.lead.Load()
 			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		})
-		w.killNamed(standby)
+		w.killEntry(standby)
 		time.Sleep(15 * time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
@@ -276,19 +276,19 @@
 // unresponsive, and the planner records for it that nothing is started there and that no run exists,
 // since it knows of none. It is killed, and the planner after that relies on the record and starts at
 // once what still runs at the worker.
-func TestSilentWorkerThatWasNeverHeardIsNotRecordedAsSettled(t *testing.T) {
+func TestWorkerWithoutContactIsNotRecordedAsSettled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := lastingWorld(t, 37)
 		p := w.planner()
 		l := p.node.lead.Load()
-		worker, keeper := w.keptApart(p)
+		worker, keeper := w.workerInThirdDomain(p)
 		standby := ""
 		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		w.silence(worker, true)
 		p.kill()
-		w.killNamed(standby)
-		w.killNamed(keeper)
+		w.killEntry(standby)
+		w.killEntry(keeper)
 		for end := time.Now().Add(5 * time.Second); w.planner() == nil && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -297,7 +297,7 @@
 			p.kill()
 		}
 		time.Sleep(12 * time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
@@ -305,18 +305,18 @@
 // reached and the store is down. If its lease is not renewed before the store is back, although its
 // keeper, the planner and the worker all have contact, what runs there ends long before the planner's
 // authority does.
-func TestWorkerThatAnswersIsRenewedWhileStandbyAndStoreAreAway(t *testing.T) {
+func TestResponsiveWorkerIsRenewedWhileStandbyAndStoreAreDown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 38)
 		p := w.planner()
 		l := p.node.lead.Load()
-		worker, _ := w.keptApart(p)
+		worker, _ := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		planner := p.node.Name
 		w.silence(worker, true)
-		is.True(w.awaitLead(l, 4*time.Second, func() bool { return l.lapses.mute[worker] && !l.mirroring }))
+		is.True(w.awaitLeadState(l, 4*time.Second, func() bool { return l.expiries.unresponsive[worker] && !l.mirrorPending }))
 		w.lose(func(from, _ string, kind winch.Kind) bool { return from == planner && kind == proto.KindMirror })
 		w.setDown(true)
 		w.silence(worker, false)
@@ -325,7 +325,7 @@
 		w.setDown(false)
 		w.lose(nil)
 		time.Sleep(5 * time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
@@ -340,7 +340,7 @@
 		w := lastingWorld(t, 39)
 		p := w.planner()
 		l := p.node.lead.Load()
-		worker, _ := w.keptApart(p)
+		worker, _ := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		w.endWorker(worker)
 		w.mu.Lock()
@@ -358,7 +358,7 @@
 			is.True(l.keepers[worker] != "")
 			is.Equal(l.kept[worker].VM.Born, x.vm.Born)
 		})
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
@@ -366,13 +366,13 @@
 // keeper before, but waited there for a few seconds, as in the buffers of a paused process. The keeper
 // counts the authority in it from when it reads the request, and renews the worker's lease for longer
 // than the planner assumes. The planner starts the work elsewhere while it still runs there.
-func TestQuestionThatWaitedAtAFrozenKeeperGivesNoAuthorityAnew(t *testing.T) {
+func TestRequestDelayedAtAPausedKeeperGrantsNoNewAuthority(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 41)
 		p := w.planner()
-		worker, name := w.keptApart(p)
+		worker, name := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		planner, polls := p.node.Name, 0
 		w.mu.Lock()
@@ -391,7 +391,7 @@
 		w.cut[w.workers[worker].vm.Domain] = true
 		w.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
@@ -400,7 +400,7 @@
 // but the record cannot be changed, and the worker becomes unresponsive again as that planner is
 // killed too. Had its lease been renewed, the planner after that would start the worker's tasks while
 // they still run.
-func TestWorkerThatAnswersWhileItsBoundStaysRecorded(t *testing.T) {
+func TestWorkerRespondsWhileItsBoundStaysRecorded(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
 		after time.Duration
@@ -411,20 +411,20 @@
 			w := lastingWorld(t, 45)
 			p := w.planner()
 			l := p.node.lead.Load()
-			worker, keeper := w.keptApart(p)
+			worker, keeper := w.workerInThirdDomain(p)
 			is.True(worker != "")
 			standby := ""
 			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 			w.silence(worker, true)
 			p.kill()
-			w.killNamed(standby)
-			w.killNamed(keeper)
+			w.killEntry(standby)
+			w.killEntry(keeper)
 			for w.planner() == nil {
 				time.Sleep(10 * time.Millisecond)
 			}
 			next := w.planner()
 			lead := next.node.lead.Load()
-			is.True(w.awaitLead(lead, 2*time.Second, func() bool { return lead.roster[worker].Bound != 0 }))
+			is.True(w.awaitLeadState(lead, 2*time.Second, func() bool { return lead.roster[worker].Bound != 0 }))
 			if x.later {
 				next.kill()
 				time.Sleep(time.Second)
@@ -447,7 +447,7 @@
 			w.store.fate = nil
 			w.store.mu.Unlock()
 			time.Sleep(14 * time.Second)
-			w.endOnce()
+			w.endWithoutDowntimeCheck()
 		})
 	}
 }
--- a/region/stall.go
+++ b/region/stall.go
@@ -14,78 +14,78 @@
 
 const (
 	// stallCheckInterval is how often the planner is checked for stalled work.
-	sightEvery = time.Second
+	stallCheckInterval = time.Second
 	// minStallTime is how long a lasting task has to wait, or a worker with runs has to be
 	// unresponsive, before it is logged: an ordinary start takes less.
-	sightAge = time.Second
+	minStallTime = time.Second
 	// stallRepeatInterval is how often a line is repeated while nothing changes.
-	sightAgain = 5 * time.Second
+	stallRepeatInterval = 5 * time.Second
 	// maxStallLines bounds the log lines of one check.
-	sightLines = 20
+	maxStallLines = 20
 )
 
 // stallSnapshot holds what is stalled, read in one step of the planner.
-type sight struct {
+type stallSnapshot struct {
 	waits   []fleet.Wait
 	charged []fleet.Charged
 	// workers holds the state of the workers that the snapshot names.
-	workers map[string]place
-	decided time.Time
-	closed  bool
+	workers   map[string]workerState
+	decidedAt time.Time
+	closed    bool
 }
 
 // workerState describes a worker from the view of this planner.
-type place struct {
+type workerState struct {
 	keeper string
 	// missing says that its record has disappeared from the list and may still come back.
 	missing bool
 }
 
 // snapshotStalls returns which lasting tasks wait and which workers with runs are unresponsive.
-func (l *lead) look() sight {
-	snapshot := sight{
-		waits: l.planner.Waits(sightAge), charged: l.planner.Unheard(sightAge),
-		workers: make(map[string]place), decided: l.decided, closed: l.closed,
+func (l *leadership) snapshotStalls() stallSnapshot {
+	snapshot := stallSnapshot{
+		waits: l.planner.Waits(minStallTime), charged: l.planner.Unheard(minStallTime),
+		workers: make(map[string]workerState), decidedAt: l.decidedAt, closed: l.closed,
 	}
 	for _, w := range snapshot.waits {
-		snapshot.workers[w.Sign.Worker] = l.placeOf(w.Sign.Worker)
+		snapshot.workers[w.Sign.Worker] = l.workerStateOf(w.Sign.Worker)
 	}
 	for _, c := range snapshot.charged {
-		snapshot.workers[c.Sign.Worker] = l.placeOf(c.Sign.Worker)
+		snapshot.workers[c.Sign.Worker] = l.workerStateOf(c.Sign.Worker)
 	}
 	return snapshot
 }
 
-func (l *lead) placeOf(worker string) place {
+func (l *leadership) workerStateOf(worker string) workerState {
 	_, missing := l.missing[worker]
-	return place{keeper: l.keepers[worker], missing: missing}
+	return workerState{keeper: l.keepers[worker], missing: missing}
 }
 
 // stallMonitor logs stalled work: one line when it is new or its cause has changed, and a repetition
 // at intervals.
-type sighter struct {
-	log  *zap.Logger
-	term uint64
-	told map[string]tale
-	now  time.Time
+type stallMonitor struct {
+	log      *zap.Logger
+	term     uint64
+	reported map[string]stallReport
+	now      time.Time
 	// linesLeft is how many more lines this check may write.
-	left int
+	linesLeft int
 	// omitted counts the lines beyond that bound.
-	out int
+	omitted int
 }
 
 // stallReport is what was last logged of stalled work.
-type tale struct {
-	cause string
-	at    time.Time
-	seen  time.Time
+type stallReport struct {
+	cause      string
+	reportedAt time.Time
+	seenAt     time.Time
 	// endFields identify the work in the line that logs that the stall is over.
-	end []zap.Field
+	endFields []zap.Field
 }
 
 // updateStallGauges sets the metrics that show the worst of a snapshot. They are zero while nothing is
 // stalled for longer than minStallTime and while this entry is not planner.
-func (n *Node) gauge(snapshot sight) {
+func (n *Node) updateStallGauges(snapshot stallSnapshot) {
 	longest, runs := time.Duration(0), 0
 	if len(snapshot.waits) > 0 {
 		longest = time.Since(snapshot.waits[0].Since)
@@ -98,41 +98,41 @@
 }
 
 // runStallMonitor checks for stalled work periodically while this entry is planner.
-func (l *lead) runSight(ctx context.Context) {
-	defer l.node.gauge(sight{})
-	monitor := sighter{log: l.node.Log, term: l.term, told: make(map[string]tale)}
+func (l *leadership) runStallMonitor(ctx context.Context) {
+	defer l.node.updateStallGauges(stallSnapshot{})
+	monitor := stallMonitor{log: l.node.Log, term: l.term, reported: make(map[string]stallReport)}
 	for ctx.Err() == nil {
-		var snapshot sight
-		if l.duty.Do(ctx, func() { snapshot = l.look() }) != nil {
+		var snapshot stallSnapshot
+		if l.duty.Do(ctx, func() { snapshot = l.snapshotStalls() }) != nil {
 			return
 		}
-		monitor.take(snapshot, l.valid.Load().left())
-		l.node.gauge(snapshot)
-		duty.Pause(ctx, sightEvery)
+		monitor.report(snapshot, l.validity.Load().remaining())
+		l.node.updateStallGauges(snapshot)
+		duty.Pause(ctx, stallCheckInterval)
 	}
 }
 
 // report logs one snapshot.
-func (m *sighter) take(snapshot sight, officeLeft time.Duration) {
-	m.now, m.left, m.out = time.Now(), sightLines, 0
+func (m *stallMonitor) report(snapshot stallSnapshot, officeLeft time.Duration) {
+	m.now, m.linesLeft, m.omitted = time.Now(), maxStallLines, 0
 	for _, w := range snapshot.waits {
-		m.wait(w, snapshot, officeLeft)
+		m.reportTask(w, snapshot, officeLeft)
 	}
 	for _, c := range snapshot.charged {
 		fields := append(signFields(c.Sign, snapshot.workers[c.Sign.Worker], m.now), zap.Int("runs", c.Runs),
 			zap.Uint64("term", m.term))
-		m.tell("worker "+c.Sign.Worker, "worker with runs is unresponsive", signCause(c.Sign), fields,
+		m.logLine("worker "+c.Sign.Worker, "worker with runs is unresponsive", signCause(c.Sign), fields,
 			[]zap.Field{zap.String("worker", c.Sign.Worker)})
 	}
-	m.settle()
-	if m.out > 0 {
-		m.log.Info("stall reports omitted", zap.Int("lines", m.out), zap.Int("tasks", len(snapshot.waits)),
+	m.reportEnded()
+	if m.omitted > 0 {
+		m.log.Info("stall reports omitted", zap.Int("lines", m.omitted), zap.Int("tasks", len(snapshot.waits)),
 			zap.Int("workers", len(snapshot.charged)))
 	}
 }
 
 // reportTask logs a lasting task that waits.
-func (m *sighter) wait(w fleet.Wait, snapshot sight, officeLeft time.Duration) {
+func (m *stallMonitor) reportTask(w fleet.Wait, snapshot stallSnapshot, officeLeft time.Duration) {
 	id := w.Task
 	taskFields := []zap.Field{zap.String("job", id.Job), zap.Int("phase", id.Phase), zap.Int("index", id.Index)}
 	if id.K > 0 {
@@ -140,14 +140,14 @@
 	}
 	fields := append(taskFields[:len(taskFields):len(taskFields)], zap.Stringer("reason", w.Reason),
 		zap.Duration("waited", m.now.Sub(w.Since)), zap.Uint64("term", m.term),
-		zap.Duration("decided", age(snapshot.decided, m.now)), zap.Duration("office", officeLeft),
+		zap.Duration("decided", age(snapshot.decidedAt, m.now)), zap.Duration("office", officeLeft),
 		zap.Bool("closed", snapshot.closed))
 	if w.Sign.Worker != "" {
 		fields = append(fields, signFields(w.Sign, snapshot.workers[w.Sign.Worker], m.now)...)
 	}
 	key := id.Job + "." + strconv.Itoa(id.K) + "." + strconv.Itoa(id.Phase) + "." + strconv.Itoa(id.Index)
 	cause := w.Reason.String() + strconv.FormatUint(w.Run, 10) + signCause(w.Sign)
-	m.tell(key, "lasting task waits", cause, append(fields, waitFields(w, m.now)...), taskFields)
+	m.logLine(key, "lasting task waits", cause, append(fields, waitFields(w, m.now)...), taskFields)
 }
 
 // waitFields returns the log fields that explain why a task waits, depending on the reason.
@@ -172,7 +172,7 @@
 }
 
 // signFields returns the log fields that describe a worker's contact with the planner.
-func signFields(sign fleet.Sign, state place, now time.Time) []zap.Field {
+func signFields(sign fleet.Sign, state workerState, now time.Time) []zap.Field {
 	return []zap.Field{
 		zap.String("worker", sign.Worker), zap.String("keeper", state.keeper), zap.Bool("listed", sign.Listed),
 		zap.Bool("missing", state.missing),
@@ -193,38 +193,38 @@
 }
 
 // logLine writes a line if it is new or due for repetition, within the bound.
-func (m *sighter) tell(key, msg, cause string, fields, endFields []zap.Field) {
-	last, known := m.told[key]
-	due := !known || last.cause != cause || m.now.Sub(last.at) >= sightAgain
+func (m *stallMonitor) logLine(key, msg, cause string, fields, endFields []zap.Field) {
+	last, known := m.reported[key]
+	due := !known || last.cause != cause || m.now.Sub(last.reportedAt) >= stallRepeatInterval
 	switch {
 	case !due:
-		last.seen = m.now
-		m.told[key] = last
-	case m.left == 0:
-		m.out++
+		last.seenAt = m.now
+		m.reported[key] = last
+	case m.linesLeft == 0:
+		m.omitted++
 		if known {
-			last.seen = m.now
-			m.told[key] = last
+			last.seenAt = m.now
+			m.reported[key] = last
 		}
 	default:
-		m.left--
-		m.told[key] = tale{cause, m.now, m.now, endFields}
+		m.linesLeft--
+		m.reported[key] = stallReport{cause, m.now, m.now, endFields}
 		m.log.Info(msg, fields...)
 	}
 }
 
 // reportEnded logs the end of stalls that were reported and are no longer in the snapshot.
-func (m *sighter) settle() {
-	for key, report := range m.told {
-		if report.seen.Equal(m.now) {
+func (m *stallMonitor) reportEnded() {
+	for key, report := range m.reported {
+		if report.seenAt.Equal(m.now) {
 			continue
 		}
-		delete(m.told, key)
-		if m.left == 0 {
-			m.out++
+		delete(m.reported, key)
+		if m.linesLeft == 0 {
+			m.omitted++
 			continue
 		}
-		m.left--
-		m.log.Info("stall ended", report.end...)
+		m.linesLeft--
+		m.log.Info("stall ended", report.endFields...)
 	}
 }
--- a/region/stall_test.go
+++ b/region/stall_test.go
@@ -32,7 +32,7 @@
 }
 
 // keepRunsAlive lets no run end by itself.
-func (w *world) endless() {
+func (w *world) keepRunsAlive() {
 	for w.ctx.Err() == nil {
 		for _, x := range w.workers {
 			x.mu.Lock()
@@ -46,7 +46,7 @@
 }
 
 // stallGauges returns the values of the stall metrics at the planner's entry.
-func (w *world) gauges() (longest, runs int64) {
+func (w *world) stallGauges() (longest, runs int64) {
 	n := w.planner().node
 	return metrics.GetOrRegisterGauge("Planner.LastingWait.Milliseconds", n.Metrics).Value(),
 		metrics.GetOrRegisterGauge("Planner.RunsNotHeard", n.Metrics).Value()
@@ -55,13 +55,13 @@
 // A worker with a lasting task stops responding. The task's users wait until everything there has
 // surely ended. Meanwhile the log says, with the job's ID, which run at which worker and keeper holds
 // the task back, and finally that the stall has ended.
-func TestLogTellsWhyALastingTaskWaits(t *testing.T) {
+func TestLogSaysWhyALastingTaskWaits(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1, 3, 3)
 		settle()
-		w.group.Go(w.endless)
+		w.group.Go(w.keepRunsAlive)
 		phase := simPhase(1)
 		phase.Lasting = true
 		w.submit("service", phase)
@@ -84,14 +84,14 @@
 		is.True(len(lines) > 0)
 		is.True(len(lines) <= 2) // Once, and again after five seconds.
 		is.True(len(w.log.find("worker with runs is unresponsive", `"worker": "`+at+`"`, `"runs": 1`)) > 0)
-		longest, runs := w.gauges()
+		longest, runs := w.stallGauges()
 		is.True(longest > 3000) // It has waited for most of the six seconds.
 		is.Equal(runs, int64(1))
 
 		time.Sleep(6 * time.Second)
 		is.Equal(len(w.log.find("stall ended", `"job": "service"`)), 1)
 		is.Equal(len(w.log.find("stall ended", `"worker": "`+at+`"`)), 1)
-		longest, runs = w.gauges()
+		longest, runs = w.stallGauges()
 		is.Equal(longest, int64(0))
 		is.Equal(runs, int64(0))
 		w.end()
@@ -100,14 +100,14 @@
 
 // An entry that gives up the office must reset the gauges of what was stalled then: the next planner
 // shows what is stalled now.
-func TestGaugesEndWithTheOffice(t *testing.T) {
+func TestStallGaugesAreResetWhenTheOfficeIsGivenUp(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1, 3, 3)
 		settle()
 		n := w.planner().node
-		n.gauge(sight{charged: []fleet.Charged{{Runs: 3}}})
+		n.updateStallGauges(stallSnapshot{charged: []fleet.Charged{{Runs: 3}}})
 		n.Stop(w.ctx)
 		time.Sleep(time.Second)
 		is.Equal(metrics.GetOrRegisterGauge("Planner.RunsNotHeard", n.Metrics).Value(), int64(0))
@@ -117,13 +117,13 @@
 
 // Hundreds of tasks wait at once, as they do when a failure domain is lost. The log stays bounded,
 // says how much was left out, and names each of them in turn.
-func TestLogOfManyWaitsIsBounded(t *testing.T) {
+func TestLogOfManyStallsIsBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := &simLog{begin: time.Now()}
-		s := sighter{log: log.logger("e"), told: make(map[string]tale)}
-		var look sight
+		s := stallMonitor{log: log.logger("e"), reported: make(map[string]stallReport)}
+		var look stallSnapshot
 		for i := range 50 {
 			look.waits = append(look.waits, fleet.Wait{
 				Task:   winch.RunID{Job: fmt.Sprintf("j%02d", i)},
@@ -131,20 +131,20 @@
 			})
 		}
 		for i := range 3 {
-			s.take(look, 0)
-			is.Equal(len(log.find("lasting task waits")), min(50, (i+1)*sightLines))
-			time.Sleep(sightEvery)
+			s.report(look, 0)
+			is.Equal(len(log.find("lasting task waits")), min(50, (i+1)*maxStallLines))
+			time.Sleep(stallCheckInterval)
 		}
 		is.Equal(len(log.find("stall reports omitted", `"lines": 30`)), 1)
 		for i := range look.waits {
 			is.Equal(len(log.find("lasting task waits", look.waits[i].Task.Job)), 1)
 		}
 		look.waits[7].Reason = fleet.WaitLimit
-		s.take(look, 0) // Nothing else is due yet.
+		s.report(look, 0) // Nothing else is due yet.
 		is.Equal(len(log.find("lasting task waits")), 51)
 		is.Equal(len(log.find("lasting task waits", "j07", fleet.WaitLimit.String())), 1)
-		time.Sleep(sightEvery)
-		s.take(sight{}, 0)
-		is.Equal(len(log.find("stall ended")), sightLines)
+		time.Sleep(stallCheckInterval)
+		s.report(stallSnapshot{}, 0)
+		is.Equal(len(log.find("stall ended")), maxStallLines)
 	})
 }
--- a/region/takeover.go
+++ b/region/takeover.go
@@ -13,7 +13,7 @@
 )
 
 // load reads the records that earlier planners left, and retries until that succeeds or ctx ends.
-func (l *lead) load(ctx context.Context) bool {
+func (l *leadership) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		err := l.readAll(ctx)
 		if err == nil {
@@ -27,7 +27,7 @@
 
 // readAll reads the roster and the jobs that have not ended, concurrently: a slow store takes a third
 // of a second for each response, and nothing is started before.
-func (l *lead) readAll(ctx context.Context) error {
+func (l *leadership) readAll(ctx context.Context) error {
 	if l.prefetched == nil {
 		l.prefetched = &prefetched{}
 	}
@@ -45,45 +45,45 @@
 		return err
 	}
 	for _, v := range rosters {
-		if err := l.takeRoster(v); err != nil {
+		if err := l.loadRoster(v); err != nil {
 			return err
 		}
 	}
-	l.jobsAt = jobs.at
-	l.orphans = l.takeJobs(append(jobs.list(), progress.list()...))
+	l.jobsRevision = jobs.revision
+	l.orphans = l.addJobs(append(jobs.list(), progress.list()...))
 	l.prefetched = nil
 	l.node.Log.Info("jobs read from the store", zap.Int("jobs", len(jobs.values)),
 		zap.Int("progress", len(progress.values)), zap.Int("orphans", len(l.orphans)))
-	l.settle()
+	l.applyInherited()
 	return nil
 }
 
 // loadRoster applies the roster that the earlier planner left.
-func (l *lead) takeRoster(v winch.Value) error {
+func (l *leadership) loadRoster(v winch.Value) error {
 	var r roster
 	if err := decode(v.Data, &r); err != nil {
 		return err
 	}
 	var ids []string
 	for _, w := range r.list() {
-		l.before[w.VM.ID] = w
+		l.previousRoster[w.VM.ID] = w
 		l.roster[w.VM.ID] = w
-		l.wanted[w.VM.ID] = rostered{
+		l.desired[w.VM.ID] = rostered{
 			VM: w.VM, Keeper: w.Keeper, Address: w.Address, Earlier: w.Earlier,
 			Turn: w.Turn, Bound: w.Bound,
 		}
 		if w.Settled {
-			l.settled[w.VM.ID] = true
+			l.maybeSettled[w.VM.ID] = true
 		}
 		if w.Bound != 0 {
-			l.mayBound[w.VM.ID] = true
+			l.maybeBound[w.VM.ID] = true
 		}
 		ids = append(ids, w.VM.ID)
 	}
 	l.planner.SetRoster(ids)
-	l.rosterAt, l.rosterRead = v.Version, v.Version
-	if left, all := l.handedLeft(); all {
-		l.planner.Barrier = l.began.Add(left)
+	l.rosterRevision, l.loadedRosterRevision = v.Version, v.Version
+	if left, all := l.handedOverLeft(); all {
+		l.planner.Barrier = l.startedAt.Add(left)
 	}
 	return nil
 }
@@ -91,9 +91,9 @@
 // handedOverLeft returns after how long all work has ended at the workers that had not responded to
 // the previous planner when it handed the office over, and whether that planner recorded such a time
 // for every worker whose runs it did not record.
-func (l *lead) handedLeft() (time.Duration, bool) {
+func (l *leadership) handedOverLeft() (time.Duration, bool) {
 	left := time.Duration(0)
-	for _, w := range l.before {
+	for _, w := range l.previousRoster {
 		if w.Settled {
 			continue
 		}
@@ -108,9 +108,9 @@
 // runFresh determines the revision after which no earlier planner can have started an accepted job:
 // one whose lease the store has ended may believe for a whole lease more that it holds the office,
 // unless its process is known to have ended.
-func (l *lead) runFresh(ctx context.Context) {
-	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Pause(ctx, freshLook) {
-		if _, ended := l.node.cell.endedBy(l.last); ended && l.last != "" {
+func (l *leadership) runFresh(ctx context.Context) {
+	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Pause(ctx, processEndPollInterval) {
+		if _, ended := l.node.cell.endedBy(l.lastHolder); ended && l.lastHolder != "" {
 			break
 		}
 	}
@@ -129,15 +129,15 @@
 
 // applyInherited applies what is known of the workers of an earlier planner: this entry was its
 // standby, or it recorded the running work when it handed the office over.
-func (l *lead) settle() {
-	l.inheritLapses()
-	l.planner.SetGone(l.earlier())
-	for id, w := range l.before {
+func (l *leadership) applyInherited() {
+	l.inheritExpiries()
+	l.planner.SetGone(l.earlierWorkers())
+	for id, w := range l.previousRoster {
 		if w.Settled || w.Bound != 0 {
 			l.planner.SetQuiet(id) // Nothing may start there until the record is changed.
 		}
-		if l.copied != nil {
-			w.Settled, w.Runs = true, l.copied[id]
+		if l.copiedRuns != nil {
+			w.Settled, w.Runs = true, l.copiedRuns[id]
 		}
 		if w.Settled {
 			l.planner.Event(proto.KeepEvent{Kind: proto.EventKnown, Worker: id, Running: w.Runs})
@@ -146,9 +146,9 @@
 }
 
 // earlierWorkers returns the workers that the previous planner used.
-func (l *lead) earlier() []winch.WorkerVM {
-	out := make([]winch.WorkerVM, 0, len(l.before))
-	for _, w := range l.before {
+func (l *leadership) earlierWorkers() []winch.WorkerVM {
+	out := make([]winch.WorkerVM, 0, len(l.previousRoster))
+	for _, w := range l.previousRoster {
 		out = append(out, w.VM)
 	}
 	return out
--- a/region/termbound.go
+++ b/region/termbound.go
@@ -13,11 +13,11 @@
 	// firstContactTimeout is how long workers have to respond to a new planner. After that it is
 	// recorded of the others that this planner has renewed no lease there. Most workers respond within
 	// some milliseconds.
-	unheardTime = 400 * time.Millisecond
+	firstContactTimeout = 400 * time.Millisecond
 	// termRequestTimeout bounds the response of an entry that is asked how long ago terms ended.
-	termAskTime = 500 * time.Millisecond
+	termRequestTimeout = 500 * time.Millisecond
 	// maxTermRequests bounds the entries that are asked.
-	mostTermAsks = 12
+	maxTermRequests = 12
 )
 
 // A planner that has no copy of what the one before knew waits until all work at a worker that does
@@ -28,7 +28,7 @@
 
 // boundOf returns the term from which on nobody may have renewed a lease at a worker that this planner
 // has had no contact with.
-func (l *lead) boundOf(w rostered) uint64 {
+func (l *leadership) boundOf(w rostered) uint64 {
 	if w.Bound != 0 {
 		return w.Bound
 	}
@@ -37,9 +37,9 @@
 
 // recordedBound returns the bound to be recorded for a worker. One that was recorded stays until the
 // worker has responded; a new one is added once most workers have had the time to respond.
-func (l *lead) recordedBound(worker string) uint64 {
-	before := l.before[worker]
-	if l.planner.Heard(worker) || before.Bound == 0 && time.Since(l.began) <= unheardTime {
+func (l *leadership) recordedBound(worker string) uint64 {
+	before := l.previousRoster[worker]
+	if l.planner.Heard(worker) || before.Bound == 0 && time.Since(l.startedAt) <= firstContactTimeout {
 		return 0
 	}
 	return l.boundOf(before)
@@ -52,7 +52,7 @@
 }
 
 // maxTerms bounds the terms that are remembered.
-const mostTerms = 64
+const maxTerms = 64
 
 // noteTerm records that a term has begun. The caller holds the mutex.
 func (c *cellView) noteTerm(term uint64) {
@@ -60,7 +60,7 @@
 		return
 	}
 	c.terms = append(c.terms, termSeen{term, time.Now()})
-	if len(c.terms) > mostTerms {
+	if len(c.terms) > maxTerms {
 		c.terms = c.terms[1:]
 	}
 }
@@ -78,44 +78,44 @@
 }
 
 // sendPendingRenewal sends the renewal of a worker's lease that waited for the roster, if any.
-func (l *lead) renewPending(worker string) {
-	if order, pending := l.renewals[worker]; pending {
-		delete(l.renewals, worker)
+func (l *leadership) sendPendingRenewal(worker string) {
+	if order, pending := l.pendingRenewals[worker]; pending {
+		delete(l.pendingRenewals, worker)
 		l.sendRenewal(order)
 	}
 }
 
 // boundUnresponsive has bounds recorded for the workers that have not responded, and asks other
 // entries how long ago the terms that bound their leases began.
-func (l *lead) boundUnheard() {
-	if l.bounded || time.Since(l.began) <= unheardTime {
+func (l *leadership) boundUnresponsive() {
+	if l.boundsRequested || time.Since(l.startedAt) <= firstContactTimeout {
 		return
 	}
-	l.bounded = true
+	l.boundsRequested = true
 	if l.planner.AllHeard() {
 		return
 	}
-	l.assign = true
+	l.reassignPending = true
 	terms := make(map[uint64]bool)
-	for id, w := range l.before {
+	for id, w := range l.previousRoster {
 		if !l.planner.Heard(id) {
 			terms[l.boundOf(w)] = true
 		}
 	}
 	for i, name := range l.node.Peers.Names() {
-		if i == mostTermAsks {
+		if i == maxTermRequests {
 			break
 		}
 		for term := range terms {
-			l.group.Go(func() { l.askTerm(name, term) })
+			l.group.Go(func() { l.requestTerm(name, term) })
 		}
 	}
 }
 
 // requestTerm asks an entry for how long it has known that a term began, and shortens the wait for
 // workers accordingly.
-func (l *lead) askTerm(name string, term uint64) {
-	ctx, cancel := context.WithTimeout(l.ctx, termAskTime)
+func (l *leadership) requestTerm(name string, term uint64) {
+	ctx, cancel := context.WithTimeout(l.ctx, termRequestTimeout)
 	defer cancel()
 	var resp proto.TermGive
 	if err := l.node.Peers.Ask(ctx, name, proto.KindTerm, proto.TermAsk{Term: term}, &resp); err != nil {
@@ -127,25 +127,25 @@
 		return
 	}
 	began := time.Now().Add(-time.Duration(float64(resp.Age) * (1 - clockDrift)))
-	l.post(func() { l.termBegan(term, began) })
+	l.post(func() { l.applyTermBegan(term, began) })
 }
 
 // applyTermBegan shortens the expiries bounded by a term, which had begun by the given time.
-func (l *lead) termBegan(term uint64, at time.Time) {
-	for id, w := range l.before {
+func (l *leadership) applyTermBegan(term uint64, at time.Time) {
+	for id, w := range l.previousRoster {
 		if l.planner.Heard(id) || l.boundOf(w) != term {
 			continue
 		}
-		earlierPlanners := func(h holding) bool { return h.token == 0 }
-		if l.lapses.shorten(id, at.Add(barrier()), earlierPlanners) {
-			l.lapsed = append(l.lapsed, id)
+		earlierPlanners := func(h assignment) bool { return h.token == 0 }
+		if l.expiries.shorten(id, at.Add(barrier()), earlierPlanners) {
+			l.changedExpiries = append(l.changedExpiries, id)
 		}
 	}
-	l.tellLapses()
+	l.sendExpiries()
 }
 
 // answerTerm returns for how long this entry has known that a term began.
-func (n *Node) giveTerm(req proto.TermAsk) proto.TermGive {
+func (n *Node) answerTerm(req proto.TermAsk) proto.TermGive {
 	at, seen := n.cell.termSeen(req.Term)
 	if !seen {
 		return proto.TermGive{}
--- a/region/undetected_test.go
+++ b/region/undetected_test.go
@@ -12,7 +12,7 @@
 // undetectedDelays returns delays after a worker left in which its keeper, whose last call the worker
 // may still be answering, cannot know of it yet. The steps are small compared with the half second
 // after which an entry renews its own record.
-func unheard() (out []time.Duration) {
+func undetectedDelays() (out []time.Duration) {
 	for after := 975 * time.Millisecond; after < 1600*time.Millisecond; after += 50 * time.Millisecond {
 		out = append(out, after)
 	}
@@ -24,15 +24,15 @@
 // and goes on for two seconds; but if its own record is removed before the next planner has looked,
 // that planner opens no session with it, gets no report until when the worker's lease runs, and waits
 // for the longest possible lease. A lasting task is then down for more than nine seconds.
-func TestPlannerThatKeepsAWorkerStopsBeforeItsSilenceIsNoticed(t *testing.T) {
+func TestPlannerStopsBeforeItsOwnWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
-	for _, after := range unheard() {
+	for _, after := range undetectedDelays() {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := lastingWorld(t, 41)
 				p := w.planner()
-				worker, _ := w.keptBy(p, true)
+				worker, _ := w.workerKeptBy(p, true)
 				w.leave(worker)
 				time.Sleep(after)
 				w.stopsAsPlanned(p, 2*time.Second, 300*time.Millisecond)
@@ -44,14 +44,14 @@
 
 // As above, with an entry that is not the planner: the planner takes the workers from it while it goes
 // on, and gets its report until when their leases run.
-func TestKeeperStopsBeforeTheSilenceOfItsWorkerIsNoticed(t *testing.T) {
+func TestKeeperStopsBeforeItsWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
-	for _, after := range unheard() {
+	for _, after := range undetectedDelays() {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := lastingWorld(t, 42)
-				worker, keeper := w.keptBy(w.planner(), false)
+				worker, keeper := w.workerKeptBy(w.planner(), false)
 				w.leave(worker)
 				time.Sleep(after)
 				w.stopsAsPlanned(keeper, 2*time.Second, 300*time.Millisecond)
@@ -65,17 +65,17 @@
 // killed and restarted. What the lost process had allowed to run ends at most one lease after the end
 // of the process. The fault was to wait for the longest authority that it could have had, counted from
 // when others noticed: lasting tasks stayed down long after all else had recovered.
-func TestKeeperIsKilledBeforeTheSilenceOfItsWorkerIsNoticed(t *testing.T) {
+func TestKeeperIsKilledBeforeItsWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, own := range []bool{true, false} {
-		for _, after := range unheard() {
+		for _, after := range undetectedDelays() {
 			t.Run(fmt.Sprintf("planner %v %v", own, after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					w := lastingWorld(t, 43)
 					w.checksWindows()
 					p := w.planner()
-					worker, keeper := w.keptBy(p, own)
+					worker, keeper := w.workerKeptBy(p, own)
 					w.leave(worker)
 					time.Sleep(after)
 					w.disturb(true)
@@ -94,7 +94,7 @@
 // keeper's report until when the worker's lease runs, and is stopped as planned a moment later, before
 // the worker's next keeper has found it unresponsive. The planner after that gets no report on the
 // worker and waits for the longest possible lease.
-func TestPlannerStopsAfterItHeardOfALeaseAndBeforeTheSilence(t *testing.T) {
+func TestPlannerStopsAfterALeaseReportBeforeTheWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{
 		20 * time.Millisecond, 170 * time.Millisecond, 320 * time.Millisecond,
@@ -106,7 +106,7 @@
 				w := lastingWorld(t, 44)
 				w.checksWindows()
 				p := w.planner()
-				worker, _ := w.keptBy(p, false)
+				worker, _ := w.workerKeptBy(p, false)
 				w.leave(worker)
 				time.Sleep(660 * time.Millisecond)
 				w.disturb(true)
@@ -131,13 +131,13 @@
 // The store is down for eight seconds, and a worker leaves meanwhile. It may be that nobody knows what
 // ran there when the store is back, but all the other workers respond, and the lasting tasks there and
 // elsewhere have to run again soon.
-func TestWorkGoesOnSoonAfterTheStoreWasAway(t *testing.T) {
+func TestWorkResumesSoonAfterAStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := lastingWorld(t, 45)
 		w.checksWindows()
-		w.awayWithoutAWorker()
+		w.storeOutageWithWorkerLoss()
 		w.checkLasting(is, 18)
 	})
 }
@@ -146,20 +146,20 @@
 // office without a copy of what runs waits for as long as the one before it may have had authority. If
 // each counts that anew and is stopped before it has passed, nothing is started in the whole region
 // for as long as the stops go on.
-func TestWorkGoesOnWhileEntriesStopAfterTheStoreWasAway(t *testing.T) {
+func TestWorkResumesWhileEntriesStopAfterAStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := lastingWorld(t, 46)
 		w.checksWindows()
-		w.awayWithoutAWorker()
+		w.storeOutageWithWorkerLoss()
 		w.stopsInSeries(6)
 		w.checkLasting(is, 18)
 	})
 }
 
 // storeOutageWithWorkerLoss takes the store down for eight seconds, while a worker leaves.
-func (w *world) awayWithoutAWorker() {
+func (w *world) storeOutageWithWorkerLoss() {
 	w.disturb(true)
 	w.setDown(true)
 	time.Sleep(3 * time.Second)
@@ -174,7 +174,7 @@
 // takes over and is stopped as planned before the killed entry is back. The planner after that sees
 // the killed entry's next process start, and knows that all leases of the last one expire soon after;
 // but not that the worker's lease is one of them, since it has had another keeper since.
-func TestKilledKeeperIsBackAfterAnotherPlanner(t *testing.T) {
+func TestKilledKeeperRestartsUnderALaterPlanner(t *testing.T) {
 	t.Parallel()
 	for _, again := range []time.Duration{1900 * time.Millisecond, 2100 * time.Millisecond} {
 		t.Run(again.String(), func(t *testing.T) {
@@ -183,7 +183,7 @@
 				w := lastingWorld(t, 47)
 				w.checksWindows()
 				p := w.planner()
-				worker, _ := w.keptBy(p, true)
+				worker, _ := w.workerKeptBy(p, true)
 				killed := time.Now()
 				w.disturb(true)
 				p.kill()
@@ -206,7 +206,7 @@
 // None of them has known the earlier processes; their records say that these have ended, so one lease
 // is waited for and not the longest authority. A lasting task is down for no longer than after the
 // loss of one entry.
-func TestAllEntriesAreKilledAfterAWorkerIsGone(t *testing.T) {
+func TestAllEntriesAreKilledAfterAWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -239,7 +239,7 @@
 // A worker leaves, the store is down, and all entries are killed and restarted meanwhile. Their
 // records have expired when the store is back, so nobody saw that the keepers named in the roster have
 // ended; counted from the takeover, the wait for the worker would begin anew.
-func TestKeepersThatEndedWhileTheStoreWasAwayAreNotWaitedFor(t *testing.T) {
+func TestKeepersThatEndedDuringAStoreOutageAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -262,7 +262,7 @@
 		}
 		t.Log("all run again", time.Since(back), "after the store is back")
 		is.True(time.Since(back) < downMost)
-		w.endOnce()
+		w.endWithoutDowntimeCheck()
 	})
 }
 
--- a/region/workerlist.go
+++ b/region/workerlist.go
@@ -8,9 +8,9 @@
 )
 
 // followWorkers keeps the worker list up to date.
-func (l *lead) followWorkers(ctx context.Context) {
+func (l *leadership) followWorkers(ctx context.Context) {
 	codec := l.node.Codec
-	l.node.follow(ctx, codec.WorkerPrefix(), pacing{gap: workersGap, asked: l.listAsked}, func(values []winch.Value) {
+	l.node.follow(ctx, codec.WorkerPrefix(), pacing{gap: workersPollInterval, asked: l.noteListAsOf}, func(values []winch.Value) {
 		l.post(func() {
 			listed := make(map[string]bool)
 			for _, v := range values {
@@ -42,27 +42,27 @@
 }
 
 // noteListAsOf records the time at which the list was current.
-func (l *lead) listAsked(at time.Time) {
-	l.post(func() { l.listAt = at })
+func (l *leadership) noteListAsOf(at time.Time) {
+	l.post(func() { l.listAsOf = at })
 }
 
-func (l *lead) listWorker(vm winch.WorkerVM) {
+func (l *leadership) listWorker(vm winch.WorkerVM) {
 	delete(l.missing, vm.ID)
 	l.workers[vm.ID] = vm
 }
 
 // unlistWorker records that a worker's record has disappeared. Records also expire while the store is
 // down and then come back, so a worker counts as removed only after workerReturnTimeout.
-func (l *lead) unlistWorker(id string) {
+func (l *leadership) unlistWorker(id string) {
 	if _, known := l.workers[id]; known {
 		if _, noted := l.missing[id]; !noted {
-			l.missing[id] = time.Now().Add(returnTime)
+			l.missing[id] = time.Now().Add(workerReturnTimeout)
 		}
 	}
 }
 
 // dropMissing removes the workers whose records did not come back.
-func (l *lead) dropMissing() {
+func (l *leadership) dropMissing() {
 	dropped := false
 	for id, until := range l.missing {
 		if time.Now().After(until) {
@@ -77,12 +77,12 @@
 }
 
 // setWorkers passes the list to the planner and has new workers recorded.
-func (l *lead) setWorkers() {
+func (l *leadership) setWorkers() {
 	list := make([]winch.WorkerVM, 0, len(l.workers))
 	for _, vm := range l.workers {
 		list = append(list, vm)
 	}
 	l.planner.SetWorkers(list)
-	l.planner.SetGone(l.earlier())
+	l.planner.SetGone(l.earlierWorkers())
 	l.reassignSoon()
 }
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -478,7 +478,7 @@
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
 		if n.node != nil {
-			if l := n.node.lead.Load(); l != nil && l.valid.Load().left() > 0 {
+			if l := n.node.lead.Load(); l != nil && l.validity.Load().remaining() > 0 {
 				return n
 			}
 		}
