--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -20,21 +20,21 @@
 
 const (
 	// DefaultHeartbeatInterval is how often an entry sends its heartbeat.
-	DefaultBeat = time.Second
+	DefaultHeartbeatInterval = time.Second
 	// maxMissedHeartbeats is for how many heartbeat intervals a peer may be unresponsive before it
 	// is removed from the view.
-	beatsMissed = 3
+	maxMissedHeartbeats = 3
 	// listInterval is how often the platform's list is read.
-	listEvery = time.Second
+	listInterval = time.Second
 	// listTimeout bounds one read of the list.
 	listTimeout = 2 * time.Second
 )
 
 // Peer is another entry, with its last heartbeat and the time at which that arrived.
 type Peer struct {
-	Name string
-	Seen time.Time
-	Beat proto.Beat
+	Name        string
+	LastContact time.Time
+	Beat        proto.Beat
 }
 
 // View is a consistent snapshot of the cell. It must not be changed.
@@ -83,7 +83,7 @@
 }
 
 // WithRole returns the VMs of one role.
-func (v *View) OfRole(role winch.Role) []winch.VM {
+func (v *View) WithRole(role winch.Role) []winch.VM {
 	return slices.DeleteFunc(slices.Clone(v.VMs), func(vm winch.VM) bool { return vm.Role != role })
 }
 
@@ -125,21 +125,21 @@
 }
 
 // Tracker maintains the view. Set the exported fields before calling Prepare and Run.
-type Keeper struct {
-	Self   string
-	Domain string
-	Every  time.Duration
-	Peers  winch.Peers
-	Lister winch.Lister
+type Tracker struct {
+	Self              string
+	Domain            string
+	HeartbeatInterval time.Duration
+	Peers             winch.Peers
+	Lister            winch.Lister
 	// Heartbeat returns the heartbeat to send.
-	Beat func(ctx context.Context) proto.Beat
+	Heartbeat func(ctx context.Context) proto.Beat
 	// OnChange is called after the set of live peers, whether one of them is leaving, or the VM
 	// list has changed.
-	Changed func()
+	OnChange func()
 	// OnHeartbeat is called after each heartbeat of a peer.
-	Heard   func(name string, beat proto.Beat)
-	Duty    *duty.Duty
-	Metrics metrics.Registry
+	OnHeartbeat func(name string, beat proto.Beat)
+	Duty        *duty.Duty
+	Metrics     metrics.Registry
 
 	peers   map[string]Peer
 	vms     []winch.VM
@@ -150,9 +150,9 @@
 }
 
 // Prepare initializes the tracker. It has to be called before Run.
-func (t *Keeper) Prepare() {
-	if t.Every == 0 {
-		t.Every = DefaultBeat
+func (t *Tracker) Prepare() {
+	if t.HeartbeatInterval == 0 {
+		t.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 	if t.Metrics == nil {
 		t.Metrics = metrics.NewRegistry()
@@ -165,25 +165,25 @@
 }
 
 // View returns the current view.
-func (t *Keeper) View() *View {
+func (t *Tracker) View() *View {
 	return t.view.Load()
 }
 
 // Leave marks this entry as leaving and sends a heartbeat at once to notify the peers.
-func (t *Keeper) Leave(ctx context.Context) {
+func (t *Tracker) Leave(ctx context.Context) {
 	t.leaving.Store(true)
 	_ = t.Duty.Do(ctx, t.publish)
-	t.Changed()
+	t.OnChange()
 	t.send(ctx)
 }
 
 // Announce sends a heartbeat at once.
-func (t *Keeper) Announce(ctx context.Context) {
+func (t *Tracker) Announce(ctx context.Context) {
 	t.send(ctx)
 }
 
 // publish replaces the view by a new snapshot.
-func (t *Keeper) publish() {
+func (t *Tracker) publish() {
 	v := &View{Self: t.Self, Domain: t.Domain, Leaving: t.leaving.Load(), VMs: t.vms, Listed: t.listed}
 	v.Peers = make(map[string]Peer, len(t.peers))
 	for name, p := range t.peers {
@@ -193,30 +193,30 @@
 }
 
 // Receive handles a peer's heartbeat.
-func (t *Keeper) Receive(from string, beat proto.Beat) {
+func (t *Tracker) Receive(from string, beat proto.Beat) {
 	_ = t.Duty.Post(func() {
 		old, known := t.peers[from]
-		t.peers[from] = Peer{Name: from, Seen: time.Now(), Beat: beat}
+		t.peers[from] = Peer{Name: from, LastContact: time.Now(), Beat: beat}
 		t.publish()
 		if !known || old.Beat.Leaving != beat.Leaving {
-			t.Changed()
+			t.OnChange()
 		}
-		t.Heard(from, beat)
+		t.OnHeartbeat(from, beat)
 	})
 }
 
 // Run executes the tracker's duty and removes unresponsive peers until ctx ends. RunHeartbeats
 // sends heartbeats and RunList reads the VM list, so that a slow platform does not delay
 // heartbeats.
-func (t *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(t.Every)
+func (t *Tracker) Run(ctx context.Context) {
+	ticker := time.NewTicker(t.HeartbeatInterval)
 	defer ticker.Stop()
 	t.Duty.Every(ctx, ticker.C, t.prune)
 }
 
 // RunHeartbeats sends heartbeats until ctx ends.
-func (t *Keeper) RunBeats(ctx context.Context) {
-	ticker := time.NewTicker(t.Every)
+func (t *Tracker) RunHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(t.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		t.send(ctx)
@@ -229,8 +229,8 @@
 }
 
 // send sends a heartbeat to all peers.
-func (t *Keeper) send(ctx context.Context) {
-	beat := t.Beat(ctx)
+func (t *Tracker) send(ctx context.Context) {
+	beat := t.Heartbeat(ctx)
 	beat.Domain = t.Domain
 	beat.Leaving = t.leaving.Load()
 	for _, name := range t.Peers.Names() {
@@ -239,25 +239,25 @@
 }
 
 // prune removes peers whose last heartbeat is too old.
-func (t *Keeper) prune() {
-	oldest := time.Now().Add(-beatsMissed * t.Every)
+func (t *Tracker) prune() {
+	oldest := time.Now().Add(-maxMissedHeartbeats * t.HeartbeatInterval)
 	removed := false
 	for name, p := range t.peers {
-		if p.Seen.Before(oldest) {
+		if p.LastContact.Before(oldest) {
 			delete(t.peers, name)
 			removed = true
 		}
 	}
 	if removed {
 		t.publish()
-		t.Changed()
+		t.OnChange()
 	}
 }
 
 // RunList reads the platform's VM list periodically until ctx ends. While the platform is
 // unavailable, the last list remains in use.
-func (t *Keeper) RunList(ctx context.Context) {
-	ticker := time.NewTicker(listEvery)
+func (t *Tracker) RunList(ctx context.Context) {
+	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
 	for {
 		t.readList(ctx)
@@ -270,7 +270,7 @@
 }
 
 // readList reads the VM list once and updates the view if the list has changed.
-func (t *Keeper) readList(ctx context.Context) {
+func (t *Tracker) readList(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, version, err := t.Lister.VMs(callCtx, t.version)
@@ -285,6 +285,6 @@
 	_ = t.Duty.Do(ctx, func() {
 		t.vms, t.version, t.listed = list, version, true
 		t.publish()
-		t.Changed()
+		t.OnChange()
 	})
 }
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -5,9 +5,9 @@
 
 const (
 	// retriesPerAttempt is how many retries each first attempt adds to the budget.
-	ratio = 0.1
+	retriesPerAttempt = 0.1
 	// maxBudget bounds the retries that a budget may accumulate.
-	most = 10.0
+	maxBudget = 10.0
 )
 
 // Key identifies a budget.
@@ -19,31 +19,31 @@
 // load while everything fails, when there is the least capacity for it, so that a short outage
 // does not end by itself.
 type Budgets struct {
-	mu   sync.Mutex
-	left map[Key]float64 // remaining holds the retries left in each budget.
+	mu        sync.Mutex
+	remaining map[Key]float64 // remaining holds the retries left in each budget.
 }
 
 // Earn counts a first attempt. A new budget is half full.
 func (b *Budgets) Earn(k Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left == nil {
-		b.left = make(map[Key]float64)
+	if b.remaining == nil {
+		b.remaining = make(map[Key]float64)
 	}
-	budget, ok := b.left[k]
+	budget, ok := b.remaining[k]
 	if !ok {
-		budget = most / 2
+		budget = maxBudget / 2
 	}
-	b.left[k] = min(most, budget+ratio)
+	b.remaining[k] = min(maxBudget, budget+retriesPerAttempt)
 }
 
 // Spend takes one retry out of a budget and reports whether there was one left.
 func (b *Budgets) Spend(k Key) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left[k] < 1 {
+	if b.remaining[k] < 1 {
 		return false
 	}
-	b.left[k]--
+	b.remaining[k]--
 	return true
 }
--- a/coord/route/route.go
+++ b/coord/route/route.go
@@ -9,19 +9,19 @@
 )
 
 // candidate is an entry that has executors of the service.
-type choice struct {
+type candidate struct {
 	name string
 	load proto.Load
 	near bool // near is set for an entry in the same failure domain.
 }
 
 // free returns the number of slots that are neither busy nor claimed by queued calls.
-func (c choice) free() int {
+func (c candidate) free() int {
 	return c.load.Slots - c.load.Busy - c.load.Queued
 }
 
 // utilization returns the number of calls per slot.
-func (c choice) full() float64 {
+func (c candidate) utilization() float64 {
 	return float64(c.load.Busy+c.load.Queued) / float64(max(1, c.load.Slots))
 }
 
@@ -31,13 +31,13 @@
 // it takes the less loaded of two random entries. If no entry has a free slot, it takes the less
 // loaded of two random entries of all. The entries in skip have already been asked.
 func Pick(view *member.View, service string, own []proto.Load, skip map[string]bool, rnd *rand.Rand) string {
-	var near, far, all []choice
+	var near, far, all []candidate
 	consider := func(name string, loads []proto.Load, isNear bool) {
 		for _, l := range loads {
 			if l.Service != service || l.Slots == 0 || skip[name] {
 				continue
 			}
-			c := choice{name, l, isNear}
+			c := candidate{name, l, isNear}
 			all = append(all, c)
 			switch {
 			case c.free() <= 0:
@@ -59,18 +59,18 @@
 			consider(p.Name, p.Beat.Loads, p.Beat.Domain == view.Domain)
 		}
 	}
-	for _, group := range [][]choice{near, far, all} {
+	for _, group := range [][]candidate{near, far, all} {
 		if len(group) > 0 {
-			return lesser(group, rnd)
+			return lessLoaded(group, rnd)
 		}
 	}
 	return ""
 }
 
 // lessLoaded returns the name of the less loaded of two random entries of a group.
-func lesser(group []choice, rnd *rand.Rand) string {
+func lessLoaded(group []candidate, rnd *rand.Rand) string {
 	a, b := group[rnd.IntN(len(group))], group[rnd.IntN(len(group))]
-	if b.full() < a.full() {
+	if b.utilization() < a.utilization() {
 		return b.name
 	}
 	return a.name
--- a/entry/alive.go
+++ b/entry/alive.go
@@ -209,7 +209,7 @@
 // name the entry's VM any more. Entries that were never listed do not count.
 func (e *Entry) listedGone(name string) bool {
 	view := e.members.View()
-	entries := view.OfRole(winch.RoleEntry)
+	entries := view.WithRole(winch.RoleEntry)
 	if !view.Listed || len(entries) == 0 {
 		return false
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -44,7 +44,7 @@
 	incarnation string
 	held        config.Held
 	editor      config.Editor
-	members     *member.Keeper
+	members     *member.Tracker
 	table       *slots.Table
 	units       *quota.Holder
 	jobs        *ledger.Ledger
@@ -109,10 +109,10 @@
 func (e *Entry) holderName() string { return e.Name() + "/" + e.incarnation }
 
 func (e *Entry) prepareMembers() {
-	e.members = &member.Keeper{
-		Self: e.Name(), Domain: e.Domain(), Every: e.Settings.Timing.Heartbeat,
-		Peers: e.Peers, Lister: e.Lister, Beat: e.beat, Heard: e.heard, Metrics: e.Metrics,
-		Changed: func() { poke(e.rehome) },
+	e.members = &member.Tracker{
+		Self: e.Name(), Domain: e.Domain(), HeartbeatInterval: e.Settings.Timing.Heartbeat,
+		Peers: e.Peers, Lister: e.Lister, Heartbeat: e.beat, OnHeartbeat: e.heard, Metrics: e.Metrics,
+		OnChange: func() { poke(e.rehome) },
 	}
 	e.members.Prepare()
 }
@@ -191,7 +191,7 @@
 func (e *Entry) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	duties := []func(context.Context){
-		e.members.Run, e.members.RunBeats, e.members.RunList,
+		e.members.Run, e.members.RunHeartbeats, e.members.RunList,
 		e.table.Run, e.units.Duty.Run, e.units.Run,
 		e.jobs.Run, e.calls.Run,
 		e.office.Duty.Run, e.office.Quota.Run, e.office.Run,
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -31,7 +31,7 @@
 func (e *Entry) settleHomes(ctx context.Context) {
 	view := e.members.View()
 	var mine []winch.VM
-	for _, vm := range view.OfRole(winch.RoleExecutor) {
+	for _, vm := range view.WithRole(winch.RoleExecutor) {
 		if view.Home(vm) == e.Name() {
 			mine = append(mine, vm)
 		}
--- a/entry/oper.go
+++ b/entry/oper.go
@@ -110,7 +110,7 @@
 			out.Missing = append(out.Missing, name)
 		}
 	}
-	for _, vm := range view.OfRole(winch.RoleEntry) {
+	for _, vm := range view.WithRole(winch.RoleEntry) {
 		if _, live := view.Peers[vm.ID]; !live && vm.ID != e.Name() {
 			out.Missing = append(out.Missing, vm.ID)
 		}
--- a/region/accept.go
+++ b/region/accept.go
@@ -14,21 +14,21 @@
 
 const (
 	// acceptQueueSize bounds the submissions that wait to be written.
-	acceptRing = 1024
+	acceptQueueSize = 1024
 	// maxAcceptBatch is how many submissions, of two conditions and two writes each, one
 	// transaction may carry.
-	acceptMost = winch.TxnEntries / 4
+	maxAcceptBatch = winch.TxnEntries / 4
 	// concurrentAccepts is how many transactions may be outstanding at once, so that one whose
 	// response is lost does not delay the others.
-	acceptors = 4
+	concurrentAccepts = 4
 	// retryAfter is after how long a refused caller may retry.
 	retryAfter = time.Second
 )
 
 // acceptor writes submissions to the store, several in one transaction.
 type acceptor struct {
-	node *Node
-	ring chan *submission
+	node  *Node
+	queue chan *submission
 }
 
 // submission is a job that a caller has submitted; done receives the result for the caller.
@@ -39,24 +39,24 @@
 
 func (a *acceptor) prepare(n *Node) {
 	a.node = n
-	a.ring = make(chan *submission, acceptRing)
+	a.queue = make(chan *submission, acceptQueueSize)
 }
 
 func (a *acceptor) run(ctx context.Context) {
 	var group conc.WaitGroup
-	for range acceptors {
-		group.Go(func() { a.write(ctx) })
+	for range concurrentAccepts {
+		group.Go(func() { a.writeBatches(ctx) })
 	}
 	group.Wait()
 }
 
 // writeBatches commits queued submissions, one batch at a time, until ctx ends.
-func (a *acceptor) write(ctx context.Context) {
+func (a *acceptor) writeBatches(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-a.ring:
+		case first := <-a.queue:
 			a.commit(ctx, a.gather(first))
 		}
 	}
@@ -67,11 +67,11 @@
 func (a *acceptor) gather(first *submission) []*submission {
 	batch := []*submission{first}
 	seen := map[string]bool{first.job.ID: true}
-	for len(batch) < acceptMost {
+	for len(batch) < maxAcceptBatch {
 		select {
-		case s := <-a.ring:
+		case s := <-a.queue:
 			if seen[s.job.ID] {
-				a.put(s)
+				a.enqueue(s)
 				return batch
 			}
 			seen[s.job.ID] = true
@@ -84,9 +84,9 @@
 }
 
 // enqueue queues a submission. It refuses the submission if the queue is full.
-func (a *acceptor) put(s *submission) {
+func (a *acceptor) enqueue(s *submission) {
 	select {
-	case a.ring <- s:
+	case a.queue <- s:
 	default:
 		s.done <- winch.RefuseFor(winch.QueueFull, "too many submissions wait to be stored", retryAfter)
 	}
@@ -110,26 +110,26 @@
 			a.accepted(batch, revision)
 			return
 		case errors.As(err, &conflict):
-			remaining := a.known(batch, conflict)
+			remaining := a.answerStored(batch, conflict)
 			if len(remaining) == len(batch) {
-				a.answer(batch, winch.Uncertain(winch.StoreUnavailable, "the store's answer does not tell what is stored"))
+				a.answerAll(batch, winch.Uncertain(winch.StoreUnavailable, "the store's answer does not tell what is stored"))
 				return
 			}
 			batch = remaining
 		case errors.Is(err, winch.ErrUnavailable):
 			a.node.Log.Info("submissions not stored; callers told to retry", zap.Int("count", len(batch)), zap.Error(err))
-			a.answer(batch, winch.RefuseFor(winch.StoreUnavailable, "the store did not take the submission", retryAfter))
+			a.answerAll(batch, winch.RefuseFor(winch.StoreUnavailable, "the store did not take the submission", retryAfter))
 			return
 		default:
 			a.node.Log.Info("store did not confirm submissions; callers told to submit again", zap.Int("count", len(batch)), zap.Error(err))
-			a.answer(batch, winch.Uncertain(winch.StoreUnavailable, "the store did not answer; submit again with the same ID"))
+			a.answerAll(batch, winch.Uncertain(winch.StoreUnavailable, "the store did not answer; submit again with the same ID"))
 			return
 		}
 	}
 }
 
 // answerStored answers the submissions that were accepted before and returns the others.
-func (a *acceptor) known(batch []*submission, conflict *winch.ConflictError) []*submission {
+func (a *acceptor) answerStored(batch []*submission, conflict *winch.ConflictError) []*submission {
 	var remaining []*submission
 	for _, s := range batch {
 		if conflict.Current[keyJob(s.job.ID)].Version != 0 || conflict.Current[keyEnded(s.job.ID)].Version != 0 {
@@ -142,7 +142,7 @@
 }
 
 // answerAll answers all submissions of a batch with the same result.
-func (a *acceptor) answer(batch []*submission, result winch.Result) {
+func (a *acceptor) answerAll(batch []*submission, result winch.Result) {
 	for _, s := range batch {
 		s.done <- result
 	}
@@ -158,7 +158,7 @@
 		a.node.Log.Info("accepted", zap.String("job", s.job.ID), zap.String("queue", s.job.Queue), zap.String("team", s.job.Team), zap.Uint64("revision", revision))
 		msg.Jobs = append(msg.Jobs, proto.AcceptedJob{Job: *s.job, Revision: revision, Command: s.job.Command})
 	}
-	a.node.tellPlanner(proto.KindAccepted, msg)
+	a.node.notifyPlanner(proto.KindAccepted, msg)
 }
 
 // Submit implements winch.Region. It returns when the job is stored, when storing it has failed or
@@ -169,7 +169,7 @@
 	}
 	job.Origin = n.Name
 	s := &submission{job: job, done: make(chan winch.Result, 1)}
-	n.accept.put(s)
+	n.accept.enqueue(s)
 	select {
 	case result := <-s.done:
 		return result
--- a/region/assign.go
+++ b/region/assign.go
@@ -65,7 +65,7 @@
 func (l *leadership) askEarlierKeepers() {
 	for _, w := range l.previousRoster {
 		if !l.askedKeepers[w.Keeper] && l.proxies[w.Keeper] == nil && l.reachable(w.Keeper) {
-			l.sendSet(w.Keeper)
+			l.sendAssignments(w.Keeper)
 		}
 		l.askedKeepers[w.Keeper] = l.askedKeepers[w.Keeper] || l.proxies[w.Keeper] != nil
 	}
@@ -81,7 +81,7 @@
 // chooseKeepers chooses the keepers, and has them recorded where they differ from the roster.
 func (l *leadership) chooseKeepers(held []winch.WorkerVM, live map[string]member) {
 	pools := newKeeperPools(live, l.busyEntries()...)
-	wanted := make(map[string]rostered, len(held))
+	wanted := make(map[string]rosteredWorker, len(held))
 	workers := make(map[string]int)
 	for _, vm := range held {
 		pools.add(l.desired[vm.ID].Keeper)
@@ -112,15 +112,15 @@
 // stands for those left out, of which nothing can be learnt any more.
 const maxEarlierKeepers = 16
 
-func sameRosterRecord(a, b rostered) bool {
-	return a.Keeper == b.Keeper && a.Turn == b.Turn && a.VM.Born == b.VM.Born && a.Settled == b.Settled && a.Bound == b.Bound && slices.Equal(a.Earlier, b.Earlier)
+func sameRosterRecord(a, b rosteredWorker) bool {
+	return a.Keeper == b.Keeper && a.Generation == b.Generation && a.VM.Born == b.VM.Born && a.Settled == b.Settled && a.Bound == b.Bound && slices.Equal(a.Earlier, b.Earlier)
 }
 
 // generationOf returns the generation of a worker's assignment to a keeper: a new one if the keeper
 // has changed.
 func (l *leadership) generationOf(worker, keeper string) uint64 {
-	if last := l.desired[worker]; last.Keeper == keeper && last.Turn != 0 {
-		return last.Turn
+	if last := l.desired[worker]; last.Keeper == keeper && last.Generation != 0 {
+		return last.Generation
 	}
 	l.generations++
 	return l.term*generationsPerTerm + l.generations
@@ -131,18 +131,18 @@
 // again. Without that, if the planner and its standby were lost together, the next planner would have
 // to delay all other work until everything there has surely ended. The record is not complete before
 // it is known what an earlier planner started there.
-func (l *leadership) rosterRecord(vm winch.WorkerVM, keeper string, turn uint64) rostered {
+func (l *leadership) rosterRecord(vm winch.WorkerVM, keeper string, turn uint64) rosteredWorker {
 	last := l.desired[vm.ID]
-	out := rostered{VM: vm, Keeper: keeper, Address: last.Address, Turn: turn}
+	out := rosteredWorker{VM: vm, Keeper: keeper, Address: last.Address, Generation: turn}
 	if !l.expiries.renewable[vm.ID] {
 		out.Earlier = last.Earlier
 	}
-	if last.Turn != turn {
+	if last.Generation != turn {
 		out.Address = l.node.cell.addressOf(keeper)
 		if last.Keeper != "" {
-			out.Earlier = append(slices.Clone(out.Earlier), keeping{last.Keeper, last.Address, last.Turn})
+			out.Earlier = append(slices.Clone(out.Earlier), earlierKeeper{last.Keeper, last.Address, last.Generation})
 			if n := len(out.Earlier); n > maxEarlierKeepers {
-				out.Earlier = append([]keeping{{}}, out.Earlier[n-maxEarlierKeepers+1:]...)
+				out.Earlier = append([]earlierKeeper{{}}, out.Earlier[n-maxEarlierKeepers+1:]...)
 			}
 		}
 	}
@@ -167,9 +167,9 @@
 func (l *leadership) activateKeepers(held []winch.WorkerVM, live map[string]member) {
 	changed := make(map[string]bool)
 	for _, vm := range held {
-		name, turn := l.desired[vm.ID].Keeper, l.desired[vm.ID].Turn
+		name, turn := l.desired[vm.ID].Keeper, l.desired[vm.ID].Generation
 		recorded := l.roster[vm.ID]
-		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Turn != turn || recorded.VM.Born != vm.Born {
+		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Generation != turn || recorded.VM.Born != vm.Born {
 			continue
 		}
 		if l.keepers[vm.ID] == name && l.kept[vm.ID].Turn == turn {
@@ -183,14 +183,14 @@
 		}
 		changed[name] = true
 		l.tokens++
-		l.keep(vm.ID, name, proto.Kept{
+		l.recordAssignment(vm.ID, name, proto.Kept{
 			VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Turn: turn,
 			Empty: l.planner.Empty(vm.ID),
 		})
 	}
 	l.dropUnheld(held, changed)
 	for name := range changed {
-		l.sendSet(name)
+		l.sendAssignments(name)
 	}
 }
 
@@ -203,7 +203,7 @@
 	for id, name := range l.keepers {
 		if !held[id] {
 			l.expiries.forget(id) // No run that the planner knows of is left there.
-			l.unkeep(id)
+			l.removeAssignment(id)
 			changed[name] = true
 		}
 	}
--- a/region/cell.go
+++ b/region/cell.go
@@ -17,11 +17,11 @@
 
 // endedBootRetention is how long an ended boot of an entry is remembered. It is longer than
 // any lease that the boot can have granted.
-const endedKept = time.Minute
+const endedBootRetention = time.Minute
 
 // maxEarlierBoots bounds the earlier boots that a record names. An entry that is killed
 // repeatedly starts about once a second, and a lease lasts five seconds.
-const mostBefore = 8
+const maxEarlierBoots = 8
 
 // cellView is the local copy of the cell's records in the store. The cell is the set of
 // entries that run one region; its records are those of the entries, the office, the last
@@ -31,54 +31,54 @@
 	members map[string]member // members holds the present records by node.
 	// lastRecords holds the latest record of each node, also after its removal. endedBoots
 	// holds, by name, a time by which the boot had ended: another one listens at its address.
-	last  map[string]member
-	ended map[string]time.Time
+	lastRecords map[string]member
+	endedBoots  map[string]time.Time
 	// currentBoots holds the present boot of each node.
-	began  map[string]sighting
-	office office
+	currentBoots map[string]observedBoot
+	office       office
 	// officeRevision and termRevision are the revisions of the records; zero if there is none.
-	officeAt uint64
-	term     office
-	termAt   uint64
+	officeRevision uint64
+	term           office
+	termRevision   uint64
 	// terms holds when later terms were first seen, the earliest first.
 	terms []termSeen
 	// standby is the recorded standby of the last planner.
-	standby   standbyRecord
-	standbyAt uint64
-	read      bool // loaded is set once all records have been read.
+	standby         standbyRecord
+	standbyRevision uint64
+	loaded          bool // loaded is set once all records have been read.
 }
 
 // observedBoot is a boot of an entry whose record was seen.
-type sighting struct {
-	name     string
-	revision uint64    // revision is that of the first record seen of the boot.
-	since    time.Time // runningSince is a time at which the boot was already running.
+type observedBoot struct {
+	name         string
+	revision     uint64    // revision is that of the first record seen of the boot.
+	runningSince time.Time // runningSince is a time at which the boot was already running.
 }
 
 // maxClockDrift is the fraction by which an entry's clock may run too fast.
-const clockDrift = 0.025
+const maxClockDrift = 0.025
 
 // runningSince returns a time at which the boot that wrote the record was already running.
 // The record has to be one that has just arrived.
-func (m *member) since() time.Time {
-	return time.Now().Add(-time.Duration(float64(m.Up) * (1 - clockDrift)))
+func (m *member) runningSince() time.Time {
+	return time.Now().Add(-time.Duration(float64(m.Up) * (1 - maxClockDrift)))
 }
 
 // initBoots creates the maps of boots. The caller holds the mutex.
-func (c *cellView) prepare() {
-	if c.last == nil {
-		c.last, c.ended, c.began = make(map[string]member), make(map[string]time.Time), make(map[string]sighting)
+func (c *cellView) initBoots() {
+	if c.lastRecords == nil {
+		c.lastRecords, c.endedBoots, c.currentBoots = make(map[string]member), make(map[string]time.Time), make(map[string]observedBoot)
 	}
 }
 
 // apply updates the view with a change of one key.
-func (c *cellView) take(e winch.Event) {
+func (c *cellView) apply(e winch.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.members == nil {
 		c.members = make(map[string]member)
 	}
-	c.prepare()
+	c.initBoots()
 	switch {
 	case strings.HasPrefix(e.Key, prefixNode):
 		name := strings.TrimPrefix(e.Key, prefixNode)
@@ -88,49 +88,49 @@
 			return
 		}
 		c.members[name] = m
-		c.succeeds(c.last[name], m)
-		c.noteEnded(m.since(), m.Before...)
-		c.last[name] = m
-		if c.began[name].name != m.Name {
-			c.began[name] = sighting{m.Name, e.Version, m.since()}
+		c.noteReplaced(c.lastRecords[name], m)
+		c.noteEnded(m.runningSince(), m.Before...)
+		c.lastRecords[name] = m
+		if c.currentBoots[name].name != m.Name {
+			c.currentBoots[name] = observedBoot{m.Name, e.Version, m.runningSince()}
 		}
 	case e.Key == keyOffice:
-		c.office, c.officeAt = office{}, 0
+		c.office, c.officeRevision = office{}, 0
 		if !e.Deleted && decode(e.Data, &c.office) == nil {
-			c.officeAt = e.Version
+			c.officeRevision = e.Version
 		}
 	case e.Key == keyTerm:
 		if !e.Deleted && decode(e.Data, &c.term) == nil {
-			c.termAt = e.Version
+			c.termRevision = e.Version
 			c.noteTerm(c.term.Term)
 		}
 	case e.Key == keyStandby:
 		if !e.Deleted && decode(e.Data, &c.standby) == nil {
-			c.standbyAt = e.Version
+			c.standbyRevision = e.Version
 		}
 	}
 }
 
 // noteReplaced records that the boot of the old record has ended, if another boot now
 // listens at its address. The caller holds the mutex.
-func (c *cellView) succeeds(old, next member) {
+func (c *cellView) noteReplaced(old, next member) {
 	if old.Name == "" || old.Name == next.Name || old.Address != next.Address {
 		return
 	}
-	c.noteEnded(next.since(), old.Name)
+	c.noteEnded(next.runningSince(), old.Name)
 }
 
 // noteEnded records a time by which the named boots had ended. An earlier note of a boot
 // stays. The caller holds the mutex.
 func (c *cellView) noteEnded(by time.Time, names ...string) {
-	for name, at := range c.ended {
-		if time.Since(at) > endedKept {
-			delete(c.ended, name)
+	for name, at := range c.endedBoots {
+		if time.Since(at) > endedBootRetention {
+			delete(c.endedBoots, name)
 		}
 	}
 	for _, name := range names {
-		if _, noted := c.ended[name]; !noted {
-			c.ended[name] = by
+		if _, noted := c.endedBoots[name]; !noted {
+			c.endedBoots[name] = by
 		}
 	}
 }
@@ -140,7 +140,7 @@
 func (c *cellView) endedBy(name string) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, ok := c.ended[name]
+	at, ok := c.endedBoots[name]
 	return at, ok
 }
 
@@ -150,8 +150,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for node, m := range c.members {
-		if s := c.began[node]; m.Address == address && m.Name != name && s.name == m.Name && s.revision > revision {
-			c.noteEnded(s.since, name)
+		if s := c.currentBoots[node]; m.Address == address && m.Name != name && s.name == m.Name && s.revision > revision {
+			c.noteEnded(s.runningSince, name)
 		}
 	}
 }
@@ -169,10 +169,10 @@
 }
 
 // noteEarlierBoot records that an earlier boot of this entry had ended when this one began.
-func (c *cellView) noteEndedHere(name string, began time.Time) {
+func (c *cellView) noteEarlierBoot(name string, began time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.prepare()
+	c.initBoots()
 	c.noteEnded(began, name)
 }
 
@@ -181,11 +181,11 @@
 func (c *cellView) reset(values []winch.Value) {
 	c.mu.Lock()
 	c.members = make(map[string]member)
-	c.office, c.officeAt = office{}, 0
-	c.read = true
+	c.office, c.officeRevision = office{}, 0
+	c.loaded = true
 	c.mu.Unlock()
 	for _, v := range values {
-		c.take(winch.Event{Value: v})
+		c.apply(winch.Event{Value: v})
 	}
 }
 
@@ -222,13 +222,13 @@
 }
 
 // watchCell watches the cell's records until ctx ends.
-func (n *Node) runCell(ctx context.Context) {
-	n.follow(ctx, prefixCell, pacing{wait: followWait}, func(values []winch.Value) {
+func (n *Node) watchCell(ctx context.Context) {
+	n.watch(ctx, prefixCell, watchOptions{wait: maxWatchWait}, func(values []winch.Value) {
 		n.cell.reset(values)
 		n.cellChanged()
 	}, func(events []winch.Event) {
 		for _, e := range events {
-			n.cell.take(e)
+			n.cell.apply(e)
 		}
 		n.cellChanged()
 	})
@@ -242,64 +242,64 @@
 }
 
 // fullBatch is the number of changes in one response from which on more may be pending.
-const manyEvents = 100
+const fullBatch = 100
 
 // watchOptions says how changes are watched. Either each call waits for a change, or calls
 // are separated by a delay and return all changes since the last one.
-type pacing struct {
-	wait time.Duration // wait is how long one call waits for a change.
-	gap  time.Duration // delay is the pause between calls.
+type watchOptions struct {
+	wait  time.Duration // wait is how long one call waits for a change.
+	delay time.Duration // delay is the pause between calls.
 	// after is the revision after which changes are watched; at zero, all is read first.
 	after uint64
 	// onResponse, if set, is called after each call with whether the store responded.
-	answered func(ok bool)
+	onResponse func(ok bool)
 	// onSuccess, if set, is called after each answered call with the time at which the
 	// call was sent.
-	asked func(at time.Time)
+	onSuccess func(at time.Time)
 }
 
-func (p pacing) noted(sent time.Time, ok bool) {
-	if p.answered != nil {
-		p.answered(ok)
+func (p watchOptions) notify(sent time.Time, ok bool) {
+	if p.onResponse != nil {
+		p.onResponse(ok)
 	}
-	if p.asked != nil && ok {
-		p.asked(sent)
+	if p.onSuccess != nil && ok {
+		p.onSuccess(sent)
 	}
 }
 
 // watch reads all values under a prefix and then their changes, until ctx ends. If the store
 // has compacted changes that were not read yet, all values are read again.
-func (n *Node) follow(ctx context.Context, prefix string, options pacing, all func([]winch.Value), changes func([]winch.Event)) {
+func (n *Node) watch(ctx context.Context, prefix string, options watchOptions, all func([]winch.Value), changes func([]winch.Event)) {
 	after := options.after
 	for ctx.Err() == nil {
 		sent := time.Now()
 		if after == 0 {
 			values, asOf, err := n.Table.Read(ctx, prefix)
 			if err != nil {
-				options.noted(sent, false)
-				duty.Pause(ctx, retryPause)
+				options.notify(sent, false)
+				duty.Pause(ctx, retryDelay)
 				continue
 			}
 			all(values)
 			after = asOf
-			options.noted(sent, true)
+			options.notify(sent, true)
 		}
-		events, next, err := n.followOnce(ctx, prefix, after, options.wait)
+		events, next, err := n.watchOnce(ctx, prefix, after, options.wait)
 		switch {
 		case errors.Is(err, winch.ErrCompacted):
 			n.Log.Info("store has compacted the change history; reading all records again", zap.String("prefix", prefix), zap.Uint64("after", after))
 			after = 0
 		case err != nil:
-			options.noted(sent, false)
-			duty.Pause(ctx, retryPause)
+			options.notify(sent, false)
+			duty.Pause(ctx, retryDelay)
 		default:
 			after = max(after, next)
 			if len(events) > 0 {
 				changes(events)
 			}
-			options.noted(sent, true)
-			if options.gap > 0 && len(events) < manyEvents {
-				duty.Pause(ctx, options.gap)
+			options.notify(sent, true)
+			if options.delay > 0 && len(events) < fullBatch {
+				duty.Pause(ctx, options.delay)
 			}
 		}
 	}
@@ -308,8 +308,8 @@
 // watchOnce makes one call that waits for changes. The call is abandoned when the store
 // answers again after an outage: a call sent into the outage may never be answered, and the
 // changes that it waits for would be seen seconds late.
-func (n *Node) followOnce(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []winch.Event, next uint64, err error) {
-	duty.Until(ctx, n.back.wait(), func(ctx context.Context) {
+func (n *Node) watchOnce(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []winch.Event, next uint64, err error) {
+	duty.Until(ctx, n.storeBack.wait(), func(ctx context.Context) {
 		events, next, err = n.Table.Follow(ctx, prefix, after, wait)
 	})
 	return events, next, err
@@ -317,12 +317,12 @@
 
 // runRegistration keeps the entry's own record in the store. Its calls also show whether the
 // store is responsive.
-func (n *Node) runNode(ctx context.Context) {
+func (n *Node) runRegistration(ctx context.Context) {
 	lease := uint64(0)
 	healthy := false
 	for ctx.Err() == nil {
 		if !n.leaving.Load() {
-			lease = n.probe(ctx, lease)
+			lease = n.renewWithTimeout(ctx, lease)
 		} else if lease != 0 && n.Table.End(ctx, lease) == nil {
 			lease = 0
 		}
@@ -331,31 +331,31 @@
 			n.Log.Info("store responsiveness changed", zap.Bool("answers", now))
 		}
 		if healthy {
-			duty.Pause(ctx, nodeRenew)
+			duty.Pause(ctx, nodeRenewInterval)
 		} else {
-			duty.Pause(ctx, probeGap)
+			duty.Pause(ctx, outageRenewDelay)
 		}
 	}
 }
 
 // renewWithTimeout renews the entry's record, with a short timeout while the store is
 // unresponsive.
-func (n *Node) probe(ctx context.Context, lease uint64) uint64 {
+func (n *Node) renewWithTimeout(ctx context.Context, lease uint64) uint64 {
 	if !n.healthy() {
-		shortCtx, cancel := context.WithTimeout(ctx, probeTime)
+		shortCtx, cancel := context.WithTimeout(ctx, outageRenewTimeout)
 		defer cancel()
 		ctx = shortCtx
 	}
-	return n.keepRecord(ctx, lease)
+	return n.renewRecord(ctx, lease)
 }
 
 // recordMissing reports whether the entry's record has been removed although its lease is
 // still renewed. Without a new record the other entries would never learn of this one.
-func (n *Node) unlisted() bool {
+func (n *Node) recordMissing() bool {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
 	_, listed := n.cell.members[n.Host]
-	return n.cell.read && !listed && n.healthy()
+	return n.cell.loaded && !listed && n.healthy()
 }
 
 // earlierBoots returns the earlier boots of this entry that its stored record belongs to or
@@ -376,17 +376,17 @@
 		if old.Name != n.Name {
 			before = append([]string{old.Name}, before...)
 		}
-		return before[:min(len(before), mostBefore)], nil
+		return before[:min(len(before), maxEarlierBoots)], nil
 	}
 	return nil, nil
 }
 
 // renewRecord renews the record's lease or writes the record under a new one, and returns the
 // lease; zero if that failed.
-func (n *Node) keepRecord(ctx context.Context, lease uint64) uint64 {
+func (n *Node) renewRecord(ctx context.Context, lease uint64) uint64 {
 	if lease != 0 {
 		err := n.Table.Keep(ctx, lease)
-		if !errors.Is(err, winch.ErrMissing) && !n.unlisted() {
+		if !errors.Is(err, winch.ErrMissing) && !n.recordMissing() {
 			return lease
 		}
 	}
--- a/region/command.go
+++ b/region/command.go
@@ -15,10 +15,10 @@
 const (
 	// commandTimeout bounds a request to another entry for a job's command. The store is read
 	// after it.
-	commandTime = 250 * time.Millisecond
+	commandTimeout = 250 * time.Millisecond
 	// commandsReadDelay is how long after a takeover the commands of all jobs are read, so that
 	// the workers' reports of what runs come first.
-	commandsPause = time.Second
+	commandsReadDelay = time.Second
 )
 
 var errNoCommand = merry.New("the store holds no command for the job")
@@ -27,7 +27,7 @@
 // Keepers ask for them, and while the store is unresponsive or this failure domain is partitioned
 // no other source may be left.
 func (l *leadership) readCommands(ctx context.Context) {
-	for duty.Pause(ctx, commandsPause); ctx.Err() == nil; duty.Pause(ctx, retryPause) {
+	for duty.Pause(ctx, commandsReadDelay); ctx.Err() == nil; duty.Pause(ctx, retryDelay) {
 		values, _, err := l.node.Table.Read(ctx, prefixCommands)
 		if err != nil {
 			l.node.Log.Info("commands of jobs not read; retrying", zap.Error(err))
@@ -41,7 +41,7 @@
 }
 
 // commandResponse answers a keeper's request for the command of a job that this entry accepted.
-func (n *Node) giveCommand(request proto.CommandAsk) proto.CommandGive {
+func (n *Node) commandResponse(request proto.CommandAsk) proto.CommandGive {
 	text, known := n.commands.Get(request.Job)
 	return proto.CommandGive{Known: known, Command: text}
 }
@@ -54,7 +54,7 @@
 		return text, nil
 	}
 	for _, name := range []string{origin, n.cell.holder()} {
-		if text, known := n.askCommand(ctx, job, name); known {
+		if text, known := n.requestCommand(ctx, job, name); known {
 			return text, nil
 		}
 	}
@@ -71,11 +71,11 @@
 }
 
 // requestCommand asks another entry for the command of a job.
-func (n *Node) askCommand(ctx context.Context, job, name string) (string, bool) {
+func (n *Node) requestCommand(ctx context.Context, job, name string) (string, bool) {
 	if name == "" || name == n.Name {
 		return "", false
 	}
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	var response proto.CommandGive
 	err := n.Peers.Ask(ctx, name, proto.KindCommand, proto.CommandAsk{Job: job}, &response)
--- a/region/expiry.go
+++ b/region/expiry.go
@@ -178,8 +178,8 @@
 			expiry = earlier(expiry, l.startedAt.Add(w.Left))
 		}
 		if l.copiedExpiries[id] == nil {
-			for _, k := range append([]keeping{{w.Keeper, w.Address, w.Turn}}, w.Earlier...) {
-				l.expiries.add(id, assignment{generation: k.Turn, keeper: k.Keeper, address: k.Address, expiry: expiry})
+			for _, k := range append([]earlierKeeper{{w.Keeper, w.Address, w.Generation}}, w.Earlier...) {
+				l.expiries.add(id, assignment{generation: k.Generation, keeper: k.Keeper, address: k.Address, expiry: expiry})
 			}
 		}
 		l.expiries.earlier[id] = append(l.expiries.earlier[id], l.copiedExpiries[id]...)
@@ -194,7 +194,7 @@
 		for _, a := range list {
 			l.noteEarlierBoot(a)
 			at, ended := l.node.cell.endedBy(a.keeper)
-			if ended && l.expiries.endKeeper(id, a.keeper, at.Add(keep.Surely(leaseMost))) && l.expiries.unresponsive[id] {
+			if ended && l.expiries.endKeeper(id, a.keeper, at.Add(keep.Surely(maxLease))) && l.expiries.unresponsive[id] {
 				l.changedExpiries = append(l.changedExpiries, id)
 			}
 		}
@@ -208,7 +208,7 @@
 	switch {
 	case a.address == "" || a.keeper == l.node.Name:
 	case a.address == l.node.Address:
-		l.node.cell.noteEndedHere(a.keeper, l.node.started)
+		l.node.cell.noteEarlierBoot(a.keeper, l.node.started)
 	default:
 		l.node.cell.noteSuccessor(a.keeper, a.address, l.loadedRosterRevision)
 	}
@@ -261,7 +261,7 @@
 		l.expiriesChanged = true
 		return
 	}
-	l.send([]proto.Order{o})
+	l.sendOrders([]proto.Order{o})
 }
 
 // refreshStandby sends the expiries of unresponsive workers to the standby again before its copy becomes
@@ -281,7 +281,7 @@
 	starts := func(o proto.Order) bool { return !renews(o) }
 	l.queuedOrders = slices.DeleteFunc(l.queuedOrders, renews)
 	l.mirroredOrders = slices.DeleteFunc(l.mirroredOrders, renews)
-	l.send(slices.DeleteFunc(waiting, starts))
+	l.sendOrders(slices.DeleteFunc(waiting, starts))
 }
 
 // sendExpiries passes changed expiries on: those under earlier assignments to the workers' current
@@ -298,7 +298,7 @@
 	}
 	l.changedExpiries = nil
 	for name := range keepers {
-		l.sendSet(name)
+		l.sendAssignments(name)
 	}
 	l.expiriesChanged = true
 	l.sendQueued()
--- a/region/handover.go
+++ b/region/handover.go
@@ -58,7 +58,7 @@
 			break
 		}
 		l.node.Log.Info("ending the office lease failed; retrying", zap.Error(err))
-		duty.Pause(ctx, retryPause/3)
+		duty.Pause(ctx, retryDelay/3)
 	}
 	l.cancel()
 }
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -22,18 +22,18 @@
 // addJobs adds the jobs that the planner does not know yet, and returns the IDs of those of which the
 // store holds other records but no job record.
 func (l *leadership) addJobs(values []winch.Value) (orphans []string) {
-	all := make(map[string]*stored)
+	all := make(map[string]*storedJob)
 	for _, v := range values {
-		id, what := jobKey(v.Key)
+		id, what := parseJobKey(v.Key)
 		if what == partNone || what != partCancel && l.planner.Known(id) {
 			continue
 		}
 		s := all[id]
 		if s == nil {
-			s = &stored{}
+			s = &storedJob{}
 			all[id] = s
 		}
-		if err := s.take(what, v); err != nil {
+		if err := s.add(what, v); err != nil {
 			l.node.Log.Error("job record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 		}
 	}
@@ -62,7 +62,7 @@
 			l.wake()
 		})
 	}
-	l.node.follow(ctx, prefixJobs, pacing{gap: jobsPollInterval, after: l.jobsRevision}, take, func(events []winch.Event) {
+	l.node.watch(ctx, prefixJobs, watchOptions{delay: jobsPollInterval, after: l.jobsRevision}, take, func(events []winch.Event) {
 		var values []winch.Value
 		for _, e := range events {
 			if !e.Deleted {
--- a/region/keep_test.go
+++ b/region/keep_test.go
@@ -13,7 +13,7 @@
 // begins when a caller can first see that the job has ended. While the store is slow, that is
 // later than the time at which the planner learned of it; counted from the latter, a caller that
 // asked shortly before the end of the period was told that there is no such job.
-func TestEndedJobIsKnownForAsLongAsPromised(t *testing.T) {
+func TestEndedJobIsKnownForRetentionPeriod(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
--- a/region/keeperpools.go
+++ b/region/keeperpools.go
@@ -77,7 +77,7 @@
 	case best == "":
 		return current
 	case !found, m.Domain != domain && p.live[best].Domain == domain:
-	case m.Domain == p.live[best].Domain && p.workers[current]-p.workers[best] > uneven:
+	case m.Domain == p.live[best].Domain && p.workers[current]-p.workers[best] > maxImbalance:
 	default:
 		return current
 	}
--- a/region/keys.go
+++ b/region/keys.go
@@ -36,17 +36,17 @@
 func keyEnded(id string) string    { return prefixEnded + id }
 
 // jobPart identifies what a key holds of a job.
-type part int
+type jobPart int
 
 const (
-	partNone part = iota
+	partNone jobPart = iota
 	partJob
 	partCancel
 	partProgress
 )
 
 // parseJobKey returns the job that a key belongs to and the part of it that the key holds.
-func jobKey(key string) (id string, what part) {
+func parseJobKey(key string) (id string, what jobPart) {
 	if id, ok := strings.CutPrefix(key, prefixProgress); ok {
 		return id, partProgress
 	}
@@ -84,7 +84,7 @@
 }
 
 // rosteredWorker is a worker that a planner may have given work to.
-type rostered struct {
+type rosteredWorker struct {
 	VM winch.WorkerVM
 	// Keeper is the entry through which all orders to the worker go. The runs that it knows of
 	// are therefore all that may exist there.
@@ -94,7 +94,7 @@
 	Address string
 	// Earlier holds the earlier keepers that may still renew leases at the worker, since it has
 	// not answered the present one.
-	Earlier []keeping
+	Earlier []earlierKeeper
 	// Settled says that Runs is all that may run at the worker. It is set when the planner hands
 	// the office over, and for an unresponsive worker that gets no work.
 	Settled bool
@@ -106,16 +106,16 @@
 	// Generation changes whenever the worker is assigned to another keeper. What a keeper
 	// reports of an earlier generation is incomplete, since the worker may have been assigned
 	// to others in between.
-	Turn uint64
+	Generation uint64
 	// Bound, if not zero, is a term from whose beginning on nobody can have renewed a lease at
 	// the worker or started work there.
 	Bound uint64
 }
 
 // earlierKeeper is an earlier keeper of a worker, with the generation of its assignment.
-type keeping struct {
+type earlierKeeper struct {
 	Keeper, Address string
-	Turn            uint64
+	Generation      uint64
 }
 
 // roster is the stored form of the rostered workers. It is compact because thousands of them
@@ -151,7 +151,7 @@
 }
 
 // newRoster returns the stored form of the workers.
-func newRoster(workers map[string]rostered) roster {
+func newRoster(workers map[string]rosteredWorker) roster {
 	var out roster
 	bound := false
 	index := make(map[string]int)
@@ -167,12 +167,12 @@
 	for _, w := range workers {
 		at := indexOf(w.Keeper, w.Address)
 		for _, e := range w.Earlier {
-			out.Earlier = append(out.Earlier, earlierRow{Worker: len(out.Workers), Keeper: indexOf(e.Keeper, e.Address), Turn: e.Turn})
+			out.Earlier = append(out.Earlier, earlierRow{Worker: len(out.Workers), Keeper: indexOf(e.Keeper, e.Address), Turn: e.Generation})
 		}
 		out.Workers = append(out.Workers, rosterRow{
 			ID: w.VM.ID, Address: w.VM.Address, Domain: w.VM.Domain, Born: w.VM.Born, Keeper: at, Settled: w.Settled, Runs: w.Runs, Left: w.Left,
 		})
-		out.Turns, out.Bounds = append(out.Turns, w.Turn), append(out.Bounds, w.Bound)
+		out.Turns, out.Bounds = append(out.Turns, w.Generation), append(out.Bounds, w.Bound)
 		bound = bound || w.Bound != 0
 	}
 	if !bound {
@@ -182,13 +182,13 @@
 }
 
 // list returns the workers. One whose row refers to no keeper of the roster has none.
-func (r *roster) list() []rostered {
-	out := make([]rostered, 0, len(r.Workers))
+func (r *roster) list() []rosteredWorker {
+	out := make([]rosteredWorker, 0, len(r.Workers))
 	for i, w := range r.Workers {
-		x := rostered{VM: winch.WorkerVM{ID: w.ID, Address: w.Address, Domain: w.Domain, Born: w.Born}, Settled: w.Settled, Runs: w.Runs, Left: w.Left}
+		x := rosteredWorker{VM: winch.WorkerVM{ID: w.ID, Address: w.Address, Domain: w.Domain, Born: w.Born}, Settled: w.Settled, Runs: w.Runs, Left: w.Left}
 		x.Keeper, x.Address = r.keeper(w.Keeper)
 		if i < len(r.Turns) {
-			x.Turn = r.Turns[i]
+			x.Generation = r.Turns[i]
 		}
 		if i < len(r.Bounds) {
 			x.Bound = r.Bounds[i]
@@ -198,7 +198,7 @@
 	for _, e := range r.Earlier {
 		if e.Worker >= 0 && e.Worker < len(out) {
 			name, address := r.keeper(e.Keeper)
-			out[e.Worker].Earlier = append(out[e.Worker].Earlier, keeping{Keeper: name, Address: address, Turn: e.Turn})
+			out[e.Worker].Earlier = append(out[e.Worker].Earlier, earlierKeeper{Keeper: name, Address: address, Generation: e.Turn})
 		}
 	}
 	return out
@@ -231,7 +231,7 @@
 
 // storedJob is what the store holds of a job that has not ended, or that has ended while runs of
 // it remained.
-type stored struct {
+type storedJob struct {
 	job       *winch.PhasedJob
 	progress  *winch.Progress
 	revision  uint64 // revision is that of the progress record.
@@ -239,7 +239,7 @@
 }
 
 // add decodes one part of the job.
-func (s *stored) take(what part, v winch.Value) error {
+func (s *storedJob) add(what jobPart, v winch.Value) error {
 	switch what {
 	case partJob:
 		s.job = new(winch.PhasedJob)
@@ -259,7 +259,7 @@
 }
 
 // state returns the state of the job to report to a caller.
-func (s *stored) state() winch.JobState {
+func (s *storedJob) state() winch.JobState {
 	switch {
 	case s.progress != nil && s.progress.State.Final():
 		return s.progress.State
--- a/region/leadership.go
+++ b/region/leadership.go
@@ -53,7 +53,7 @@
 	// maxOfficeOverrun is how long a planner that cannot renew its office goes on after the office's
 	// lease has expired. What it starts last still has a second to run before its keepers stop
 	// renewing.
-	maxOfficeOverrun = keepGrace - 1500*time.Millisecond
+	maxOfficeOverrun = keeperGrace - 1500*time.Millisecond
 	// processEndPollInterval is how often it is checked whether the earlier planner's process has
 	// ended.
 	processEndPollInterval = 20 * time.Millisecond
@@ -94,10 +94,10 @@
 	missing       map[string]time.Time
 	keeperBackoff map[string]bool // keeperBackoff holds the keepers to which no session is opened for the moment.
 	// desired is the roster to be recorded, roster the one that is recorded.
-	desired        map[string]rostered
-	roster         map[string]rostered
-	previousRoster map[string]rostered // previousRoster is the roster of the earlier planner.
-	maybeSettled   map[string]bool     // maybeSettled holds the workers that the store may record as settled.
+	desired        map[string]rosteredWorker
+	roster         map[string]rosteredWorker
+	previousRoster map[string]rosteredWorker // previousRoster is the roster of the earlier planner.
+	maybeSettled   map[string]bool           // maybeSettled holds the workers that the store may record as settled.
 	// rosterRevision is the revision of the roster's record, loadedRosterRevision that of the record
 	// read at the start of the term.
 	rosterRevision, loadedRosterRevision uint64
@@ -180,8 +180,8 @@
 		proxies: make(map[string]*proxy), keepers: make(map[string]string), kept: make(map[string]proto.Kept),
 		byToken: make(map[uint64]string), stateWaiters: make(map[string][]chan struct{}),
 		workers: make(map[string]winch.WorkerVM), missing: make(map[string]time.Time),
-		keeperBackoff: make(map[string]bool), previousRoster: make(map[string]rostered), roster: make(map[string]rostered),
-		desired: make(map[string]rostered), pendingRenewals: make(map[string]proto.Order),
+		keeperBackoff: make(map[string]bool), previousRoster: make(map[string]rosteredWorker), roster: make(map[string]rosteredWorker),
+		desired: make(map[string]rosteredWorker), pendingRenewals: make(map[string]proto.Order),
 		maybeBound: make(map[string]bool), maybeSettled: make(map[string]bool),
 		urgentSave: make(chan struct{}, 1), unsaved: make(chan struct{}, 1), rosterCh: make(chan struct{}, 1),
 		standbyCh: make(chan struct{}, 1), standbyBackoff: make(map[string]time.Time), expiries: newLeaseExpiries(),
@@ -201,7 +201,7 @@
 // period after it, on clocks that may be slow.
 func barrier() time.Duration {
 	const drift = 0.025
-	d := officeTTL + keepGrace
+	d := officeTTL + keeperGrace
 	return d + time.Duration(float64(d)*drift) + 300*time.Millisecond
 }
 
@@ -247,13 +247,13 @@
 			l.node.Log.Info("office lease lost", zap.Uint64("term", l.term))
 			return
 		}
-		duty.Pause(ctx, officeRenew)
+		duty.Pause(ctx, officeRenewInterval)
 	}
 }
 
 // authority returns how long keepers may go on without another message of this planner.
 func (l *leadership) authority() time.Duration {
-	return max(0, l.validity.Load().remaining()+keepGrace)
+	return max(0, l.validity.Load().remaining()+keeperGrace)
 }
 
 // post runs f in the planner's goroutine. If the queue is full, f is dropped and the leadership ends:
@@ -306,7 +306,7 @@
 	}
 	l.refreshStandby()
 	l.dispatch()
-	l.ask()
+	l.requestAdvice()
 	l.signalSave()
 	l.logCompletions()
 	l.logLosses()
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -229,7 +229,7 @@
 	}
 	starts := l.mirroredOrders
 	l.mirroredOrders = nil
-	l.send(starts)
+	l.sendOrders(starts)
 }
 
 // sendQueued sends queued orders: after the standby's acknowledgement, or directly if the store surely
@@ -338,7 +338,7 @@
 			done, err := l.recordStandby(ctx)
 			if err != nil {
 				l.node.Log.Info("recording the standby failed; retrying", zap.Error(err))
-				duty.Pause(ctx, retryPause/3)
+				duty.Pause(ctx, retryDelay/3)
 			}
 			if done {
 				break
--- a/region/named_test.go
+++ b/region/named_test.go
@@ -15,7 +15,7 @@
 // applies the record that names the standby, but its response is lost; then the planner gives the
 // standby up while the store is unresponsive. The planner assumed that no standby was named and
 // started work that the standby started again when it took over.
-func TestStandbyWhoseRecordWasNotAnsweredCountsAsNamed(t *testing.T) {
+func TestStandbyWithUnconfirmedRecordCountsAsNamed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
--- a/region/node.go
+++ b/region/node.go
@@ -35,33 +35,33 @@
 	officeTTL = 1500 * time.Millisecond
 	// officeRenewInterval is how often the office's lease is renewed. One lost call does no
 	// harm.
-	officeRenew = 400 * time.Millisecond
+	officeRenewInterval = 400 * time.Millisecond
 	// keeperGrace is how long keepers continue without a planner after the office's lease has
 	// expired. A partitioned failure domain keeps its work running that long, and work that
 	// may run there is not started elsewhere before.
-	keepGrace = 6 * time.Second
+	keeperGrace = 6 * time.Second
 	// maxLease bounds the lease on what runs at a worker. The runs of a lost worker count as
 	// running until its lease is guaranteed to have expired, also by a slow clock, and a
 	// lasting task has to run again within six seconds.
-	leaseMost = 5 * time.Second
+	maxLease = 5 * time.Second
 	// nodeTTL is the duration of the lease on an entry's own record, and nodeRenewInterval how
 	// often it is renewed. The renewals also show whether the store is responsive.
-	nodeTTL   = 4 * time.Second
-	nodeRenew = 500 * time.Millisecond
+	nodeTTL           = 4 * time.Second
+	nodeRenewInterval = 500 * time.Millisecond
 	// storeUnresponsiveAfter is how long the store may leave calls unanswered before the entry
 	// considers it unresponsive: two renewals.
-	silence = 1100 * time.Millisecond
+	storeUnresponsiveAfter = 1100 * time.Millisecond
 	// outageRenewTimeout bounds a renewal while the store is unresponsive, and outageRenewDelay
 	// is the pause before the next. A call sent during an outage is not answered after it
 	// either, so only the next call shows that the store is back. A slow store takes about
 	// 300 ms to answer.
-	probeTime = 500 * time.Millisecond
-	probeGap  = 200 * time.Millisecond
+	outageRenewTimeout = 500 * time.Millisecond
+	outageRenewDelay   = 200 * time.Millisecond
 	// maxWatchWait is how long one call of a watch waits for changes. Its connection may become
 	// unresponsive for good; the next call then opens another.
-	followWait = 3 * time.Second
+	maxWatchWait = 3 * time.Second
 	// retryDelay is the pause after a failed call.
-	retryPause = 150 * time.Millisecond
+	retryDelay = 150 * time.Millisecond
 )
 
 // Node is one entry. Set the exported fields, then call Prepare and Run.
@@ -80,21 +80,21 @@
 	Log     *zap.Logger
 	Metrics metrics.Registry
 
-	cell     cellView
-	settings settings
-	accept   acceptor
-	commands keep.Commands // commands holds the commands of the jobs that this entry accepted last.
-	keeper   *keep.Keeper
-	mirror   mirror
-	prefetch prefetch
-	lead     atomic.Pointer[leadership]
-	waiting  atomic.Pointer[waitingView]
-	heard    atomic.Int64 // lastContact is when the store last answered, in nanoseconds after started.
-	back     broadcast    // storeBack is sent when the store answers again.
-	started  time.Time
-	yielded  atomic.Pointer[time.Time] // yielded is when this entry last yielded the office to a stronger one.
-	stopping atomic.Bool               // stopping is set when Stop begins.
-	leaving  atomic.Bool               // leaving is set once the office has been handed over.
+	cell        cellView
+	settings    settings
+	accept      acceptor
+	commands    keep.Commands // commands holds the commands of the jobs that this entry accepted last.
+	keeper      *keep.Keeper
+	mirror      mirror
+	prefetch    prefetch
+	lead        atomic.Pointer[leadership]
+	waiting     atomic.Pointer[waitingView]
+	lastContact atomic.Int64 // lastContact is when the store last answered, in nanoseconds after started.
+	storeBack   broadcast    // storeBack is sent when the store answers again.
+	started     time.Time
+	yielded     atomic.Pointer[time.Time] // yielded is when this entry last yielded the office to a stronger one.
+	stopping    atomic.Bool               // stopping is set when Stop begins.
+	leaving     atomic.Bool               // leaving is set once the office has been handed over.
 	// changed wakes the loop that takes the office after a change of the cell's records.
 	changed chan struct{}
 }
@@ -105,19 +105,19 @@
 func (n *Node) Prepare() {
 	n.started = time.Now()
 	n.changed = make(chan struct{}, 1)
-	n.keeper = &keep.Keeper{Runner: n.Runner, Log: n.Log, Metrics: n.Metrics, Lease: min(n.Timing.Lease, leaseMost), Command: n.command}
+	n.keeper = &keep.Keeper{Runner: n.Runner, Log: n.Log, Metrics: n.Metrics, Lease: min(n.Timing.Lease, maxLease), Command: n.command}
 	n.keeper.Prepare()
 	n.accept.prepare(n)
 	n.settings.prepare(n)
-	n.heard.Store(-int64(time.Hour))
+	n.lastContact.Store(-int64(time.Hour))
 }
 
 // NoteStoreResponse records that the store has just answered.
-func (n *Node) Heard() {
+func (n *Node) NoteStoreResponse() {
 	wasHealthy := n.healthy()
-	n.heard.Store(int64(time.Since(n.started)))
+	n.lastContact.Store(int64(time.Since(n.started)))
 	if !wasHealthy {
-		n.back.send()
+		n.storeBack.send()
 	}
 }
 
@@ -147,14 +147,14 @@
 
 // healthy reports whether the store is responsive.
 func (n *Node) healthy() bool {
-	return time.Since(n.started)-time.Duration(n.heard.Load()) < silence
+	return time.Since(n.started)-time.Duration(n.lastContact.Load()) < storeUnresponsiveAfter
 }
 
 // Run runs the entry until ctx ends. Stop should have been called before that.
 func (n *Node) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	for _, run := range []func(context.Context){
-		n.keeper.Run, n.runNode, n.runCell, n.settings.run, n.settings.runAsk, n.accept.run, n.runOffice, n.runPrefetch,
+		n.keeper.Run, n.runRegistration, n.watchCell, n.settings.run, n.settings.runPeerFetch, n.accept.run, n.runOffice, n.runPrefetch,
 	} {
 		group.Go(func() { run(ctx) })
 	}
--- a/region/office.go
+++ b/region/office.go
@@ -54,7 +54,7 @@
 func (n *Node) mayTake() bool {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
-	return n.cell.read && n.cell.officeAt == 0 && !n.stopping.Load() && n.settings.config.Load() != nil
+	return n.cell.loaded && n.cell.officeRevision == 0 && !n.stopping.Load() && n.settings.config.Load() != nil
 }
 
 // endStaleOffice frees the office if an earlier process of this VM holds it, so that nobody waits for
@@ -62,7 +62,7 @@
 // listens. Its standby takes over at once.
 func (n *Node) endStaleOffice(ctx context.Context) {
 	n.cell.mu.Lock()
-	held, at := n.cell.office, n.cell.officeAt
+	held, at := n.cell.office, n.cell.officeRevision
 	n.cell.mu.Unlock()
 	if at == 0 || held.Holder == n.Name || held.Address != n.Address {
 		return
@@ -116,12 +116,12 @@
 	sent := time.Now()
 	lease, err := n.Table.Lease(ctx, officeTTL)
 	if err != nil {
-		duty.Pause(ctx, retryPause)
+		duty.Pause(ctx, retryDelay)
 		return
 	}
 	n.cell.mu.Lock()
-	lastTerm, lastTermAt := n.cell.term, n.cell.termAt
-	lastStandby, lastStandbyAt := n.cell.standby, n.cell.standbyAt
+	lastTerm, lastTermAt := n.cell.term, n.cell.termRevision
+	lastStandby, lastStandbyAt := n.cell.standby, n.cell.standbyRevision
 	n.cell.mu.Unlock()
 	mine := office{Holder: n.Name, Term: lastTerm.Term + 1, Address: n.Address}
 	revision, err := n.Table.Commit(ctx, winch.Txn{
@@ -137,8 +137,8 @@
 		return
 	}
 	n.Log.Info("office taken", zap.Uint64("term", mine.Term), zap.Uint64("revision", revision))
-	n.cell.take(winch.Event{Value: winch.Value{Key: keyOffice, Data: encode(mine), Version: revision}})
-	n.cell.take(winch.Event{Value: winch.Value{Key: keyTerm, Data: encode(mine), Version: revision}})
+	n.cell.apply(winch.Event{Value: winch.Value{Key: keyOffice, Data: encode(mine), Version: revision}})
+	n.cell.apply(winch.Event{Value: winch.Value{Key: keyTerm, Data: encode(mine), Version: revision}})
 	l := newLeadership(n, mine.Term, revision, lease, sent.Add(officeTTL))
 	l.lastHolder = lastTerm.Holder
 	l.prefetched = n.prefetch.result()
@@ -161,12 +161,12 @@
 	if errors.As(err, &conflict) {
 		for _, v := range conflict.Current {
 			if v.Version != 0 {
-				n.cell.take(winch.Event{Value: v})
+				n.cell.apply(winch.Event{Value: v})
 			}
 		}
 	}
 	if err := n.Table.End(ctx, lease); err != nil {
-		duty.Pause(ctx, retryPause)
+		duty.Pause(ctx, retryDelay)
 	}
 }
 
@@ -175,8 +175,8 @@
 func (n *Node) forgetOffice(revision uint64) {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
-	if n.cell.officeAt == revision {
-		n.cell.office, n.cell.officeAt = office{}, 0
+	if n.cell.officeRevision == revision {
+		n.cell.office, n.cell.officeRevision = office{}, 0
 	}
 }
 
--- a/region/prefetch.go
+++ b/region/prefetch.go
@@ -132,7 +132,7 @@
 			*into = next
 			p.mu.Unlock()
 		}
-		if changes < manyEvents {
+		if changes < fullBatch {
 			duty.Pause(ctx, jobsPollInterval)
 		}
 	}
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -18,14 +18,14 @@
 	pollWait = 250 * time.Millisecond
 	// pollTimeout is how long the response may take beyond pollWait. A keeper that does not
 	// respond in time is replaced; its workers' runs continue meanwhile.
-	pollTime = 700 * time.Millisecond
+	pollTimeout = 700 * time.Millisecond
 	// sessionRetryDelay is the pause before a keeper whose session broke gets a new one.
-	keeperRest = 200 * time.Millisecond
+	sessionRetryDelay = 200 * time.Millisecond
 	// maxImbalance is how many more workers than another a keeper may have.
-	uneven = 6
+	maxImbalance = 6
 	// adviceTimeout is how long a response of the advice service may take beyond the cost
 	// that the queue's configuration states: other requests of the lane come first.
-	adviceTime = 800 * time.Millisecond
+	adviceTimeout = 800 * time.Millisecond
 )
 
 // proxy is the planner's side of one keeper in one session.
@@ -41,7 +41,7 @@
 
 // sendAssignments sends a keeper the workers assigned to it. It begins a session if there is
 // none.
-func (l *leadership) sendSet(name string) {
+func (l *leadership) sendAssignments(name string) {
 	p := l.proxies[name]
 	fresh := p == nil
 	if fresh {
@@ -58,14 +58,14 @@
 			set.Workers = append(set.Workers, kept)
 		}
 	}
-	p.tell(proto.KindKeepSet, set)
+	p.send(proto.KindKeepSet, set)
 	if fresh {
 		l.group.Go(p.poll)
 	}
 }
 
 // send sends a message to the keeper and ends the session if that fails.
-func (p *proxy) tell(kind winch.Kind, body any) {
+func (p *proxy) send(kind winch.Kind, body any) {
 	n := p.lead.node
 	if p.local {
 		switch m := body.(type) {
@@ -85,7 +85,7 @@
 func (p *proxy) poll() {
 	l, ctx := p.lead, p.ctx
 	for ctx.Err() == nil {
-		report, err := p.ask(ctx)
+		report, err := p.pollOnce(ctx)
 		if ctx.Err() != nil {
 			break
 		}
@@ -102,13 +102,13 @@
 		}
 		p.stamp = report.Stamp
 		if len(report.Events) > 0 {
-			l.post(func() { l.events(p, report.Events) })
+			l.post(func() { l.handleEvents(p, report.Events) })
 		}
 	}
 	l.post(func() {
 		if l.proxies[p.name] == p {
 			l.dropKeeper(p)
-			l.rest(p.name)
+			l.backOff(p.name)
 			l.reassignSoon()
 		}
 	})
@@ -116,10 +116,10 @@
 
 // backOff gives a keeper no new session for sessionRetryDelay after one broke, so that a
 // keeper that refuses every session does not keep the planner busy.
-func (l *leadership) rest(name string) {
+func (l *leadership) backOff(name string) {
 	l.keeperBackoff[name] = true
 	l.group.Go(func() {
-		duty.Pause(l.ctx, keeperRest)
+		duty.Pause(l.ctx, sessionRetryDelay)
 		l.post(func() {
 			delete(l.keeperBackoff, name)
 			l.reassignSoon()
@@ -128,12 +128,12 @@
 }
 
 // pollOnce sends one poll request to the keeper.
-func (p *proxy) ask(ctx context.Context) (proto.KeepNews, error) {
+func (p *proxy) pollOnce(ctx context.Context) (proto.KeepNews, error) {
 	request := proto.KeepPoll{Session: p.session, Authority: p.lead.authority(), Wait: pollWait, Stamp: p.stamp}
 	if p.local {
 		return p.lead.node.keeper.Poll(ctx, request), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, pollWait+pollTime)
+	ctx, cancel := context.WithTimeout(ctx, pollWait+pollTimeout)
 	defer cancel()
 	var report proto.KeepNews
 	err := p.lead.node.Peers.Ask(ctx, p.name, proto.KindKeepPoll, request, &report)
@@ -150,7 +150,7 @@
 		if name == p.name {
 			ids = append(ids, id)
 			l.expiries.endAssignment(id, name, l.kept[id].Token, l.authority())
-			l.unkeep(id)
+			l.removeAssignment(id)
 		}
 	}
 	l.expiriesChanged = true
@@ -159,7 +159,7 @@
 
 // handleEvents handles what a keeper has reported. Reports of an ended session are stale and
 // dropped.
-func (l *leadership) events(p *proxy, events []proto.KeepEvent) {
+func (l *leadership) handleEvents(p *proxy, events []proto.KeepEvent) {
 	if l.proxies[p.name] != p {
 		return
 	}
@@ -170,7 +170,7 @@
 		}
 		switch e.Kind {
 		case proto.EventKnown:
-			l.known(p.name, e)
+			l.handleKnown(p.name, e)
 			continue
 		case proto.EventReleased:
 			l.releaseAssignment(p.name, e)
@@ -184,14 +184,14 @@
 			// The office's lease has expired: another planner may have assigned the worker, and
 			// its runs may continue.
 			l.planner.Unready([]string{e.Worker})
-			l.lostWorker(e.Worker)
+			l.unassignLost(e.Worker)
 			l.expiries.add(e.Worker, assignment{expiry: time.Now().Add(barrier())})
 			continue
 		}
 		l.applyExpiryEvent(e)
 		if vm, listed := l.workers[e.Worker]; listed && e.Kind == proto.EventLost && l.kept[e.Worker].VM.Born != vm.Born {
 			// The lost boot is not the listed one, which may be alive.
-			l.lostWorker(e.Worker)
+			l.unassignLost(e.Worker)
 			continue
 		}
 		l.planner.Event(e)
@@ -201,7 +201,7 @@
 			l.cancel()
 			return
 		case proto.EventLost:
-			l.lostWorker(e.Worker)
+			l.unassignLost(e.Worker)
 		case proto.EventSilent, proto.EventBack, proto.EventListed:
 			quiet, _ := l.planner.Quiet(e.Worker)
 			changed = changed || quiet || len(l.roster[e.Worker].Earlier) > 0
@@ -217,28 +217,28 @@
 
 // handleKnown handles what a keeper knew of a worker when this planner's session began. If
 // the roster names the keeper with the same generation, that is all that may run there.
-func (l *leadership) known(keeper string, e proto.KeepEvent) {
-	if w := l.previousRoster[e.Worker]; w.Keeper == keeper && w.Turn == e.Turn {
+func (l *leadership) handleKnown(keeper string, e proto.KeepEvent) {
+	if w := l.previousRoster[e.Worker]; w.Keeper == keeper && w.Generation == e.Turn {
 		l.planner.Event(e)
 	}
 }
 
 // unassignLost ends the assignment of a lost worker. The worker is assigned again if it is
 // still listed.
-func (l *leadership) lostWorker(id string) {
+func (l *leadership) unassignLost(id string) {
 	l.expiries.forget(id)
-	l.unkeep(id)
+	l.removeAssignment(id)
 	l.reassignSoon()
 }
 
 // recordAssignment records that a worker is assigned to a keeper under a fencing token.
-func (l *leadership) keep(id, keeper string, kept proto.Kept) {
+func (l *leadership) recordAssignment(id, keeper string, kept proto.Kept) {
 	delete(l.byToken, l.kept[id].Token)
 	l.keepers[id], l.kept[id], l.byToken[kept.Token] = keeper, kept, id
 }
 
 // removeAssignment records that a worker is assigned to no keeper.
-func (l *leadership) unkeep(id string) {
+func (l *leadership) removeAssignment(id string) {
 	delete(l.byToken, l.kept[id].Token)
 	delete(l.keepers, id)
 	delete(l.kept, id)
@@ -256,20 +256,20 @@
 			now = append(now, o)
 		}
 	}
-	l.send(now)
+	l.sendOrders(now)
 	if len(l.queuedOrders) > 0 {
 		l.sendQueued()
 	}
 }
 
 // sendOrders sends orders to the keepers of their workers.
-func (l *leadership) send(orders []proto.Order) {
+func (l *leadership) sendOrders(orders []proto.Order) {
 	byKeeper := make(map[string]*proto.KeepOrders)
 	for _, o := range orders {
 		name := l.keepers[o.Worker]
 		p := l.proxies[name]
 		if p == nil || o.Token != l.kept[o.Worker].Token {
-			l.unsent(o)
+			l.handleUnsent(o)
 			continue
 		}
 		msg := byKeeper[name]
@@ -284,14 +284,14 @@
 		msg.Orders = append(msg.Orders, o)
 	}
 	for name, msg := range byKeeper {
-		l.proxies[name].tell(proto.KindKeepOrders, *msg)
+		l.proxies[name].send(proto.KindKeepOrders, *msg)
 	}
 }
 
 // handleUnsent reports a start to the planner as not started, because it was not sent: the
 // worker is assigned anew and lists its runs again. If the start were sent, it could take
 // effect after those lists and yet be considered never started.
-func (l *leadership) unsent(o proto.Order) {
+func (l *leadership) handleUnsent(o proto.Order) {
 	if o.Kind == proto.OrderStart {
 		l.planner.Event(proto.KeepEvent{
 			Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused,
@@ -307,7 +307,7 @@
 }
 
 // requestAdvice distributes the planner's requests to the advice service over the lanes.
-func (l *leadership) ask() {
+func (l *leadership) requestAdvice() {
 	for _, a := range l.planner.Asks() {
 		l.lanes.Add(lanes.Question[fleet.Ask]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
@@ -316,15 +316,15 @@
 		if !ok {
 			return
 		}
-		l.group.Go(func() { l.question(name, q.Body) })
+		l.group.Go(func() { l.callAdvice(name, q.Body) })
 	}
 }
 
 // callAdvice sends one request to the advice service through a lane and passes the response to
 // the planner.
-func (l *leadership) question(lane string, a fleet.Ask) {
+func (l *leadership) callAdvice(lane string, a fleet.Ask) {
 	sent := time.Now()
-	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceTime)
+	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceTimeout)
 	defer cancel()
 	request := proto.AdviseAsk{Phase: a.Phase, Workers: a.Workers}
 	var response proto.AdviseGive
--- a/region/record.go
+++ b/region/record.go
@@ -19,33 +19,33 @@
 const (
 	// commitDelay is the pause before a transaction that no caller waits for. The transaction
 	// carries all changes made meanwhile.
-	commitGap = 100 * time.Millisecond
+	commitDelay = 100 * time.Millisecond
 	// concurrentCommits is how many transactions may be outstanding at once. While the store
 	// is slow, a completion that follows a sent transaction need not wait for its response.
-	committers = 4
+	concurrentCommits = 4
 	// maxCommitCost is how many operations a transaction has left beside the condition on the
 	// office. A progress record takes a condition and a write; the record of an ended job takes
 	// a write and the removal of all keys of the job or, while runs remain, a write and a
 	// progress record.
-	commitMost   = winch.TxnEntries - 1
-	progressCost = 2
-	endCost      = 5
+	maxCommitCost  = winch.TxnEntries - 1
+	progressCost   = 2
+	completionCost = 5
 	// retentionMargin is added to how long an ended job is known. Callers count from when they
 	// see that the job has ended, which is later than the time in the record.
-	keepMargin = 30 * time.Second
+	retentionMargin = 30 * time.Second
 	// endedReadDelay is how long after the takeover the records of jobs that ended under earlier
 	// planners are read.
-	endedPause = 20 * time.Second
+	endedReadDelay = 20 * time.Second
 	// sweepBatchSize is how many jobs, of two keys each, one transaction removes, and sweepDelay
 	// the pause between two transactions.
-	sweepMost = (winch.TxnEntries - 1) / 2
-	sweepGap  = 50 * time.Millisecond
+	sweepBatchSize = (winch.TxnEntries - 1) / 2
+	sweepDelay     = 50 * time.Millisecond
 )
 
 // runCommits writes changed job records until ctx ends.
 func (l *leadership) runCommits(ctx context.Context) {
 	var group conc.WaitGroup
-	for range committers {
+	for range concurrentCommits {
 		group.Go(func() { l.writeRecords(ctx) })
 	}
 	group.Wait()
@@ -60,7 +60,7 @@
 			return
 		case <-l.urgentSave:
 		case <-l.unsaved:
-			timer := time.NewTimer(commitGap)
+			timer := time.NewTimer(commitDelay)
 			select {
 			case <-ctx.Done():
 			case <-l.urgentSave:
@@ -75,7 +75,7 @@
 // recordCost returns how many operations of a transaction a record takes.
 func recordCost(final bool) int {
 	if final {
-		return endCost
+		return completionCost
 	}
 	return progressCost
 }
@@ -104,7 +104,7 @@
 // reports whether there were records and all of them were written.
 func (l *leadership) commit(ctx context.Context) bool {
 	var batch []fleet.Record
-	if l.duty.Do(ctx, func() { batch = l.planner.RecordsWithin(commitMost, recordCost) }) != nil || len(batch) == 0 {
+	if l.duty.Do(ctx, func() { batch = l.planner.RecordsWithin(maxCommitCost, recordCost) }) != nil || len(batch) == 0 {
 		return false
 	}
 	revision, err := l.node.Table.Commit(ctx, l.recordTxn(batch))
@@ -132,7 +132,7 @@
 	})
 	if err != nil {
 		l.node.Log.Info("job records not written; retrying", zap.Int("count", len(batch)), zap.Error(err))
-		duty.Pause(ctx, retryPause/3)
+		duty.Pause(ctx, retryDelay/3)
 	}
 	return err == nil
 }
@@ -142,7 +142,7 @@
 	old := l.readEnded(ctx)
 	for ctx.Err() == nil {
 		duty.Pause(ctx, sweepInterval)
-		before := time.Now().Add(-l.node.Timing.Keep - keepMargin)
+		before := time.Now().Add(-l.node.Timing.Keep - retentionMargin)
 		var ids []string
 		if l.duty.Do(ctx, func() { ids = l.planner.Expired(before) }) != nil {
 			return
@@ -153,9 +153,9 @@
 				delete(old, id)
 			}
 		}
-		for batch := range slices.Chunk(ids, sweepMost) {
+		for batch := range slices.Chunk(ids, sweepBatchSize) {
 			l.sweep(ctx, batch)
-			duty.Pause(ctx, sweepGap)
+			duty.Pause(ctx, sweepDelay)
 		}
 		l.sweepOrphans(ctx)
 	}
@@ -166,7 +166,7 @@
 func (l *leadership) readEnded(ctx context.Context) map[string]time.Time {
 	old := make(map[string]time.Time)
 	for ctx.Err() == nil {
-		duty.Pause(ctx, endedPause)
+		duty.Pause(ctx, endedReadDelay)
 		values, _, err := l.node.Table.Read(ctx, prefixEnded)
 		if err != nil {
 			l.node.Log.Info("records of ended jobs not read; retrying", zap.Error(err))
@@ -223,7 +223,7 @@
 			return
 		case <-l.rosterCh:
 		}
-		var wanted map[string]rostered
+		var wanted map[string]rosteredWorker
 		if l.duty.Do(ctx, func() {
 			wanted = maps.Clone(l.desired)
 			for id, w := range wanted {
@@ -244,7 +244,7 @@
 		}
 		if err := l.writeRoster(ctx, wanted); err != nil {
 			l.node.Log.Info("roster not written; retrying", zap.Error(err))
-			duty.Pause(ctx, retryPause)
+			duty.Pause(ctx, retryDelay)
 			duty.Signal(l.rosterCh)
 			continue
 		}
@@ -268,7 +268,7 @@
 
 // writeRoster writes the roster, on condition that this planner still holds the office and that
 // the stored roster is the one last seen.
-func (l *leadership) writeRoster(ctx context.Context, workers map[string]rostered) error {
+func (l *leadership) writeRoster(ctx context.Context, workers map[string]rosteredWorker) error {
 	select {
 	case l.rosterLock <- struct{}{}:
 	case <-ctx.Done():
@@ -294,7 +294,7 @@
 // unresponsive worker the runs are not known, but the time at which its lease expires is: no
 // lease is renewed there any more, so the next planner need not wait for the longest lease.
 func (l *leadership) recordRuns(ctx context.Context) {
-	workers := make(map[string]rostered)
+	workers := make(map[string]rosteredWorker)
 	if l.duty.Do(ctx, func() {
 		l.runsRecorded = true
 		for id, w := range l.roster {
--- a/region/records_test.go
+++ b/region/records_test.go
@@ -26,7 +26,7 @@
 
 // Guards against ended jobs being stored under the keys that a planner reads when it takes over.
 // On a slow link the planner would never finish reading them.
-func TestWhatEndedIsNotReadWithWhatLives(t *testing.T) {
+func TestEndedJobsAreStoredSeparately(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -43,7 +43,7 @@
 
 // Guards against a job that runs a second time. It is submitted again with the same ID after it
 // has ended and its key has been removed.
-func TestSubmissionAfterTheEndIsTheSame(t *testing.T) {
+func TestResubmittedEndedJobDoesNotRunAgain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -62,7 +62,7 @@
 // Guards against a job that runs a second time after a takeover. An entry reads the job, the job
 // ends, another planner takes over, and only then the entry's message about the job arrives. The
 // new planner does not know the job.
-func TestJobThatEndedBeforeTheTakeoverIsNotStartedAgain(t *testing.T) {
+func TestJobEndedBeforeTakeoverDoesNotRunAgain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -81,7 +81,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		starts := w.log.count("run start ordered\t{\"job\": \"" + id)
-		w.planner().node.forLead(proto.Accepted{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
+		w.planner().node.handToLead(proto.Accepted{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
 		time.Sleep(3 * time.Second)
 		state, result := w.planner().node.State(w.ctx, id)
 		is.True(result.OK())
@@ -93,7 +93,7 @@
 
 // Guards against waiting jobs that never run because no entry knows their commands. All entries
 // are killed, so that only the store still holds them.
-func TestCommandsAreReadFromTheStoreAfterAllWereKilled(t *testing.T) {
+func TestCommandsAreReadFromStoreAfterAllEntriesWereKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -111,7 +111,7 @@
 // Guards against waiting jobs that cannot start during a store outage. All entries are killed and
 // restarted, and the store fails a little later. The commands were known only to the processes
 // that had accepted the jobs, so the planner has to read them before the outage.
-func TestCommandsAreKnownWhileTheStoreIsAway(t *testing.T) {
+func TestCommandsAreKnownDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -135,7 +135,7 @@
 
 // Guards against a slow takeover. The standby reads all jobs from the store when it takes over,
 // although it could have read them before.
-func TestStandbyReadsOnlyWhatCameAfter(t *testing.T) {
+func TestStandbyDoesNotReadJobsFromStoreAtTakeover(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -174,7 +174,7 @@
 // Guards against runs that are repeated after a takeover. The store returns only some of the
 // pending changes in one response. A standby that considers itself current after the first
 // response takes over with outdated progress and runs ended tasks again.
-func TestStandbyCatchesUpByAllAnswers(t *testing.T) {
+func TestStandbyCatchesUpOverPartialResponses(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
--- a/region/report.go
+++ b/region/report.go
@@ -20,13 +20,13 @@
 		if l.duty.Do(ctx, func() {
 			msg = proto.Waiting{Term: l.term, Queues: l.planner.Waiting(), Settings: l.node.settings.version()}
 		}) == nil && l.validity.Load().remaining() > 0 {
-			l.node.takeWaiting(msg)
+			l.node.updateWaiting(msg)
 			for _, name := range l.node.Peers.Names() {
 				// A peer that gets no message reports the number as unknown.
 				_ = l.node.Peers.Tell(name, proto.KindWaiting, msg)
 			}
 		}
-		duty.Pause(ctx, waitingEvery)
+		duty.Pause(ctx, waitingInterval)
 	}
 }
 
--- a/region/serve.go
+++ b/region/serve.go
@@ -14,11 +14,11 @@
 const (
 	// stateTimeout bounds the request to the planner for a job's state. The store is read
 	// after it.
-	stateTime = 300 * time.Millisecond
+	stateTimeout = 300 * time.Millisecond
 	// waitingInterval is how often the planner reports to all entries how many jobs wait, and
 	// maxWaitingAge how old the report may be when it is shown.
-	waitingEvery = 500 * time.Millisecond
-	waitingAge   = 1900 * time.Millisecond
+	waitingInterval = 500 * time.Millisecond
+	maxWaitingAge   = 1900 * time.Millisecond
 )
 
 // waitingView is the planner's last report of how many jobs have not begun, by queue.
@@ -31,7 +31,7 @@
 // State implements winch.Region. It asks the planner, which has the latest state, and reads the
 // stored state if the planner does not answer.
 func (n *Node) State(ctx context.Context, id string) (winch.JobState, winch.Result) {
-	if response := n.askState(ctx, id); response.Known {
+	if response := n.requestState(ctx, id); response.Known {
 		return response.State, winch.Result{}
 	}
 	s, ended, err := n.readJob(ctx, id)
@@ -43,13 +43,13 @@
 	case s.job == nil:
 		return "", winch.Refuse(winch.UnknownJob, "no such submission")
 	}
-	n.tellPlanner(proto.KindAccepted, proto.Accepted{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
+	n.notifyPlanner(proto.KindAccepted, proto.Accepted{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
 	return s.state(), winch.Result{}
 }
 
 // requestState asks the planner for a job's state.
-func (n *Node) askState(ctx context.Context, id string) proto.StateGive {
-	ctx, cancel := context.WithTimeout(ctx, stateTime)
+func (n *Node) requestState(ctx context.Context, id string) proto.StateGive {
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	if l := n.lead.Load(); l != nil {
 		return l.state(ctx, id)
@@ -63,19 +63,19 @@
 
 // readJob reads what the store holds of a job, or its ended record. The ended record is read
 // last: it is written in the transaction that removes the job, so one of the two is found.
-func (n *Node) readJob(ctx context.Context, id string) (stored, *endedRecord, error) {
-	var s stored
+func (n *Node) readJob(ctx context.Context, id string) (storedJob, *endedRecord, error) {
+	var s storedJob
 	for _, prefix := range []string{keyJob(id), keyProgress(id)} {
 		values, _, err := n.Table.Read(ctx, prefix)
 		if err != nil {
 			return s, nil, err
 		}
 		for _, v := range values {
-			got, what := jobKey(v.Key)
+			got, what := parseJobKey(v.Key)
 			if got != id {
 				continue
 			}
-			if err := s.take(what, v); err != nil {
+			if err := s.add(what, v); err != nil {
 				n.Log.Error("stored record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 				return s, nil, err
 			}
@@ -87,12 +87,12 @@
 	if s.job != nil {
 		return s, nil, nil
 	}
-	ended, err := n.readEnd(ctx, id)
+	ended, err := n.readEndedRecord(ctx, id)
 	return s, ended, err
 }
 
 // readEndedRecord reads the ended record of a job; nil if there is none.
-func (n *Node) readEnd(ctx context.Context, id string) (*endedRecord, error) {
+func (n *Node) readEndedRecord(ctx context.Context, id string) (*endedRecord, error) {
 	values, _, err := n.Table.Read(ctx, keyEnded(id))
 	if err != nil {
 		return nil, err
@@ -131,14 +131,14 @@
 		}
 		return winch.Uncertain(winch.StoreUnavailable, "the store did not answer; cancel again")
 	}
-	n.tellPlanner(proto.KindCancel, proto.CancelJob{ID: id})
+	n.notifyPlanner(proto.KindCancel, proto.CancelJob{ID: id})
 	return winch.Result{Outcome: winch.Done}
 }
 
 // Waiting implements winch.Region.
 func (n *Node) Waiting(_ context.Context, queue string) (int, winch.Result) {
 	v := n.waiting.Load()
-	if v == nil || time.Since(v.at) > waitingAge {
+	if v == nil || time.Since(v.at) > maxWaitingAge {
 		return 0, winch.RefuseFor(winch.StoreUnavailable, "the region has no planner at the moment", retryAfter)
 	}
 	return v.queues[queue], winch.Result{}
@@ -146,8 +146,8 @@
 
 // notifyPlanner notifies the planner of something that has been stored. A lost message does no
 // harm, since the planner also watches the store.
-func (n *Node) tellPlanner(kind winch.Kind, body any) {
-	if !n.forLead(body) {
+func (n *Node) notifyPlanner(kind winch.Kind, body any) {
+	if !n.handToLead(body) {
 		_ = n.Peers.Tell(n.cell.holder(), kind, body)
 	}
 }
@@ -156,35 +156,35 @@
 func (n *Node) Handle(ctx context.Context, from string, kind winch.Kind, read func(into any) error) any {
 	switch kind {
 	case proto.KindKeepSet:
-		return got(read, func(m proto.KeepSet) any { n.keeper.Set(m); return nil })
+		return handleMessage(read, func(m proto.KeepSet) any { n.keeper.Set(m); return nil })
 	case proto.KindKeepOrders:
-		return got(read, func(m proto.KeepOrders) any { n.keeper.Orders(m); return nil })
+		return handleMessage(read, func(m proto.KeepOrders) any { n.keeper.Orders(m); return nil })
 	case proto.KindKeepPoll:
-		return got(read, func(m proto.KeepPoll) any { return n.keeper.Poll(ctx, m) })
+		return handleMessage(read, func(m proto.KeepPoll) any { return n.keeper.Poll(ctx, m) })
 	case proto.KindCommand:
-		return got(read, func(m proto.CommandAsk) any { return n.giveCommand(m) })
+		return handleMessage(read, func(m proto.CommandAsk) any { return n.commandResponse(m) })
 	case proto.KindTerm:
-		return got(read, func(m proto.TermAsk) any { return n.answerTerm(m) })
+		return handleMessage(read, func(m proto.TermAsk) any { return n.answerTerm(m) })
 	case proto.KindMirror:
-		return got(read, func(m proto.Mirror) any { return n.mirror.answer(m) })
+		return handleMessage(read, func(m proto.Mirror) any { return n.mirror.answer(m) })
 	case proto.KindAdvise:
-		return got(read, func(m proto.AdviseAsk) any { return n.advise(ctx, m) })
+		return handleMessage(read, func(m proto.AdviseAsk) any { return n.advise(ctx, m) })
 	case proto.KindSettings:
-		return got(read, func(m proto.Settings) any { n.settings.hear(from, m.Version); return nil })
+		return handleMessage(read, func(m proto.Settings) any { n.settings.noteVersion(from, m.Version); return nil })
 	case proto.KindSettingAsk:
-		return got(read, func(m proto.SettingsAsk) any { return n.settings.give(m) })
+		return handleMessage(read, func(m proto.SettingsAsk) any { return n.settings.respond(m) })
 	case proto.KindWaiting:
-		return got(read, func(m proto.Waiting) any {
-			n.settings.hear(from, m.Settings)
-			n.takeWaiting(m)
+		return handleMessage(read, func(m proto.Waiting) any {
+			n.settings.noteVersion(from, m.Settings)
+			n.updateWaiting(m)
 			return nil
 		})
 	case proto.KindAccepted:
-		return got(read, func(m proto.Accepted) any { n.forLead(m); return nil })
+		return handleMessage(read, func(m proto.Accepted) any { n.handToLead(m); return nil })
 	case proto.KindCancel:
-		return got(read, func(m proto.CancelJob) any { n.forLead(m); return nil })
+		return handleMessage(read, func(m proto.CancelJob) any { n.handToLead(m); return nil })
 	case proto.KindState:
-		return got(read, func(m proto.StateAsk) any {
+		return handleMessage(read, func(m proto.StateAsk) any {
 			if l := n.lead.Load(); l != nil {
 				return l.state(ctx, m.ID)
 			}
@@ -196,7 +196,7 @@
 }
 
 // handleMessage decodes a message and passes it to f. A message that cannot be decoded is dropped.
-func got[T any](read func(into any) error, f func(T) any) any {
+func handleMessage[T any](read func(into any) error, f func(T) any) any {
 	var m T
 	if read(&m) != nil {
 		return nil
@@ -206,7 +206,7 @@
 
 // handToLead passes a message to this entry's planner, and reports whether this entry is the
 // planner.
-func (n *Node) forLead(body any) bool {
+func (n *Node) handToLead(body any) bool {
 	l := n.lead.Load()
 	if l != nil {
 		l.applyNotification(body)
@@ -216,7 +216,7 @@
 
 // updateWaiting stores the planner's report of waiting jobs, unless a planner of a later term has
 // sent one.
-func (n *Node) takeWaiting(m proto.Waiting) {
+func (n *Node) updateWaiting(m proto.Waiting) {
 	if v := n.waiting.Load(); v != nil && v.term > m.Term {
 		return
 	}
--- a/region/settings.go
+++ b/region/settings.go
@@ -17,12 +17,12 @@
 	// peerFetchDelay is how long an entry that learns of a newer configuration waits for the
 	// store to send it. The store notifies all entries within a few milliseconds, and copies
 	// from peers to each of them would saturate the links of small VMs.
-	hearWait = 150 * time.Millisecond
+	peerFetchDelay = 150 * time.Millisecond
 	// peerPollInterval is how often an entry that the store does not answer asks a peer for a
 	// newer configuration. A withdrawn key has to stop working there within two seconds, too.
-	blindGap = 300 * time.Millisecond
+	peerPollInterval = 300 * time.Millisecond
 	// settingsTimeout bounds one request to a peer.
-	settingsTime = 500 * time.Millisecond
+	settingsTimeout = 500 * time.Millisecond
 )
 
 // settings holds the operator's configuration. Each entry reads it from the store. An entry that
@@ -35,26 +35,26 @@
 	data   []byte
 	config atomic.Pointer[winch.RegionConfig]
 	// newerPeer holds the name of a peer that has a newer version than this entry.
-	heard chan string
+	newerPeer chan string
 	// watchFailed says that the store did not answer the last call of the watch.
-	missed atomic.Bool
+	watchFailed atomic.Bool
 }
 
 func (s *settings) prepare(n *Node) {
 	s.node = n
-	s.heard = make(chan string, 1)
+	s.newerPeer = make(chan string, 1)
 }
 
 // run watches the configuration in the store until ctx ends.
 func (s *settings) run(ctx context.Context) {
-	s.node.follow(ctx, s.node.Codec.ConfigKey(), pacing{wait: followWait, answered: func(ok bool) { s.missed.Store(!ok) }}, func(values []winch.Value) {
+	s.node.watch(ctx, s.node.Codec.ConfigKey(), watchOptions{wait: maxWatchWait, onResponse: func(ok bool) { s.watchFailed.Store(!ok) }}, func(values []winch.Value) {
 		for _, v := range values {
-			s.take(v.Key, v.Data, "store")
+			s.apply(v.Key, v.Data, "store")
 		}
 	}, func(events []winch.Event) {
 		for _, e := range events {
 			if !e.Deleted {
-				s.take(e.Key, e.Data, "store")
+				s.apply(e.Key, e.Data, "store")
 			}
 		}
 	})
@@ -62,35 +62,35 @@
 
 // uninformed reports whether the store is unresponsive, or answers other calls but not the watch
 // of the configuration.
-func (s *settings) blind() bool {
-	return s.missed.Load() || !s.node.healthy()
+func (s *settings) uninformed() bool {
+	return s.watchFailed.Load() || !s.node.healthy()
 }
 
 // runPeerFetch fetches the configuration from peers if the store has not sent it, until ctx ends.
-func (s *settings) runAsk(ctx context.Context) {
-	ticker := time.NewTicker(blindGap)
+func (s *settings) runPeerFetch(ctx context.Context) {
+	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case name := <-s.heard:
-			s.wait(ctx)
-			s.ask(ctx, name)
+		case name := <-s.newerPeer:
+			s.waitForStore(ctx)
+			s.fetch(ctx, name)
 		case <-ticker.C:
-			if names := s.node.Peers.Names(); s.blind() && len(names) > 0 {
-				s.ask(ctx, names[rand.IntN(len(names))])
+			if names := s.node.Peers.Names(); s.uninformed() && len(names) > 0 {
+				s.fetch(ctx, names[rand.IntN(len(names))])
 			}
 		}
 	}
 }
 
 // waitForStore gives the store time to send the configuration, unless the entry has none yet.
-func (s *settings) wait(ctx context.Context) {
+func (s *settings) waitForStore(ctx context.Context) {
 	if s.config.Load() == nil {
 		return
 	}
-	timer := time.NewTimer(hearWait)
+	timer := time.NewTimer(peerFetchDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -99,28 +99,28 @@
 }
 
 // fetch asks a peer for a configuration that is newer than this entry's.
-func (s *settings) ask(ctx context.Context, name string) {
-	ctx, cancel := context.WithTimeout(ctx, settingsTime)
+func (s *settings) fetch(ctx context.Context, name string) {
+	ctx, cancel := context.WithTimeout(ctx, settingsTimeout)
 	defer cancel()
 	var response proto.Settings
 	if s.node.Peers.Ask(ctx, name, proto.KindSettingAsk, proto.SettingsAsk{Have: s.version()}, &response) == nil && len(response.Data) > 0 {
-		s.take(s.node.Codec.ConfigKey(), response.Data, name)
+		s.apply(s.node.Codec.ConfigKey(), response.Data, name)
 	}
 }
 
 // noteVersion records which version a peer has.
-func (s *settings) hear(name string, version uint64) {
+func (s *settings) noteVersion(name string, version uint64) {
 	if version <= s.version() {
 		return
 	}
 	select {
-	case s.heard <- name:
+	case s.newerPeer <- name:
 	default: // Another peer with a newer version is about to be asked.
 	}
 }
 
 // respond answers a peer's request with the configuration, if it is newer than the peer's.
-func (s *settings) give(request proto.SettingsAsk) proto.Settings {
+func (s *settings) respond(request proto.SettingsAsk) proto.Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.config.Load()
@@ -139,7 +139,7 @@
 }
 
 // apply puts a configuration in force if it is newer than the present one.
-func (s *settings) take(key string, data []byte, from string) {
+func (s *settings) apply(key string, data []byte, from string) {
 	if key != s.node.Codec.ConfigKey() {
 		return
 	}
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -113,12 +113,12 @@
 		if ctx.Err() != nil {
 			return winch.ErrUncertain
 		}
-		t.node.Heard()
+		t.node.NoteStoreResponse()
 		return nil
 	}
 	most := time.Second
 	if t.store.swallow {
-		most = followWait + 1500*time.Millisecond
+		most = maxWatchWait + 1500*time.Millisecond
 	}
 	t.store.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, most)
--- a/region/takeover.go
+++ b/region/takeover.go
@@ -20,7 +20,7 @@
 			return true
 		}
 		l.node.Log.Info("reading the region's records failed; retrying", zap.Error(err))
-		duty.Pause(ctx, retryPause)
+		duty.Pause(ctx, retryDelay)
 	}
 	return false
 }
@@ -68,9 +68,9 @@
 	for _, w := range r.list() {
 		l.previousRoster[w.VM.ID] = w
 		l.roster[w.VM.ID] = w
-		l.desired[w.VM.ID] = rostered{
+		l.desired[w.VM.ID] = rosteredWorker{
 			VM: w.VM, Keeper: w.Keeper, Address: w.Address, Earlier: w.Earlier,
-			Turn: w.Turn, Bound: w.Bound,
+			Generation: w.Generation, Bound: w.Bound,
 		}
 		if w.Settled {
 			l.maybeSettled[w.VM.ID] = true
@@ -123,7 +123,7 @@
 			})
 			return
 		}
-		duty.Pause(ctx, retryPause)
+		duty.Pause(ctx, retryDelay)
 	}
 }
 
--- a/region/termbound.go
+++ b/region/termbound.go
@@ -28,7 +28,7 @@
 
 // boundOf returns the term from which on nobody may have renewed a lease at a worker that this planner
 // has had no contact with.
-func (l *leadership) boundOf(w rostered) uint64 {
+func (l *leadership) boundOf(w rosteredWorker) uint64 {
 	if w.Bound != 0 {
 		return w.Bound
 	}
@@ -126,7 +126,7 @@
 	if !resp.Known {
 		return
 	}
-	began := time.Now().Add(-time.Duration(float64(resp.Age) * (1 - clockDrift)))
+	began := time.Now().Add(-time.Duration(float64(resp.Age) * (1 - maxClockDrift)))
 	l.post(func() { l.applyTermBegan(term, began) })
 }
 
--- a/region/workerlist.go
+++ b/region/workerlist.go
@@ -10,7 +10,7 @@
 // followWorkers keeps the worker list up to date.
 func (l *leadership) followWorkers(ctx context.Context) {
 	codec := l.node.Codec
-	l.node.follow(ctx, codec.WorkerPrefix(), pacing{gap: workersPollInterval, asked: l.noteListAsOf}, func(values []winch.Value) {
+	l.node.watch(ctx, codec.WorkerPrefix(), watchOptions{delay: workersPollInterval, onSuccess: l.noteListAsOf}, func(values []winch.Value) {
 		l.post(func() {
 			listed := make(map[string]bool)
 			for _, v := range values {
--- a/server/region.go
+++ b/server/region.go
@@ -74,7 +74,7 @@
 		Codec: platform.Codec{}, Peers: s.Mesh, Log: s.Log, Metrics: s.Metrics,
 	}
 	s.Node.Prepare()
-	s.table.Heard = s.Node.Heard
+	s.table.Heard = s.Node.NoteStoreResponse
 	s.Mesh.Handler = s.Node.Handle
 	s.Mesh.First = s.Node.First
 	s.Mesh.Addresses = s.Node.PeerAddresses
