--- a/coord/fleet/account.go
+++ b/coord/fleet/account.go
@@ -7,27 +7,27 @@
 	"plantainwinch/winch"
 )
 
-// Ending tells of a job whose end has been recorded what its time went into.
+// JobSummary describes a job whose end has been recorded: how long it took and what it waited for.
 type Ending struct {
 	Job, Queue, Team string
 	State            winch.JobState
-	// Accepted is when it began to count, Took how long it took until its end was
-	// recorded, and Objective how long it should have taken by the run times seen.
+	// Accepted is when the job started to count, Took the time from then until its end was
+	// recorded, and Objective how long it should have taken given the observed run times.
 	Accepted        time.Time
 	Took, Objective time.Duration
-	// Waited sums, over its phases, the time in which a task was ready and did not
-	// run, by reason. Phases that wait side by side count each.
+	// Waited is the time during which a task was ready and did not run, by reason, summed over the
+	// phases. Phases that wait at the same time are counted separately.
 	Waited map[Reason]time.Duration
-	// Unanswered counts starts without an answer, Failed runs that failed.
+	// Unanswered counts the starts that got no response, Failed the runs that failed.
 	Unanswered, Failed int
-	// Crashes are those that the job was given up for.
+	// Crashes lists the worker crashes for which the job was failed.
 	Crashes []winch.Crash
-	// Excess says that its team handed it in beyond its share.
+	// Excess is set if the job exceeded its team's share.
 	Excess bool
 }
 
-// account notes why a step's tasks wait from now on, and counts the time since it
-// was last looked at for the reason that held then. Zero says that none waits.
+// accountWait sets why the phase's tasks wait from now on, and adds the time since the last call
+// to the reason that applied until now. A reason of zero means that no task waits.
 func (s *step) account(now time.Time, reason Reason) {
 	if s.reason != 0 {
 		s.spend(s.reason, now.Sub(s.judged))
@@ -42,14 +42,15 @@
 	s.spent[reason] += d
 }
 
-// spendMost counts time that tasks of a step wait side by side: the longest counts.
+// addParallelWait adds a wait of one of several tasks that wait at the same time: of such waits
+// only the longest counts.
 func (s *step) spendMost(reason Reason, d time.Duration) {
 	if d > s.spent[reason] {
 		s.spend(reason, d-s.spent[reason])
 	}
 }
 
-// heldBack returns why a step is left out of a Schedule, if it is.
+// deferReason returns why Schedule must skip a phase of the job, or zero.
 func (p *Planner) heldBack(j *job, adopting bool) Reason {
 	switch {
 	case adopting && j.rec.Revision <= p.Fresh:
@@ -60,7 +61,7 @@
 	return 0
 }
 
-// waitsFor returns why tasks of a step that was just tried have not been started.
+// waitReason returns why Schedule has just not started all tasks of a phase, or zero.
 func (p *Planner) waitsFor(s *step) Reason {
 	switch {
 	case s.waiting == 0:
@@ -79,14 +80,14 @@
 	return WaitRoom
 }
 
-// Endings returns the jobs whose end was recorded since the last call.
+// JobSummaries returns the summaries of the jobs whose end was recorded since the last call.
 func (p *Planner) Endings() []Ending {
 	out := p.endings
 	p.endings = nil
 	return out
 }
 
-// ending sums up a job that has ended.
+// summary returns the summary of a job that has ended.
 func (j *job) ending(now time.Time) Ending {
 	first := j.steps[0]
 	begin := first.begin()
@@ -108,8 +109,8 @@
 	return out
 }
 
-// seenChain is the longest chain of a job's phases by the run times that were seen,
-// and by estimates where none was.
+// observedCriticalPath returns the longest chain of the job's phases, by the longest observed run
+// time of each phase, or by its estimate if no task of it has completed.
 func (j *job) seenChain() time.Duration {
 	longest := time.Duration(0)
 	chain := make(map[*step]time.Duration, len(j.steps))
--- a/coord/fleet/bound_test.go
+++ b/coord/fleet/bound_test.go
@@ -10,8 +10,8 @@
 	"plantainwinch/winch"
 )
 
-// With 40,000 tasks waiting a decision took a second, and starts came when their tickets
-// were over.
+// With 40,000 waiting tasks and no limit, a call of Schedule took a second, and starts were
+// ordered after their tickets had expired.
 func TestDecisionIsBoundedHoweverMuchWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -19,25 +19,25 @@
 		for range 30 {
 			time.Sleep(10 * time.Millisecond)
 			p.Schedule()
-			// The last step may look at all workers of its pool once for each of four reasons.
+			// The last phase may examine all workers of its pool once for each of four reasons.
 			is.True(p.looks <= mostLooks+4*1100)
 			answerAll(p)
 		}
 	})
 }
 
-// What a decision did not get to is never looked at, since those of higher rank take all
-// that a decision may cost.
+// Schedule examines a limited number of workers. If phases of higher rank always used up that
+// limit, those behind them would never be tried.
 func TestWhatADecisionDidNotGetToComesNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := waitingPlanner(1100, 8000, false)
 		for _, w := range p.workers {
-			w.vm.Room = winch.Room{Milli: 17_000, Memory: 64 * gigabyte} // room, but for no task that waits
+			w.vm.Room = winch.Room{Milli: 17_000, Memory: 64 * gigabyte} // has capacity, but for no waiting task
 		}
 		for _, j := range p.jobs {
 			for _, s := range j.steps {
-				s.spec.Label = "none" // no shape covers another of the same label
+				s.spec.Label = "none" // no shape covers another with the same label
 				s.spec.MostPerVM = 1  // and no miss is remembered
 				s.spec.Need.Milli = 500
 			}
@@ -56,8 +56,8 @@
 	})
 }
 
-// All lanes are taken by questions of higher rank, which are asked again as soon as their
-// tickets end, and a step that nobody asked about yet never runs.
+// Phases of higher rank take all lanes and request advice again whenever their tickets expire. A
+// phase of lower rank that never got advice would never run.
 func TestStepThatWaitsLongGetsAQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -77,7 +77,7 @@
 			for _, a := range c.planner.Asks() {
 				asked = asked || a.Phase.Job == "late"
 				c.planner.Advice(a, nil, 0, time.Now())
-				c.planner.jobs[a.Phase.Job].steps[0].known.denied = nil // Others are asked about again.
+				c.planner.jobs[a.Phase.Job].steps[0].known.denied = nil // The others request advice again.
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/coord/fleet/cause.go
+++ b/coord/fleet/cause.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// youngFactor and youngMargin say which runs are likely causes of a crash: those that
-	// lived at most so many times as long as the one that lived shortest, and some more.
+	// A run is a likely cause of a crash if its age is at most recentFactor times that of the
+	// youngest run, plus recentMargin.
 	youngFactor = 2
 	youngMargin = 500 * time.Millisecond
-	// causeTime is how long a run may have lived to be a likely cause, weakTime to be a cause
-	// at all where others are likely ones.
+	// maxLikelyAge is the highest age of a likely cause, maxWeakAge that of any cause if there are
+	// likelier ones.
 	causeTime = 4 * time.Second
 	weakTime  = 10 * time.Second
-	// leaveTime is how long before it leaves a worker says so at least, and gets no work then.
+	// minDrainNotice is the shortest time for which a worker drains before it leaves.
 	leaveTime = 2 * time.Second
-	// atOnce is how soon after a start a crash points at the run that was started.
+	// suddenCrashAge is how soon after a run's start a crash points at that run.
 	atOnce = 100 * time.Millisecond
-	// togetherTime is how far apart crashes count as one event, togetherLeast how many others
-	// make an event that says little about what ran there: a rack or a zone lost its power.
+	// Boots that lost contact within correlationWindow of each other count as one event. If at
+	// least minCorrelated others are part of it, it says little about the runs: a rack or a zone
+	// may have lost its power.
 	togetherTime  = time.Second
 	togetherLeast = 3
-	// suddenPart: with fewer than one in so many that had not just been given a run, crashes at
-	// one moment are taken for those of several tasks.
+	// If fewer than one in recentStartDivisor of the boots had no recent start, simultaneous
+	// crashes are attributed to their runs.
 	suddenPart = 5
 )
 
-// cause judges which of a crashed boot's runs caused the crash.
+// cause determines which runs of a crashed boot caused the crash.
 type cause struct {
 	boot   *lostBoot
 	others []lostBoot
-	// together says that the boots were lost by something that befell all of them, probed that
-	// a probe ran, doubt that others ran under whose tasks workers had crashed.
+	// correlated is set if the boots were lost by an event that hit all of them, probeRan if a
+	// probe had started, and otherSuspects if other runs belonged to suspect tasks.
 	together, probed, doubt bool
-	// shortest is how long the run lived that was confirmed last, if that is known.
+	// youngestAge is the age of the run confirmed last, if ageKnown.
 	shortest time.Duration
 	known    bool
 }
 
-// causeOf gathers what tells the cause of a boot's crash.
+// causeOf collects the evidence for the cause of a boot's crash.
 func (p *Planner) causeOf(b *lostBoot) cause {
 	others := p.lostWith(b)
 	c := cause{
@@ -51,19 +52,19 @@
 	return c
 }
 
-// of returns whether a run counts as a cause, and whether others are likelier ones.
+// judge reports whether a run counts as a cause, and whether there are likelier ones.
 func (c *cause) of(f bootRun) (weak, counts bool) {
 	probe := f.probe != nil && c.boot.apart
 	switch {
-	case c.boot.vm.Draining: // It may have left as announced.
+	case c.boot.vm.Draining: // The worker may have left as announced.
 		return true, f.lived < leaveTime || f.lived <= causeTime && f.task.suspicion() != nil
-	case c.probed && !probe: // The probe explains it.
+	case c.probed && !probe: // The probe explains the crash.
 		return true, f.task.suspicion() != nil || f.adopted || f.lived <= c.shortest+youngMargin
 	case c.together && c.common(f):
 		return false, true
 	case c.together:
 		return true, probe || f.lived <= weakTime
-	case !f.confirmed, f.adopted: // It is not known whether, or since when, it ran.
+	case !f.confirmed, f.adopted: // Whether, or since when, it ran is not known.
 		return true, probe || f.lived <= weakTime
 	case probe, len(c.boot.runs) == 1 && f.lived <= causeTime:
 		return false, true
@@ -73,9 +74,9 @@
 	return true, f.lived <= weakTime || c.shortest > weakTime
 }
 
-// common reports whether the tasks of a run's step, started at one moment, may have crashed
-// all boots that were lost together: each had one, and none that was started elsewhere has
-// lived longer.
+// commonCause reports whether the tasks of the run's phase, started at the same moment, may have
+// crashed all boots that were lost together: each boot had such a task, and none started elsewhere
+// has lived longer.
 func (c *cause) common(f bootRun) bool {
 	s := f.task.step
 	if slices.ContainsFunc(c.others, func(x lostBoot) bool {
@@ -90,44 +91,45 @@
 	})
 }
 
-// proves reports whether nothing but a probe explains the crash: no other run under whose
-// task workers had crashed, or that was started at about the same time, and no other boots.
+// proves reports whether only this probe explains the crash: there was no other suspect run and no
+// run started at about the same time, and fewer than minCorrelated other boots were lost at that
+// time.
 func (c *cause) proves(f bootRun) bool {
 	return f.probe != nil && c.boot.apart && !c.doubt && len(c.others) < togetherLeast &&
 		!slices.ContainsFunc(c.boot.runs, func(x bootRun) bool { return x.probe == nil && x.lived <= f.lived+atOnce })
 }
 
-// lostWith returns the other boots that fell silent at the same time, and had no probe that
-// explains it.
+// simultaneousLosses returns the other boots that lost contact at the same time and had no probe
+// that explains it.
 func (p *Planner) lostWith(b *lostBoot) []lostBoot {
 	var out []lostBoot
-	near := func(silent time.Time) bool { return silent.Sub(b.silent).Abs() <= togetherTime }
+	simultaneous := func(silent time.Time) bool { return silent.Sub(b.silent).Abs() <= togetherTime }
 	for i := range p.lostBoots {
-		if x := &p.lostBoots[i]; x != b && near(x.silent) && !x.apart && !x.vm.Draining {
+		if x := &p.lostBoots[i]; x != b && simultaneous(x.silent) && !x.apart && !x.vm.Draining {
 			out = append(out, *x)
 		}
 	}
 	for _, w := range p.byID {
-		if !w.silent.IsZero() && w.vm.ID != b.vm.ID && near(w.silent) && w.probe == nil && !w.vm.Draining && len(w.runs) > 0 {
+		if !w.silent.IsZero() && w.vm.ID != b.vm.ID && simultaneous(w.silent) && w.probe == nil && !w.vm.Draining && len(w.runs) > 0 {
 			out = append(out, w.boot(w.silent))
 		}
 	}
 	return out
 }
 
-// together reports whether a boot was lost with others by something that befell all of them.
-// Where nearly all had just been given a run, these explain it as well.
+// correlated reports whether a boot was lost by an event that hit other boots too. If nearly all
+// had a run started just before, these runs explain the crashes as well.
 func (b *lostBoot) together(others []lostBoot) bool {
-	sudden := 0
+	recent := 0
 	for _, x := range others {
 		if x.sudden {
-			sudden++
+			recent++
 		}
 	}
-	return len(others) >= togetherLeast && !(b.sudden && suddenPart*(len(others)-sudden) <= len(others))
+	return len(others) >= togetherLeast && !(b.sudden && suddenPart*(len(others)-recent) <= len(others))
 }
 
-// youngest is how long the run lived that was confirmed last, and whether that is known of any.
+// youngestAge returns the age of the run that was confirmed last, and whether it is known.
 func youngest(runs []bootRun) (time.Duration, bool) {
 	for _, f := range runs {
 		if f.confirmed && !f.adopted {
--- a/coord/fleet/crash.go
+++ b/coord/fleet/crash.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// probesMost is how many crashes that nothing but a probe explains give a task up. One does
-	// that comes as long after the start as an earlier crash, give or take alikeMargin and one
-	// part in alikePart.
+	// A task is given up after maxProbeCrashes crashes that only its probe explains. One such
+	// crash suffices if it came as long after the start as an earlier crash, within similarMargin
+	// plus a similarDivisor-th of that time.
 	probesMost  = 2
 	alikeMargin = 50 * time.Millisecond
 	alikePart   = 20
-	// strongMost is how many crashes of which a task is a likely cause give it up, crashesMost
-	// how many of any kind, of which the last was a probe's.
+	// A task is given up after maxStrongCrashes crashes of which it is a likely cause, or after
+	// maxCrashes of any kind if the last one was that of its probe.
 	strongMost  = 3
 	crashesMost = 5
-	// lapsedTime is for how long it is remembered what ran at a worker whose lease lapsed.
-	// Its next boot tells that it had crashed.
+	// lostBootRetention is how long the runs of a worker whose lease expired are remembered: only
+	// the next boot of the worker shows that it had crashed.
 	lapsedTime = time.Minute
-	// lossesMost bounds the losses that are remembered.
+	// maxLostBoots limits the number of lost boots that are remembered.
 	lossesMost = 1000
 )
 
-// bootRun is a run that was at a boot of a worker when that was lost.
+// bootRun is a run that existed on a boot of a worker when the boot was lost.
 type bootRun struct {
 	task *task
 	run  uint64
-	// confirmed says that the worker confirmed the start, adopted that an earlier planner
-	// ordered it: how long it lived is not known.
+	// confirmed is set if the worker confirmed the start, adopted if an earlier planner ordered
+	// it, so that its age is not known.
 	confirmed, adopted bool
 	probe              *suspicion
-	// lived is how long it had gone on when the worker fell silent, surely when something was
-	// last told of it.
+	// age is how long the run had existed when the worker became unresponsive, provenAge at the
+	// last contact.
 	lived, surely time.Duration
 }
 
-// lostBoot is a boot of a worker that was lost, with what ran there.
+// lostBoot is a boot of a worker that was lost, with its runs.
 type lostBoot struct {
 	vm     winch.WorkerVM
 	silent time.Time
-	// apart says that the boot had a probe, sudden that a run was started just before it fell
-	// silent.
+	// hadProbe is set if the boot ran a probe, recentStart if a run was started just before
+	// contact was lost.
 	apart, sudden bool
-	// blamed says that its crash has been counted.
+	// counted is set once the crash has been counted.
 	blamed bool
 	runs   []bootRun
 }
 
-// boot returns what a loss of the worker now would take along. Runs that were ordered after
-// the worker was last heard, and not confirmed, have not begun there.
+// snapshotBoot returns the worker's boot as it would be lost now. Runs ordered after contact was
+// lost and not confirmed have not started, and are left out.
 func (w *worker) boot(now time.Time) lostBoot {
 	b := lostBoot{vm: w.vm, silent: w.silent, apart: w.probe != nil}
 	if b.silent.IsZero() {
@@ -65,13 +65,13 @@
 		b.runs = append(b.runs, bootRun{task: r.task, run: r.key.run, confirmed: r.started, adopted: r.adopted, probe: r.probe, lived: r.lived(), surely: w.told.Sub(r.since)})
 	}
 	slices.SortFunc(b.runs, func(x, y bootRun) int { return cmp.Or(cmp.Compare(x.lived, y.lived), cmp.Compare(x.run, y.run)) })
-	shortest, known := youngest(b.runs)
-	b.sudden = known && shortest <= atOnce
+	age, known := youngest(b.runs)
+	b.sudden = known && age <= atOnce
 	return b
 }
 
-// rememberBoot keeps what ran on a lost boot. Where it is not known that its process has ended, that
-// may yet turn out.
+// rememberBoot keeps the runs of a lost boot. If the boot is not known to have crashed, that may
+// still turn out later.
 func (p *Planner) rememberBoot(w *worker, crashed bool) {
 	now := p.now()
 	b := w.boot(now)
@@ -85,8 +85,7 @@
 	}
 }
 
-// bootSeen takes note of a boot that the platform lists: another one that was at its address
-// has ended.
+// noteBoot handles a boot in the platform's list: any other boot at the same address has ended.
 func (p *Planner) bootSeen(vm winch.WorkerVM) {
 	for i := range p.lostBoots {
 		b := &p.lostBoots[i]
@@ -96,7 +95,7 @@
 	}
 }
 
-// blame counts a crash to the runs that may have caused it, once for a boot.
+// attributeCrash counts a crash against the runs that may have caused it, once for each boot.
 func (p *Planner) blame(b *lostBoot) {
 	if b.blamed || len(b.runs) == 0 {
 		return
@@ -117,37 +116,38 @@
 	}
 }
 
-// count counts a crash to a task, once a run; proved says that nothing else explains it than this probe.
+// countCrash counts a crash against a task, once for each run. proved means that only this probe
+// explains the crash.
 func (p *Planner) count(b *lostBoot, f bootRun, weak, proved bool) {
 	x := f.task.suspect()
 	if slices.ContainsFunc(x.crashes, func(c winch.Crash) bool { return c.Run == f.run }) {
 		return
 	}
 	if f.confirmed && len(x.crashes) > 0 && f.surely >= x.clearance() {
-		x.crashes = nil // It had shown that it was not the cause of those.
+		x.crashes = nil // The run outlived the earlier crashes, so the task did not cause them.
 	}
-	guilty := proved && x.alike(f.lived)
+	giveUp := proved && x.alike(f.lived)
 	lived := f.lived
 	if f.adopted || !f.confirmed {
-		lived = max(lived, causeTime) // It is not known when it began.
+		lived = max(lived, causeTime) // Its start time is not known.
 	}
 	x.crashes = append(x.crashes, winch.Crash{Run: f.run, Worker: b.vm.ID, At: b.silent, Lived: lived, Weak: weak, Probe: proved})
-	guilty = guilty || x.probes() >= probesMost || x.strong() >= strongMost || f.probe != nil && x.known() >= crashesMost
+	giveUp = giveUp || x.probes() >= probesMost || x.strong() >= strongMost || f.probe != nil && x.known() >= crashesMost
 	j := x.step.job
-	j.pressing = true // The task is not started before.
+	j.pressing = true // The task is not started again until the crash is recorded.
 	p.change(j)
 	p.unrecorded = append(p.unrecorded, unrecorded{Gone{b.vm.ID, f.task.id(), f.run}, j, j.changes})
 	p.blames = append(p.blames, Blame{
-		Task: f.task.id(), Run: f.run, Worker: b.vm.ID, Lived: f.lived, Weak: weak, Probe: f.probe != nil, Crashes: len(x.crashes), GivenUp: guilty,
+		Task: f.task.id(), Run: f.run, Worker: b.vm.ID, Lived: f.lived, Weak: weak, Probe: f.probe != nil, Crashes: len(x.crashes), GivenUp: giveUp,
 	})
-	if guilty {
+	if giveUp {
 		j.crashes = x.crashes
 		j.finish(winch.JobFailed)
 		p.stopJob(j)
 	}
 }
 
-// alike reports whether an earlier crash, of which the task is a likely cause, came as long
+// hasSimilar reports whether an earlier crash, of which the task is a likely cause, came as long
 // after the start.
 func (x *suspicion) alike(lived time.Duration) bool {
 	return slices.ContainsFunc(x.crashes, func(c winch.Crash) bool {
@@ -155,52 +155,53 @@
 	})
 }
 
-// crashesThat counts the crashes of which something holds.
-func (x *suspicion) crashesThat(holds func(winch.Crash) bool) int {
+// countIf returns the number of crashes for which a condition holds.
+func (x *suspicion) crashesThat(match func(winch.Crash) bool) int {
 	n := 0
 	for _, c := range x.crashes {
-		if holds(c) {
+		if match(c) {
 			n++
 		}
 	}
 	return n
 }
 
-// strong counts the crashes of which the task is a likely cause.
+// strongCrashes returns the number of crashes of which the task is a likely cause.
 func (x *suspicion) strong() int {
 	return x.crashesThat(func(c winch.Crash) bool { return !c.Weak })
 }
 
-// known counts the crashes that are known of, and not assumed.
+// knownCrashes returns the number of crashes that were observed, not assumed.
 func (x *suspicion) known() int {
 	return x.crashesThat(func(c winch.Crash) bool { return c.Worker != "" })
 }
 
-// probes counts the crashes that nothing but a probe explains.
+// probeCrashes returns the number of crashes that only a probe explains.
 func (x *suspicion) probes() int {
 	return x.crashesThat(func(c winch.Crash) bool { return c.Probe })
 }
 
-// unrecorded is a run that crashed its worker, which the store does not tell yet. A planner
-// that takes over has to hear of the run from its copy.
+// unrecordedCrash is a run that crashed its worker and whose crash is not in the store yet. A
+// planner that takes over must learn of the run from its copy of this planner's state.
 type unrecorded struct {
 	gone    Gone
 	job     *job
 	changes uint64
 }
 
-// noteRecorded notes as gone the runs whose crashes have been recorded.
+// closeRecorded closes the runs whose crashes have been recorded.
 func (p *Planner) noteRecorded() {
 	p.unrecorded = slices.DeleteFunc(p.unrecorded, func(u unrecorded) bool {
-		known := u.job.saved >= u.changes || p.jobs[u.gone.Task.Job] != u.job
-		if known {
+		recorded := u.job.saved >= u.changes || p.jobs[u.gone.Task.Job] != u.job
+		if recorded {
 			p.gone = append(p.gone, u.gone)
 		}
-		return known
+		return recorded
 	})
 }
 
-// Unrecorded returns the runs that crashed their workers, of which the store tells nothing yet.
+// UnrecordedCrashes returns the runs that crashed their workers and whose crash is not in the
+// store yet.
 func (p *Planner) Unrecorded() []Gone {
 	out := make([]Gone, 0, len(p.unrecorded))
 	for _, u := range p.unrecorded {
@@ -211,26 +212,26 @@
 	return out
 }
 
-// waitsForRecord reports whether a run's crash is not recorded yet.
+// crashUnrecorded reports whether a run crashed its worker and the crash is not recorded yet.
 func (p *Planner) waitsForRecord(w *worker, key runKey) bool {
 	return slices.ContainsFunc(p.unrecorded, func(u unrecorded) bool {
 		return u.gone == Gone{w.vm.ID, key.task, key.run}
 	})
 }
 
-// Blame tells of a crash that was counted to a task.
+// CountedCrash is a crash that was counted against a task.
 type Blame struct {
 	Task   winch.RunID
 	Run    uint64
 	Worker string
 	Lived  time.Duration
-	// Weak says that it is not a likely cause, Probe that it was suspected before, GivenUp
-	// that its job has failed by it.
+	// Weak is set if the task is not a likely cause, Probe if the run was a probe, and GivenUp if
+	// the job was failed because of the crash.
 	Weak, Probe, GivenUp bool
-	Crashes              int // Crashes counts those of the task that are not cleared.
+	Crashes              int // Crashes counts the crashes currently held against the task.
 }
 
-// Blames returns the crashes that were counted since the last call.
+// CountedCrashes returns the crashes counted since the last call.
 func (p *Planner) Blames() []Blame {
 	out := p.blames
 	p.blames = nil
--- a/coord/fleet/crash_test.go
+++ b/coord/fleet/crash_test.go
@@ -13,23 +13,24 @@
 	"plantainwinch/winch"
 )
 
-// backTime is how long a worker is away after a crash.
+// rebootTime is how long a worker is unreachable after a crash.
 const backTime = 3 * time.Second
 
-// silence has workers answer nothing any more.
+// stopResponding makes workers unresponsive.
 func (c *cell) silence(workers ...string) {
 	for _, id := range workers {
 		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
 	}
 }
 
-// lose ends a silent worker: as a crash that is known, or as a lease that lapsed.
+// lose reports an unresponsive worker as lost: after a known crash or an expired lease, depending
+// on result.
 func (c *cell) lose(id string, result winch.StartResult) {
 	c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: result})
 	c.running = slices.DeleteFunc(c.running, func(o proto.Order) bool { return o.Worker == id })
 }
 
-// replace has the next boot of a worker listed at its address.
+// replace adds the next boot of a worker to the platform's list and lets it list its runs.
 func (c *cell) replace(id string) {
 	var list []winch.WorkerVM
 	for _, w := range c.planner.workers {
@@ -45,7 +46,7 @@
 	c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: id + "'"})
 }
 
-// crash has a worker's process end and the next one come.
+// crash ends the process of a worker and boots it again.
 func (c *cell) crash(id string) {
 	c.silence(id)
 	time.Sleep(backTime)
@@ -58,14 +59,14 @@
 	return slices.ContainsFunc(c.planner.jobs[id].steps, (*step).suspected)
 }
 
-// busy fills the workers with tasks that last, so that each has some beside what else runs.
+// fillWithLasting starts lasting tasks, so that each worker has some beside its other runs.
 func (c *cell) busy(count int) {
 	c.add("busy", "mix", "duct", lasting(count, 500))
 	c.step()
 	time.Sleep(time.Minute)
 }
 
-// settled decides until nothing more is started, with records written, and returns the starts.
+// settle calls Schedule and saves records until nothing more is started, and returns the starts.
 func (c *cell) settled() []proto.Order {
 	var out []proto.Order
 	for range 4 {
@@ -75,11 +76,11 @@
 	return out
 }
 
-// alive lets all workers tell what runs there.
+// reportStatus lets all workers report their runs with some progress.
 func (c *cell) alive() {
 	running := make(map[string][]winch.Running)
 	for _, o := range c.running {
-		percent := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Seconds() // It rises, and stays below 100 here.
+		percent := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Seconds() // It increases and stays below 100 in these tests.
 		running[o.Worker] = append(running[o.Worker], winch.Running{Task: o.Task, Run: o.Run, Percent: percent / 10})
 	}
 	for id, list := range running {
@@ -87,8 +88,8 @@
 	}
 }
 
-// failing plays a task that crashes its worker some time after each start until its job has
-// failed, and returns how many workers it took.
+// crashUntilFailed crashes the worker of a job's task some time after each start until the job has
+// failed, and returns the number of crashes.
 func (c *cell) failing(id string, after time.Duration) int {
 	for crashes := range 10 {
 		starts := c.settled()
@@ -104,8 +105,8 @@
 	return 10
 }
 
-// A task that crashes its workers is given up after the second, whatever runs beside it.
-// The tasks beside it are started again and never given up.
+// A task that crashes its workers must be given up after the second crash, whatever runs beside
+// it. The tasks beside it must be started again and never given up.
 func TestSecondCrashOfAProbeGivesTheTaskUp(t *testing.T) {
 	for _, after := range []time.Duration{5 * time.Millisecond, 2 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -125,8 +126,9 @@
 	}
 }
 
-// A crash that comes long after a task's start, beside others that were started later,
-// points at those. It is counted all the same, and the second crash of a probe gives the task up.
+// A crash comes long after the start of the task that causes it and shortly after the start of
+// other tasks, so it points at those. It must still count against the task, and a second crash of
+// its probe must give the task up.
 func TestCrashesLongAfterTheStartAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -140,13 +142,13 @@
 				starts = c.settled()
 				i = slices.IndexFunc(starts, func(o proto.Order) bool { return o.Task.Job == "bad" })
 				time.Sleep(500 * time.Millisecond)
-				c.alive() // Other probes come first.
+				c.alive() // other probes run first
 			}
 			is.True(i >= 0)
 			time.Sleep(4500 * time.Millisecond)
 			c.add(fmt.Sprint("later", crashes), "preview", "choir", tasks(8, 1000))
 			for _, o := range c.settled() {
-				is.True(o.Worker != starts[i].Worker || !c.suspected("bad")) // nothing beside a probe
+				is.True(o.Worker != starts[i].Worker || !c.suspected("bad")) // nothing starts beside a probe
 			}
 			time.Sleep(50 * time.Millisecond)
 			c.crash(starts[i].Worker)
@@ -159,8 +161,8 @@
 	})
 }
 
-// A task that was beside one that crashes its worker is cleared once it has lived for longer
-// than before, and other work starts beside it again.
+// A task ran beside another one that crashed the worker. It must be cleared once a probe has lived
+// long enough, and other work must then start beside it again.
 func TestProbeThatLivesIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -175,20 +177,20 @@
 		for _, o := range c.settled() {
 			is.True(o.Worker != probe[0].Worker)
 		}
-		time.Sleep(1500 * time.Millisecond) // twice as long as before, and a second
+		time.Sleep(1500 * time.Millisecond) // longer than twice the age at the crash plus clearMargin
 		c.alive()
 		is.True(!c.suspected("good"))
 		c.add("more", "mix", "choir", tasks(2, 1000))
 		is.True(slices.ContainsFunc(c.settled(), func(o proto.Order) bool { return o.Worker == probe[0].Worker }))
-		c.crash(probe[0].Worker) // The next crash is the first of which it may be the cause.
+		c.crash(probe[0].Worker) // After clearance this crash counts as the first.
 		c.settled()
 		is.Equal(c.state("good"), winch.JobRunning)
 	})
 }
 
-// A rack loses its power. What ran there is started again at once: crashes of many workers at
-// one moment say little about their tasks. If it does so again soon, each task has to show
-// that it is not the cause, and none is given up.
+// A rack loses its power, which says little about the tasks of its workers, so they must be
+// started again at once. If it happens again soon, each task must run as a probe first, but none
+// may be given up.
 func TestWorkersThatCrashTogetherGiveNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -224,8 +226,8 @@
 	})
 }
 
-// All tasks of a job crash their workers. Started again one by one each would take another
-// two; the first probe gives the job up.
+// All tasks of a job crash their workers. If each were probed on its own, each would cost up to
+// two more workers. The first crash of a probe must give the job up.
 func TestJobWhoseTasksAllCrashIsGivenUpByOneProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -251,8 +253,8 @@
 	})
 }
 
-// A gang crashes the workers of its members. It counts as one: two runs on which it crashes
-// them are as many crashes, and the third gives it up.
+// A gang crashes the worker of a member in each run. The gang must count as one task: each run
+// counts as one crash, and the third one gives it up.
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -271,7 +273,7 @@
 			for _, o := range starts {
 				if o.Task.Job == "bad" {
 					c.crash(o.Worker)
-					break // The other member is stopped by its worker.
+					break // The worker of the other member stops it.
 				}
 			}
 		}
@@ -280,8 +282,8 @@
 	})
 }
 
-// A worker is away for longer than its lease. That its process had ended turns out with its
-// next boot, after the task has been started again.
+// A worker is unreachable for longer than its lease. Only its next boot shows that it had crashed,
+// after the task was started again. The crash must count all the same.
 func TestCrashThatTurnsOutAfterTheLapseCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -304,8 +306,8 @@
 	})
 }
 
-// A worker is cut off until its lease has lapsed, and answers again as the same boot; another
-// says that it leaves before it is gone. Neither is a crash.
+// A worker is partitioned until its lease expires and then responds again as the same boot;
+// another one drains before it leaves. Neither may count as a crash.
 func TestLapseAndLeaveAreNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -325,8 +327,8 @@
 	})
 }
 
-// While the store is away a suspect is not started: a planner that took over would not know
-// that the start may be under way. Other work goes on.
+// While the store is unavailable a suspect must not start: a planner that takes over would not
+// know that the probe may be running. Other work must still start.
 func TestSuspectWaitsForItsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -352,8 +354,9 @@
 	})
 }
 
-// Planners are lost in series while a probe runs, and the next ones have no copy of what runs.
-// Each knows that there was a probe, and the first crash that is known gives the task up.
+// Several planners in a row are lost while a probe runs, and none of their successors has a copy
+// of the running work. Each must know from the record that there was a probe, and the first known
+// crash must give the task up.
 func TestProbeOfALostPlannerIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -384,8 +387,8 @@
 	})
 }
 
-// A team hands in one job after the other whose tasks crash their workers. Probes take a
-// part of the workers only, and other teams' work starts at once.
+// A team submits many jobs whose tasks crash their workers. The probes may take only a part of the
+// workers, and the work of other teams must start at once.
 func TestProbesOfATeamAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -410,8 +413,8 @@
 	})
 }
 
-// A probe stands still, which says nothing of whether it crashes its worker. Moved elsewhere,
-// it would never live for long enough, and each start may cost another worker.
+// A probe makes no progress, which does not show whether it crashes its worker. If it were moved,
+// it would never live long enough to be cleared, and each start could cost another worker.
 func TestProbeThatStandsStillIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -432,8 +435,8 @@
 	})
 }
 
-// Tasks that last and were often beside the cause of a crash fill all workers with probes.
-// The others of their kind must not wait until these have lived for long: their users would.
+// Lasting tasks that often ran beside the cause of a crash occupy all workers as probes. The other
+// lasting tasks must not wait until these are cleared, since their users would wait too.
 func TestLastingTasksDoNotWaitForEachOthersProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -8,7 +8,7 @@
 	"plantainwinch/winch"
 )
 
-// Event takes what a keeper tells of a worker.
+// HandleEvent applies a keeper's report about a worker.
 func (p *Planner) Event(e proto.KeepEvent) {
 	w := p.workers[e.Worker]
 	if w == nil {
@@ -48,9 +48,9 @@
 	}
 }
 
-// knew takes what the keeper of an earlier planner's session knew of a worker.
-// All orders went through it, so nothing else runs there. The worker gets no
-// work before its own lists have come.
+// handleKnown applies what the keeper of an earlier planner's session knew of a worker. All orders
+// went through that keeper, so nothing else runs there. The worker gets no work until its own
+// lists have been received.
 func (p *Planner) knew(w *worker, e proto.KeepEvent) {
 	if w.ready {
 		return
@@ -59,8 +59,8 @@
 	delete(p.roster, w.vm.ID)
 }
 
-// listed takes the first lists of a worker in a session. They are whole: a run
-// that is in neither does not exist and never will through an earlier order.
+// handleListed applies the first lists of a worker in a session. They are complete: a run that is
+// in neither does not exist, and no earlier order can start it any more.
 func (p *Planner) listed(w *worker, e proto.KeepEvent) {
 	seen := make(map[runKey]bool)
 	for _, x := range e.Running {
@@ -75,9 +75,9 @@
 		}
 	}
 	for _, r := range w.runs {
-		r.started = true // What the worker lists has begun, whoever heard of that.
+		r.started = true // The worker lists it, so it has started even if the confirmation was lost.
 		if r.stopping {
-			r.stopping = false // The order may have been lost with the last session.
+			r.stopping = false // The stop order may have been lost with the last session.
 			p.stop(r)
 		}
 	}
@@ -85,15 +85,15 @@
 	p.status(w, e.Running)
 	w.ready, w.answers = true, true
 	delete(p.roster, w.vm.ID)
-	// Ends that were recorded before are forgotten again, in case the order was lost.
+	// The order to forget recorded completions is repeated since it may have been lost.
 	if w.forgot > 0 {
 		p.orders = append(p.orders, proto.Order{Kind: proto.OrderForget, Worker: w.vm.ID, Forget: w.forgot})
 	}
 	p.forget(w)
 }
 
-// found takes runs that were not ordered in this session: it adopts those that
-// do work which still has to be done, and stops the others.
+// handleFound handles runs that were not ordered in this session: it adopts those whose work is
+// still needed and stops the others.
 func (p *Planner) found(w *worker, list []winch.Running) {
 	for _, x := range list {
 		key := runKey{x.Task, x.Run}
@@ -165,7 +165,7 @@
 	}
 }
 
-// requeued notes that a run ended without being ordered to.
+// handleLostRun notes that a run ended without an order to stop it.
 func (p *Planner) requeued(r *run) {
 	p.counts.Lost++
 	if r.task != nil {
@@ -181,7 +181,8 @@
 	}
 }
 
-// unheard counts how long ends may have gone unheard since answers were lost.
+// accountLateCompletions counts how long completions may have been delayed because responses of
+// the worker were lost.
 func (p *Planner) unheard(e proto.KeepEvent) {
 	for _, x := range e.Ended {
 		if t := p.task(x.Task); t != nil && e.Blind > 0 {
@@ -201,8 +202,8 @@
 	p.forget(w)
 }
 
-// ended takes one end. It counts whether or not this planner knew of the run:
-// an end that an earlier planner did not record is listed again.
+// handleCompletion applies one completion, whether or not this planner knew of the run: a
+// completion that an earlier planner did not record is listed again.
 func (p *Planner) ended(w *worker, e winch.Ended) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r != nil {
@@ -228,13 +229,13 @@
 	p.ending[w] = true
 }
 
-// settle applies an end to the task and reports whether it has to be recorded.
+// applyCompletion applies a completion to the task and reports whether it must be recorded.
 func (p *Planner) settle(w *worker, t *task, r *run, e winch.Ended) bool {
 	s := t.step
 	j := s.job
 	if j.state.Final() {
-		// Until the job's end is recorded, a later planner would take this task for
-		// one that still has to run.
+		// Until the end of the job is recorded, a later planner would assume that this task still
+		// has to run.
 		return true
 	}
 	switch e.Kind {
@@ -264,8 +265,7 @@
 	return true
 }
 
-// finishTask marks a task, or a whole gang, as ended well and stops what else
-// runs of it.
+// finishTask marks a task, or a whole gang, as successfully completed and stops its other runs.
 func (p *Planner) finishTask(t *task) {
 	tasks := []*task{t}
 	if t.step.spec.Gang {
@@ -277,7 +277,7 @@
 	for _, x := range tasks {
 		x.finish()
 		if t.step.spec.Gang {
-			continue // The worker ends the other members by itself.
+			continue // The worker stops the other members by itself.
 		}
 		for _, r := range x.runs {
 			p.stop(r)
@@ -286,25 +286,24 @@
 	t.step.job.update()
 }
 
-// failTask counts a failure, each run once, and fails the job after the last
-// attempt.
+// failTask counts a failure, once per run, and fails the job after the last attempt.
 func (p *Planner) failTask(t *task, run uint64) {
 	j := t.step.job
 	key := t.failKey()
 	if !slices.Contains(j.failed[key], run) {
 		j.failed[key] = append(j.failed[key], run)
 	}
-	most := 1
+	attempts := 1
 	if j.queue != nil {
-		most = max(1, j.queue.Attempts)
+		attempts = max(1, j.queue.Attempts)
 	}
-	if len(j.failed[key]) >= most && !t.done {
+	if len(j.failed[key]) >= attempts && !t.done {
 		j.finish(winch.JobFailed)
 		p.stopJob(j)
 	}
 }
 
-// learn takes the run time of a task that ended well.
+// recordRunTime adds the run time of a successful task to the phase's statistics.
 func (s *step) learn(r *run) {
 	if r == nil || !r.started {
 		return
@@ -315,7 +314,7 @@
 	s.took += (took - s.took) / time.Duration(s.samples)
 }
 
-// status takes how the runs of a worker go.
+// handleStatus applies the reported progress of a worker's runs.
 func (p *Planner) status(w *worker, list []winch.Running) {
 	now := p.now()
 	for _, x := range list {
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet decides which task of which phased job runs on which worker VM
-// of a region. It holds no connection and starts no goroutine: events go in by
-// calls, orders, questions to the advice service and changed records come out.
-// All calls come from one goroutine.
+// Package fleet decides which task of which phased job runs on which worker VM of a region. It
+// opens no connection and starts no goroutine: events arrive as method calls, and orders, requests
+// to the advice service and changed records are fetched by method calls. All calls must come from
+// one goroutine.
 package fleet
 
 import (
@@ -11,85 +11,88 @@
 	"plantainwinch/winch"
 )
 
-// Ask is a question to the advice service.
+// AdviceRequest is a request to the advice service.
 type Ask struct {
-	Phase   winch.RunID // Phase names job, run and phase; the index is zero.
+	Phase   winch.RunID // Phase identifies the job, its repetition and the phase; the task index is zero.
 	Workers []string
-	// Urgent asks go before others and are never left behind slow ones.
+	// Urgent requests are sent before others and never wait behind slow ones.
 	Urgent bool
-	// Rank orders asks of the same urgency; the lowest is first.
+	// Rank orders requests of the same urgency; the lowest is sent first.
 	Rank float64
 	// Cost is how long the service takes to answer.
 	Cost  time.Duration
 	Asked time.Time
 }
 
-// Planner holds what is known of jobs and workers. Set the fields before the
-// first call.
+// Planner holds the state of all jobs and workers of a region. Exported fields must be set before
+// the first call.
 type Planner struct {
-	// Term counts the holders of the region's office. Run numbers begin with it,
-	// so that they rise from one planner to the next.
+	// Term counts the planners of the region: it rises with each acquisition of the office, the
+	// planner's leadership lease in the store. Run numbers start with it, so that they increase
+	// from one planner to the next.
 	Term uint64
-	// Barrier is when everything that an earlier planner may have started on a
-	// worker that does not answer has surely ended. Until then, or until all
-	// workers of the roster have answered, its jobs are only adopted.
+	// Barrier is when all work that an earlier planner may have started on an unresponsive worker
+	// is guaranteed to have ended. Until then, or until all workers of the roster have responded,
+	// work of that planner is adopted but not started again.
 	Barrier time.Time
-	// Fresh is the revision after which an accepted job cannot have been started
-	// by an earlier planner.
+	// AdoptedRevision is the last revision at which an accepted job may have been started by an
+	// earlier planner.
 	Fresh uint64
-	// KnownBefore, if it is set, leaves out jobs that were heard of later: this
-	// planner's office may have lapsed then, and a later planner starts them.
+	// LeaseExpiry, if set, is when the lease of this planner's office may have expired. Jobs added
+	// later are not started: a later planner starts them.
 	KnownBefore time.Time
-	// Clock tells the time; New sets the runtime's.
+	// Clock returns the current time; New sets time.Now.
 	Clock func() time.Time
-	// Policy says which mechanisms are in force; New sets DefaultPolicy.
+	// Policy selects the scheduling mechanisms in use; New sets DefaultPolicy.
 	Policy Policy
-	// Openings is what the next Schedule may ask the advice service; New sets no bound.
+	// Openings limits the advice requests of the next Schedule; New sets no limit.
 	Openings Openings
 
 	jobs map[string]*job
-	// active holds the jobs that have not ended; most that are known have.
+	// active holds the jobs that have not ended; most jobs in memory have ended.
 	active map[string]*job
-	// ready holds the steps whose tasks may wait, in the order of the last Schedule.
+	// ready holds the phases that may have waiting tasks, in the order of the last Schedule.
 	ready []waiting
-	// ahead holds the steps that may be asked about before their turn has come.
+	// ahead holds the phases for which advice may be requested before their dependencies are done.
 	ahead   []*step
 	workers map[string]*worker
-	// byID lists the workers in the order of their IDs, unless unsorted is set.
+	// byID lists the workers by ID; it is out of date while unsorted is set.
 	byID     []*worker
 	unsorted bool
 	queues   map[string]*queue
 	teams    map[string]*team
-	// roster holds the workers that earlier planners may have used and that have
-	// not answered yet.
+	// roster holds the workers that earlier planners may have used and that have not yet listed
+	// their runs.
 	roster map[string]bool
-	runs   uint64
-	// pools holds the room and the urgent demand of each service's workers.
+	// runs counts the run numbers that this planner has assigned.
+	runs uint64
+	// pools holds the capacity and the urgent demand of the workers of each service.
 	pools map[string]*pool
-	// kept lists the workers with room that is kept for steps which were looked at earlier
-	// than others in the last Schedule.
+	// reservedWorkers lists the workers with capacity that the last Schedule reserved for phases
+	// of higher rank.
 	kept []*worker
-	// planned counts the steps that it kept places for, searched those that it looked for
-	// new places for, and looks the workers that it looked at.
+	// planned counts the phases for which the last Schedule reserved slots, searched those for
+	// which it searched slots anew, and examined the workers that it examined.
 	planned, searched, looks int
-	// resume is the step at which the last Schedule ended, if it did not get through.
+	// resume is the phase at which the last Schedule stopped if it did not finish.
 	resume *step
 	// marks counts the searches that mark workers.
 	marks uint64
-	// asOpened is Openings at the beginning of the last Schedule; starving lists the steps
-	// that have waited long for a question and did not get one of them.
+	// initialOpenings is Openings at the start of the last Schedule; starving lists the phases
+	// that have waited long for advice and got no request.
 	asOpened Openings
 	starving []waiting
-	// ending holds the workers with ends that are not forgotten yet.
+	// pendingWorkers holds the workers with completions that have not been forgotten yet.
 	ending map[*worker]bool
-	// probes holds the workers that get nothing else beside a probe; lostBoots holds the boots
-	// that were lost lately.
+	// probes holds the workers on which nothing may be started beside a probe; lostBoots holds the
+	// boots that were lost recently.
 	probes    map[*worker]*suspicion
 	lostBoots []lostBoot
-	// unrecorded holds the runs that crashed their workers and of which the store tells nothing
-	// yet.
+	// unrecordedCrashes holds the runs that crashed their workers and whose crash is not yet
+	// recorded in the store.
 	unrecorded []unrecorded
 
+	// The following fields collect output until the method that returns it is called.
 	orders  []proto.Order
 	asks    []Ask
 	dirty   []*job
@@ -103,7 +106,7 @@
 // Counts are totals since the planner took over.
 type Counts struct {
 	Started, NotStarted, Done, Failed, Stopped, Lost, Asked, Restarted int64
-	// Looks counts the workers that decisions looked at: most of what they cost.
+	// Examined counts the workers examined by decisions, which is most of the cost of scheduling.
 	Looks   int64
 	Running int
 }
@@ -119,15 +122,16 @@
 
 type queue struct {
 	winch.Queue
-	// share is the part of the workers asked about that the advice service allows,
-	// learnt from its answers.
+	// allowedShare is the moving average of the share of workers that the advice service allows
+	// out of those in a request.
 	share float64
-	// turnaround is how long a question usually takes, waiting included.
+	// turnaround is the moving average of the time from a request to its response, including time
+	// in the queue.
 	turnaround time.Duration
 }
 
-// adviceTime is how long a question about the usual number of workers takes, which a
-// job's objective allows for once for each phase.
+// adviceTime returns how long an advice request for the usual number of workers takes. A job's
+// objective allows for one such request per phase.
 func (q *queue) adviceTime() time.Duration {
 	if q == nil || q.Advice == nil {
 		return 0
@@ -137,13 +141,13 @@
 
 type team struct {
 	winch.RegionTeam
-	// used is what all runs of the team hold that may exist, stopping ones included.
+	// used is the capacity of all runs of the team that may exist, including those being stopped.
 	used   winch.Room
 	urgent demand
 	share  shareUse
 }
 
-// SetConfig puts a configuration in force.
+// SetConfig applies a configuration.
 func (p *Planner) SetConfig(c *winch.RegionConfig) {
 	for _, q := range c.Queues {
 		known := p.queues[q.Name]
@@ -178,24 +182,23 @@
 	return t
 }
 
-// now returns the time.
 func (p *Planner) now() time.Time { return p.Clock() }
 
-// Orders returns the orders since the last call.
+// Orders returns the orders issued since the last call.
 func (p *Planner) Orders() []proto.Order {
 	out := p.orders
 	p.orders = nil
 	return out
 }
 
-// Asks returns the questions to the advice service since the last call.
+// AdviceRequests returns the requests to the advice service made since the last call.
 func (p *Planner) Asks() []Ask {
 	out := p.asks
 	p.asks = nil
 	return out
 }
 
-// Counts returns the totals, and what runs now.
+// Counts returns the totals and the current number of runs.
 func (p *Planner) Counts() Counts {
 	c := p.counts
 	for _, w := range p.workers {
@@ -204,7 +207,7 @@
 	return c
 }
 
-// Origin names the entry that accepted a job.
+// Origin returns the entry that accepted a job.
 func (p *Planner) Origin(id string) string {
 	if j := p.jobs[id]; j != nil {
 		return j.rec.Origin
@@ -212,8 +215,8 @@
 	return ""
 }
 
-// State returns the state of a job that a caller may be shown, and whether the
-// job is known. A final state is shown once it is recorded.
+// State returns the state of a job that callers may see, and whether the job is known. A final
+// state becomes visible once it is recorded.
 func (p *Planner) State(id string) (winch.JobState, bool) {
 	j := p.jobs[id]
 	if j == nil {
@@ -225,8 +228,8 @@
 	return j.shown, true
 }
 
-// Ending reports whether a job may end soon: all tasks that are left run, or have ended and
-// that is not recorded yet.
+// EndsSoon reports whether a job may end soon: all remaining tasks are running, or all have ended
+// and the end is not recorded yet.
 func (p *Planner) Ending(id string) bool {
 	j := p.jobs[id]
 	if j == nil || j.cancelled || j.shown.Final() {
@@ -243,7 +246,7 @@
 	return len(j.steps) > 0
 }
 
-// Waiting returns, by queue, how many jobs have not begun.
+// Waiting returns the number of jobs that have not begun, by queue.
 func (p *Planner) Waiting() map[string]int {
 	out := make(map[string]int)
 	for _, j := range p.active {
--- a/coord/fleet/fleet_test.go
+++ b/coord/fleet/fleet_test.go
@@ -13,14 +13,14 @@
 	"plantainwinch/winch"
 )
 
-// cell is a planner with workers that do what they are ordered at once.
+// simRegion is a planner with simulated workers that carry out orders at once.
 type cell struct {
 	t       *testing.T
 	planner *Planner
-	// running lists the runs at the workers, in the order of their starts.
+	// running lists the start orders of the current runs, in the order of their starts.
 	running []proto.Order
 	ends    map[string]uint64
-	// due is when each run ends by its estimate.
+	// due is when each run would end by its estimate.
 	due map[runKey]time.Time
 }
 
@@ -55,12 +55,12 @@
 	c.planner.Add(&winch.PhasedJob{ID: id, Queue: queue, Team: team, Command: "work", Phases: phases, Accepted: time.Now(), Revision: 7}, nil, 0)
 }
 
-// tasks returns a phase of alike tasks.
+// tasks returns a phase of identical tasks.
 func tasks(count int, milli int64) winch.Phase {
 	return winch.Phase{Count: count, Need: winch.Room{Milli: milli, Memory: gigabyte}, Estimate: time.Second}
 }
 
-// step decides and carries the orders out. It returns the starts.
+// schedule calls Schedule, carries out the orders and returns the starts.
 func (c *cell) step() []proto.Order {
 	c.planner.Schedule()
 	var starts []proto.Order
@@ -80,7 +80,7 @@
 	return starts
 }
 
-// end lets a worker list an end.
+// endRun lets a worker report the completion of a run.
 func (c *cell) end(o proto.Order, kind winch.EndKind) {
 	c.ends[o.Worker]++
 	c.running = slices.DeleteFunc(c.running, func(x proto.Order) bool { return x.Task == o.Task && x.Run == o.Run })
@@ -89,7 +89,7 @@
 	}})
 }
 
-// record writes all records that wait.
+// saveRecords saves all records that must be written.
 func (c *cell) record() {
 	for _, r := range c.planner.Records(1000) {
 		c.planner.Saved(r, 10)
@@ -101,7 +101,8 @@
 	return state
 }
 
-// A job's phases run one after the other, and its end is shown once it is recorded.
+// Guards the order of phases: a phase starts only after the phases before it, and the end of the
+// job becomes visible only once it is recorded.
 func TestPhases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,7 +112,7 @@
 		c.add("a", "preview", "choir", tasks(2, 1000), second)
 		is.Equal(c.state("a"), winch.JobQueued)
 		starts := c.step()
-		is.Equal(len(starts), 2) // only the first phase's turn has come
+		is.Equal(len(starts), 2) // only the first phase is ready
 		is.Equal(c.state("a"), winch.JobRunning)
 		c.end(starts[0], winch.EndDone)
 		is.Equal(len(c.step()), 0)
@@ -125,10 +126,9 @@
 	})
 }
 
-// A worker lists an end until it is told that the end is recorded. If the
-// planner is lost after it has recorded a failure and before the worker is told,
-// the next planner gets the same failure again. Counted twice, it fails a job
-// that has an attempt left, and its caller loses work that could be done.
+// A worker lists a completion until it is ordered to forget it. If the planner is lost after it
+// recorded a failure and before that order, the next planner receives the same failure again.
+// Counting it twice would fail a job that has an attempt left.
 func TestFailureListedTwiceCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -148,17 +148,16 @@
 		}})
 		starts := next.step()
 		is.Equal(len(starts), 1)             // the second attempt
-		is.True(starts[0].Run > first.Run)   // run numbers rise from term to term
-		next.ends[first.Worker] = 1          // the worker counts on
-		next.end(starts[0], winch.EndFailed) // now both attempts are used up
+		is.True(starts[0].Run > first.Run)   // run numbers increase from term to term
+		next.ends[first.Worker] = 1          // the worker continues its numbering
+		next.end(starts[0], winch.EndFailed) // both attempts are now used
 		next.record()
 		is.Equal(next.state("a"), winch.JobFailed)
 	})
 }
 
-// A team's long work takes all that the team may have running just before its
-// urgent work comes. The urgent work would wait until the long work ends, many
-// seconds, though machines stand idle.
+// Long tasks of a team use up the team's limit just before its urgent tasks arrive. Without a
+// reserve, the urgent tasks would wait many seconds for the long ones although workers are idle.
 func TestLongWorkLeavesRoomForUrgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -170,14 +169,15 @@
 		}
 		time.Sleep(time.Second)
 		c.add("b", "mix", "choir", tasks(20, 1000))
-		is.Equal(len(c.step()), 6) // what urgent work lately had is kept free
+		is.Equal(len(c.step()), 6) // the peak of recent urgent work is kept free
 		c.add("c", "preview", "choir", tasks(3, 1000))
 		is.Equal(len(c.step()), 3)
 		is.True(c.planner.teams["choir"].used.Milli <= 10000)
 	})
 }
 
-// Urgent work that has not come for long does not keep room free for ever.
+// The capacity reserved for urgent work must be released when no urgent work has arrived for a
+// long time.
 func TestReserveFades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -194,7 +194,7 @@
 	})
 }
 
-// Listing is what a worker with these runs tells the next planner.
+// listedEvent returns the event with which a worker reports its runs to the next planner.
 func listing(c *cell, worker string) proto.KeepEvent {
 	e := proto.KeepEvent{Kind: proto.EventListed, Worker: worker}
 	for _, o := range c.running {
@@ -205,9 +205,8 @@
 	return e
 }
 
-// The planner is lost while tasks of one phase run at several workers. The next
-// planner finds them there and lets them go on; if it stopped them, each change
-// of the planner would cost all work that runs.
+// The planner is lost while tasks of a phase run at several workers. The next planner must adopt
+// these runs: if it stopped them, each takeover would discard all running work.
 func TestTakeoverStopsNothing(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -226,7 +225,7 @@
 			next.planner.SetWorkers(c.planner.Held())
 			next.planner.Fresh = 100
 			next.planner.Add(c.planner.jobs["a"].rec, nil, 0)
-			is.Equal(len(next.step()), 0) // nothing is started before all workers have answered
+			is.Equal(len(next.step()), 0) // nothing starts before all workers have listed their runs
 			for _, w := range []string{"w0", "w1", "w2"} {
 				next.planner.Event(listing(c, w))
 			}
@@ -238,9 +237,9 @@
 	}
 }
 
-// A worker that an earlier planner used does not answer the next one. What is
-// not found elsewhere may run there, so it is not started until that has surely
-// ended; jobs accepted since are started at once.
+// A worker used by an earlier planner does not respond to the next one. A task that is not found
+// elsewhere may still run there, so it must not start until that run is guaranteed to have ended.
+// Jobs accepted after the takeover start at once.
 func TestUnansweredWorkerHoldsOldWorkBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -260,9 +259,8 @@
 	})
 }
 
-// A worker drains, leaves and is lost. Nothing can run there, so it is dropped:
-// a planner that takes over later would else wait for its answer, and start
-// nothing of the jobs it finds for many seconds.
+// A worker drains, leaves the platform's list and is lost. It must be dropped: otherwise a later
+// planner would wait many seconds for its lists before it starts earlier jobs.
 func TestWorkerThatLeftIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -275,9 +273,9 @@
 	})
 }
 
-// A worker crashes and starts again. Until the platform's list names the new
-// boot, every call meant for the old one is refused. The old boot is not held
-// again: hundreds of calls a second would only be told the same.
+// A worker crashes and boots again. Until the platform's list contains the new boot, all calls to
+// the old one are refused. The old boot must not be held again, since that would cause hundreds of
+// refused calls per second.
 func TestBootThatIsOverIsNotHeldAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -286,17 +284,17 @@
 		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
 		is.Equal(len(c.planner.Held()), 0)
 		c.planner.SetWorkers(list)
-		is.Equal(len(c.planner.Held()), 0) // The list is still the old one.
+		is.Equal(len(c.planner.Held()), 0) // the list still contains the old boot
 		list[0].Born++
 		c.planner.SetWorkers(list)
 		is.Equal(len(c.planner.Held()), 1)
 	})
 }
 
-// A task ends well while the store is away, so the end is not recorded. The
-// planner is lost, and its standby takes over and has not heard of the worker
-// yet. If it took the task for one that does not run, it would start it again
-// though it is done: the caller is billed twice.
+// A task succeeds while the store is unavailable, so its completion is not recorded. The planner
+// is lost, and the standby takes over before the worker reports to it. If the standby assumed that
+// the task is not running, it would run the task a second time and the caller would be billed
+// twice.
 func TestUnrecordedEndIsNotForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -330,7 +328,7 @@
 		}})
 		next.Schedule()
 		is.Equal(len(next.Orders()), 0)
-		is.Equal(len(next.Records(10)), 1) // now it is recorded
+		is.Equal(len(next.Records(10)), 1) // now it is to be recorded
 
 		c.record()
 		is.Equal(len(c.planner.Gone()), 1)
@@ -338,9 +336,9 @@
 	})
 }
 
-// A job fails by its last attempt, and before that is recorded another of its
-// tasks ends well. The worker is not told to forget that end before the failure
-// is recorded: a planner that takes over in between would start the task again.
+// A job fails with its last attempt, and another of its tasks succeeds before the failure is
+// recorded. The worker must not be ordered to forget that completion until the failure is
+// recorded: a planner that takes over in between would start the task again.
 func TestEndsOfAFailedJobWaitForItsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -348,7 +346,7 @@
 		c.add("a", "once", "choir", tasks(2, 1000))
 		starts := c.step()
 		c.end(starts[0], winch.EndFailed)
-		c.planner.Orders() // the other task's stop comes too late
+		c.planner.Orders() // the order to stop the other task comes too late
 		c.end(starts[1], winch.EndDone)
 		is.Equal(len(c.planner.RunsAt("w0")), 2)
 		is.Equal(len(c.planner.Orders()), 0)
@@ -360,9 +358,9 @@
 	})
 }
 
-// One team sends many times its usual in urgent work, and then stops. What it
-// wanted is far more than all machines have; if that much were kept free, the
-// other teams' work would wait beside idle machines for half a minute.
+// A team submits far more urgent work than usual and then stops. Its peak demand exceeds the
+// capacity of all workers. If that much were kept free, the work of other teams would wait half a
+// minute while workers are idle.
 func TestHotTeamDoesNotKeepTheRegionIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -377,10 +375,9 @@
 	})
 }
 
-// More urgent work comes than the workers can do, for longer than its objective.
-// Were the oldest always served first, each would be started just too late and
-// nobody would be answered in time. The pattern is a burst of a queue to twice
-// what fits; half of what comes can be on time, and most of that is.
+// More urgent work arrives than the workers can run, for longer than its objective. If the oldest
+// job always went first, each would start just too late and none would meet its objective. Here
+// twice as much arrives as fits, so half of it can be on time, and most of that half must be.
 func TestOverloadKeepsManyOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -393,11 +390,11 @@
 		var runs []running
 		begun := make(map[string]time.Time)
 		onTime := 0
-		const steps = 200 // of 100 ms: 20 s
+		const steps = 200 // of 100 ms, that is 20 s
 		for i := range steps {
 			id := fmt.Sprintf("j%03d", i)
 			begun[id] = time.Now()
-			c.add(id, "preview", "choir", tasks(6, 1000)) // 60 a second, 32 fit.
+			c.add(id, "preview", "choir", tasks(6, 1000)) // 60 tasks arrive each second, 32 fit
 			for len(runs) > 0 && !runs[0].ends.After(time.Now()) {
 				c.end(runs[0].start, winch.EndDone)
 				runs = runs[1:]
@@ -415,12 +412,12 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(onTime > steps*2/5) // 32 of 60 fit; the latest first would leave under a tenth.
+		is.True(onTime > steps*2/5) // 32 of 60 fit; always running the oldest first would leave less than a tenth on time
 	})
 }
 
-// A team hands in many times its share while the region is full. Another team's
-// work, which keeps to its share, goes before what is beyond.
+// A team submits many times its share while the region is full. The work of another team that
+// stays within its share must go before the excess.
 func TestBeyondTheShareComesLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -440,13 +437,13 @@
 		for _, s := range c.step() {
 			names = append(names, s.Task.Job)
 		}
-		is.True(slices.Contains(names, "other")) // Right after the two within the share.
-		is.Equal(len(names), 2)                  // What is beyond still runs where there is room.
+		is.True(slices.Contains(names, "other")) // directly after the two jobs within the share
+		is.Equal(len(names), 2)                  // excess work still runs where there is capacity
 	})
 }
 
-// A planner that takes over reads all jobs at once, in any order. It counts the
-// shares as the jobs were accepted.
+// A planner that takes over reads all jobs at once and in any order. It must count the shares in
+// the order in which the jobs were accepted.
 func TestSharesAreCountedInOrderOfAcceptance(t *testing.T) {
 	is := is.New(t)
 	p := New(1)
@@ -461,9 +458,9 @@
 	is.Equal(p.jobs["c"].excess, false)
 }
 
-// A worker gets another keeper, which knows nothing of the ends that were recorded
-// before. It is told again up to where they are: the worker would else list them,
-// and be asked about them again and again, until its next task ends.
+// A worker gets another keeper, which does not know which completions are recorded. The forget
+// order must be repeated: otherwise the worker would list these completions until its next task
+// ends.
 func TestNextKeeperIsToldWhatIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/forget.go
+++ b/coord/fleet/forget.go
@@ -7,7 +7,7 @@
 	"plantainwinch/winch"
 )
 
-// Cancel stops all work of a job whose cancel is recorded.
+// Cancel stops all work of a job whose cancellation is recorded.
 func (p *Planner) Cancel(id string) {
 	j := p.jobs[id]
 	if j == nil || j.cancelled || j.state.Final() {
@@ -29,13 +29,13 @@
 	}
 }
 
-// Known reports whether the planner has the job.
+// HasJob reports whether the planner has the job.
 func (p *Planner) Known(id string) bool {
 	return p.jobs[id] != nil
 }
 
-// Expired returns the jobs that ended before a time and whose end is recorded. Of later
-// ones it keeps no more than what callers may ask.
+// ExpiredJobs returns the jobs that ended before a time and whose end is recorded. Of jobs that
+// ended later, it drops all state that callers cannot ask for.
 func (p *Planner) Expired(before time.Time) []string {
 	var out []string
 	for id, j := range p.jobs {
@@ -46,7 +46,7 @@
 			if len(p.roster) > 0 {
 				continue
 			}
-			p.note(j) // Nothing of it runs any more, so the store need not hold it.
+			p.note(j) // None of its runs is left, so the store need not hold it any longer.
 			continue
 		}
 		j.steps, j.listing = nil, nil
@@ -58,7 +58,7 @@
 	return out
 }
 
-// Forget drops a job.
+// Forget removes a job.
 func (p *Planner) Forget(id string) {
 	delete(p.jobs, id)
 	delete(p.active, id)
--- a/coord/fleet/health.go
+++ b/coord/fleet/health.go
@@ -5,22 +5,24 @@
 )
 
 const (
-	// failuresOfJobs is how many distinct jobs must fail at a worker in a row,
-	// with no task ending well in between, before the worker is set aside. A job
-	// that can never be done fails everywhere, but it is one job.
+	// minFailedJobs is how many distinct jobs must fail at a worker in a row, without a success in
+	// between, before the worker is quarantined. A single job that always fails does so
+	// everywhere.
 	failuresOfJobs = 3
-	// firstRest and mostRest bound how long a worker is set aside; the time
-	// doubles while it goes on failing.
+	// minQuarantine and maxQuarantine limit a quarantine, which doubles in length while the worker
+	// keeps failing.
 	firstRest = 2 * time.Second
 	mostRest  = 30 * time.Second
-	// refusedRest is how long a worker that refused a start for want of room, or
-	// did not answer, gets no new one: its next lists come within that time.
+	// refusedQuarantine is how long a worker gets no new work after it refused a start for lack of
+	// capacity or did not respond: its next lists arrive within that time.
 	refusedRest = 300 * time.Millisecond
 )
 
-// health tells a worker that fails all it starts from jobs that fail anywhere.
+// health tracks the failures at a worker, to tell a worker that fails everything from jobs that
+// fail everywhere.
 type health struct {
-	jobs    map[string]bool
+	jobs map[string]bool
+	// until is the end of the quarantine, period the length of the last one.
 	until   time.Time
 	penalty time.Duration
 }
--- a/coord/fleet/job.go
+++ b/coord/fleet/job.go
@@ -8,103 +8,111 @@
 	"plantainwinch/winch"
 )
 
-// job is an accepted job while it is not forgotten.
+// job is an accepted job that the planner still has in memory.
 type job struct {
 	planner *Planner
 	rec     *winch.PhasedJob
-	queue   *queue // queue is nil until a configuration names it.
+	queue   *queue // queue is nil until a configuration contains it.
 	team    *team
 	steps   []*step
-	// state is what this planner knows, shown what is recorded and may be told.
+	// state is the current state as this planner knows it, visibleState the recorded one, which
+	// callers may see.
 	state     winch.JobState
 	shown     winch.JobState
 	cancelled bool
 	begun     bool
-	// excess says that the team handed the job in beyond its share.
+	// excess is set if the job exceeded its team's share when it was accepted.
 	excess bool
-	// adopted says that runs of an earlier planner were found.
+	// adopted is set if runs of an earlier planner were found.
 	adopted bool
-	heard   time.Time
-	ended   time.Time
+	// addedAt is when this planner learned of the job. endedAt is when it ended or, once that is
+	// recorded, when the record was written.
+	heard time.Time
+	ended time.Time
 
-	// changes counts what is to be recorded, saved how much of it is.
+	// changes counts the changes to be recorded, savedChanges those of them that are recorded.
 	changes  uint64
 	saved    uint64
 	saving   bool
-	revision uint64              // revision of the progress record; zero if there is none.
-	failed   map[string][]uint64 // failed lists the runs that failed, by failKey.
-	// suspects holds the tasks under which workers crashed, by failKey; crashes are those that
-	// the job has failed by.
+	revision uint64              // revision is that of the progress record; zero if there is none.
+	failed   map[string][]uint64 // failed lists the failed runs by failureKey.
+	// suspects holds the tasks whose workers crashed, by failureKey; crashes lists the crashes for
+	// which the job was failed.
 	suspects   map[string]*suspicion
-	cleared    int // cleared counts the suspects that have shown that they crash no worker.
+	cleared    int // cleared counts the suspects that were shown not to crash their workers.
 	crashes    []winch.Crash
-	unanswered int  // unanswered counts starts without an answer.
-	pressing   bool // pressing says that a caller waits for the record.
-	dirty      bool // dirty says that its record is to be written.
-	rest       bool // rest says that it has ended and the store still holds the job.
-	// listing holds the workers that list ends which wait for its record.
+	unanswered int  // unanswered counts the starts that got no response.
+	pressing   bool // awaited is set while a caller, or the start of a task, waits for the record.
+	dirty      bool // dirty is set if the record must be written.
+	rest       bool // retained is set if the job has ended and the store still holds it.
+	// completionWorkers holds the workers with completions that wait for the job's record.
 	listing []*worker
 }
 
-// step is one phase of one run of a job's phases.
+// phase is one phase of one repetition of a job, with its scheduling state.
 type step struct {
-	job   *job
-	spec  *winch.Phase
+	job  *job
+	spec *winch.Phase
+	// repetition is the index of the repetition, index that of the phase within it.
 	k     int
 	phase int
 	tasks []*task
 	after []*step
-	next  []*step // next holds the steps that name this one in after.
-	due   time.Time
-	// listed says that the step is among the planner's ready ones, since when it is.
+	next  []*step // next holds the phases that name this one in after.
+	// due is the earliest start; zero if the job is not repeated.
+	due time.Time
+	// listed is set if the phase is in the planner's ready list, readySince is when it became
+	// ready.
 	listed bool
 	since  time.Time
-	ahead  bool // ahead says that it is among those that may be asked about before their turn.
-	// waiting counts the tasks that neither run nor have ended.
+	ahead  bool // ahead is set if advice may be requested before the dependencies are done.
+	// waiting counts the tasks that neither run nor are done, done those that are done, and live
+	// those that run.
 	waiting int
 	done    int
 	live    int
-	// finished is when a task last ended well.
+	// finishedAt is when a task of the phase last completed successfully.
 	finished time.Time
-	// tail is the longest chain of estimates from this phase to the job's end, whole the
-	// longest of the step's run of the phases.
+	// remainingPath is the longest chain of estimates from this phase to the end of the job,
+	// criticalPath the longest chain of the whole repetition.
 	tail  time.Duration
 	whole time.Duration
 	known advice
 	gang  gangRun
-	// slots are the places where the tasks that wait are expected to start.
-	// They were looked for at lookedFor.
+	// slots are the places at which the waiting tasks are expected to start, as of the search at
+	// slotsFoundAt.
 	slots     []slot
 	lookedFor time.Time
-	// took is the mean run time of the tasks that ended well, longest the longest.
+	// meanTime and maxTime are the mean and the longest run time of the tasks that completed
+	// successfully.
 	took    time.Duration
 	longest time.Duration
 	samples int
-	// usual is the median rate of usualOf tasks as of usualAt.
+	// cachedRate is the median progress rate of cachedRateSamples tasks at cachedRateAt.
 	usual   float64
 	usualOf int
 	usualAt time.Time
-	// spent is how long tasks have waited for each reason, reason why some wait
-	// since judged.
+	// waited sums the time that tasks have waited, by reason; waitReason is why some have waited
+	// since accountedAt.
 	spent  map[Reason]time.Duration
 	reason Reason
 	judged time.Time
 }
 
-// task is one task of a step.
+// task is one task of a phase.
 type task struct {
 	step  *step
 	index int
 	done  bool
-	// runs holds the runs that may exist; more than one only while an unwanted
-	// one is stopping.
+	// runs holds the runs that may exist. There is more than one only while an unwanted one is
+	// being stopped.
 	runs       []*run
 	checkpoint string
-	// avoid names the worker at which the task failed last.
+	// avoidWorker is the worker at which the task last failed or was slow.
 	avoid string
-	// restarts counts how often it was stopped since it was slow.
+	// restarts counts how often the task was restarted because it was slow.
 	restarts int
-	// seen is when a run that has ended was last known to do the task's work.
+	// lastWorkedAt is when a run that has since ended was last known to do the task's work.
 	seen time.Time
 }
 
@@ -116,7 +124,7 @@
 	return winch.RunID{Job: s.job.rec.ID, K: s.k, Phase: s.phase}
 }
 
-// ready reports whether the step's turn has come.
+// ready reports whether the phase has waiting tasks that may be started now.
 func (s *step) ready() bool {
 	j := s.job
 	if s.waiting == 0 || j.cancelled || j.state.Final() || j.queue == nil {
@@ -125,12 +133,12 @@
 	return s.turn()
 }
 
-// turn reports whether the phases before the step are done and it is due.
+// isDue reports whether the preceding phases are done and the phase's due time has come.
 func (s *step) turn() bool {
 	return s.unlocked() && (s.due.IsZero() || !s.job.planner.now().Before(s.due))
 }
 
-// unlocked reports whether the phases before the step are done.
+// dependenciesDone reports whether the preceding phases are done.
 func (s *step) unlocked() bool {
 	for _, a := range s.after {
 		if a.done < len(a.tasks) {
@@ -140,8 +148,8 @@
 	return true
 }
 
-// Add takes an accepted job, with what is recorded of its progress. A job that
-// is known already is left as it is.
+// Add adds an accepted job with its recorded progress. A job that is already known is left
+// unchanged.
 func (p *Planner) Add(rec *winch.PhasedJob, progress *winch.Progress, revision uint64) {
 	if p.jobs[rec.ID] != nil {
 		return
@@ -169,15 +177,15 @@
 	j.consider()
 }
 
-// consider lists the steps whose turn may have come.
+// enqueueReady adds the job's phases that may be ready to the planner's ready list.
 func (j *job) consider() {
 	for _, s := range j.steps {
 		j.planner.consider(s)
 	}
 }
 
-// consider lists a step among the ready ones if tasks of it wait and no earlier step
-// holds it back.
+// enqueueIfReady adds a phase to the ready list if it has waiting tasks and no preceding phase
+// delays it.
 func (p *Planner) consider(s *step) {
 	if !s.listed && s.waiting > 0 && s.job.queue != nil && s.unlocked() {
 		s.listed, s.since = true, time.Time{}
@@ -205,7 +213,8 @@
 	}
 }
 
-// chains computes the longest chain of estimates from each phase of each run on.
+// updateCriticalPaths computes the longest chain of estimates from each phase to the end of its
+// repetition.
 func (j *job) chains() {
 	for _, s := range j.steps {
 		s.tail = 0
@@ -215,8 +224,8 @@
 	}
 }
 
-// chain computes the longest chain of one run. A phase names earlier phases only, so
-// one pass backwards is enough.
+// updateCriticalPath computes the chains of the repetition that starts at index first. A phase
+// names only earlier phases, so one backward pass is enough.
 func (j *job) chain(first int) {
 	steps := j.steps[first : first+len(j.rec.Phases)]
 	for i, s := range slices.Backward(steps) {
@@ -227,17 +236,17 @@
 			}
 		}
 	}
-	whole := time.Duration(0)
+	longest := time.Duration(0)
 	for _, s := range steps {
-		whole = max(whole, s.tail)
+		longest = max(longest, s.tail)
 	}
 	for _, s := range steps {
-		s.whole = whole
+		s.whole = longest
 	}
 }
 
-// begin is when the step's run of the phases begins to count: the job's acceptance, or
-// the time it is due.
+// beginsAt returns when the phase's repetition starts to count: at the job's acceptance, or when
+// it is due.
 func (s *step) begin() time.Time {
 	if s.due.IsZero() {
 		return s.job.rec.Accepted
@@ -245,12 +254,12 @@
 	return s.due
 }
 
-// objective is when the step's run of the phases should have ended.
+// objective returns when the phase's repetition should have ended.
 func (s *step) objective() time.Time {
 	return s.begin().Add(s.job.allowance(s.whole))
 }
 
-// allowance is how long a job may take whose longest chain of work takes a time.
+// allowedTime returns how long a job may take whose longest chain of work takes the given time.
 func (j *job) allowance(chain time.Duration) time.Duration {
 	if j.queue == nil {
 		return chain
@@ -266,7 +275,7 @@
 	return j.steps[i]
 }
 
-// restore takes over what is recorded.
+// restore applies the recorded progress.
 func (j *job) restore(progress *winch.Progress) {
 	j.state = progress.State
 	if j.state == "" {
@@ -292,7 +301,7 @@
 	}
 }
 
-// failKey names what failures are counted by: a task, or a whole gang.
+// failureKey returns the key by which failures are counted: that of a task, or of a whole gang.
 func (t *task) failKey() string {
 	s := t.step
 	key := strconv.Itoa(s.k) + "." + strconv.Itoa(s.phase)
@@ -302,7 +311,7 @@
 	return key + "." + strconv.Itoa(t.index)
 }
 
-// finish marks a task as ended well.
+// finish marks a task as successfully completed.
 func (t *task) finish() {
 	if t.done {
 		return
@@ -318,7 +327,7 @@
 	}
 }
 
-// recount keeps the step's numbers right after a change of the task.
+// updateCounts recomputes the phase's counters after a change of the task.
 func (t *task) recount() {
 	s := t.step
 	s.waiting, s.live = 0, 0
@@ -335,7 +344,7 @@
 	}
 }
 
-// wanted returns the run that does the task's work, if there is one.
+// activeRun returns the run that does the task's work, or nil.
 func (t *task) wanted() *run {
 	for _, r := range t.runs {
 		if !r.stopping {
@@ -345,27 +354,27 @@
 	return nil
 }
 
-// free reports whether the task may be started: it has no run that may exist.
+// startable reports whether the task may be started: it is not done and has no run that may exist.
 func (t *task) free() bool {
 	return !t.done && len(t.runs) == 0
 }
 
-// update derives the job's state and notes a change of it.
+// updateState derives the job's state from its tasks.
 func (j *job) update() {
 	if j.state.Final() {
 		return
 	}
-	all := true
+	allDone := true
 	for _, s := range j.steps {
 		if s.spec.Lasting || s.done < len(s.tasks) {
-			all = false
+			allDone = false
 		}
 		if s.live > 0 || s.done > 0 {
 			j.begun = true
 		}
 	}
 	switch {
-	case all:
+	case allDone:
 		j.finish(winch.JobDone)
 	case j.begun:
 		j.state = winch.JobRunning
--- a/coord/fleet/load.go
+++ b/coord/fleet/load.go
@@ -2,16 +2,16 @@
 
 import "plantainwinch/winch"
 
-// Load is how full the region is.
+// Load describes how full the region is.
 type Load struct {
 	Room, Used, Stopping winch.Room
 	Workers, Usable      int
-	// Waiting counts tasks whose turn has come, by queue; Capped counts those of
-	// them whose team may have no more running.
+	// Waiting counts the waiting tasks that are ready, by queue; Capped counts those of them whose
+	// team has reached its limit.
 	Waiting map[string]int
 	Capped  int
 	Running int
-	Filling int64 // Filling is what filling tasks could use, in thousandths of a processor.
+	Filling int64 // Filling is what backfill tasks could use, in thousandths of a processor.
 }
 
 // Load returns how full the region is.
--- a/coord/fleet/loss.go
+++ b/coord/fleet/loss.go
@@ -8,11 +8,11 @@
 	"plantainwinch/winch"
 )
 
-// Loss tells of a worker whose runs have all ended with it.
+// Loss is a lost worker, with all runs that ended with it.
 type Loss struct {
 	Worker string
-	// Crashed says that the boot is known to have ended. Otherwise its lease has lapsed, and
-	// the VM may be well and only out of reach.
+	// Crashed is set if the boot is known to have ended. Otherwise its lease has expired, and the
+	// VM may be healthy but unreachable.
 	Crashed bool
 	Runs    []LostRun
 }
@@ -21,20 +21,21 @@
 type LostRun struct {
 	Task winch.RunID
 	Run  uint64
-	// Confirmed says that the worker confirmed the start, Stopping that its end was ordered.
+	// Confirmed is set if the worker confirmed the start, Stopping if the run had been ordered to
+	// stop.
 	Confirmed, Stopping bool
-	// Lived is how long the run had gone on when the worker was last heard.
+	// Age is how long the run had existed when contact with the worker was lost.
 	Lived time.Duration
 }
 
-// Losses returns the workers with runs that were lost since the last call.
+// Losses returns the workers that were lost with runs since the last call.
 func (p *Planner) Losses() []Loss {
 	out := p.losses
 	p.losses = nil
 	return out
 }
 
-// noteLoss notes what ends with a worker, those runs first that lived shortest.
+// noteLoss records the loss of a worker, with its youngest runs first.
 func (p *Planner) noteLoss(w *worker, crashed bool) {
 	if len(w.runs) == 0 {
 		return
@@ -49,7 +50,8 @@
 	p.losses = append(p.losses, loss)
 }
 
-// lived is how long a run had gone on when its worker was last heard, as far as is known.
+// age returns how long a run had existed at the end of contact with its worker, or until now if
+// the worker is responsive.
 func (r *run) lived() time.Duration {
 	last := r.worker.silent
 	if last.IsZero() {
--- a/coord/fleet/loss_test.go
+++ b/coord/fleet/loss_test.go
@@ -11,8 +11,8 @@
 	"plantainwinch/winch"
 )
 
-// A worker's loss tells which runs went with it, the last started first, and whether its
-// process ended or it only fell silent.
+// The report of a lost worker must list its runs with the youngest first, and say whether the
+// process ended or only contact was lost.
 func TestLossNamesItsRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/probe.go
+++ b/coord/fleet/probe.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// placeTime is how long a probe waits for a worker at which nothing runs that was just
-	// started, or under whose task a worker crashed.
+	// placementTimeout is how long a probe waits for a worker without suspect or recently started
+	// runs.
 	placeTime = time.Second
-	// apartTime bounds how long a worker gets nothing else beside a probe, weakApart where the
-	// task lasts and is hardly the cause: others of its kind wait for the place.
+	// isolationTimeout limits how long nothing else is started beside a probe.
+	// weakIsolationTimeout applies to lasting tasks that are unlikely causes: other such tasks
+	// wait for the capacity.
 	apartTime = 20 * time.Second
 	weakApart = 2 * time.Second
-	// One part in probesOfTeam of a service's workers may have probes of one team, and one in
-	// probesOfAll may have any; one in probesOfWeak where the task, or its job, is hardly the cause.
+	// Of the workers of a service, one in teamProbeDivisor may run probes of the same team and one
+	// in totalProbeDivisor probes of any team, but one in weakProbeDivisor if the task is an
+	// unlikely cause or its job has cleared suspects.
 	probesOfTeam = 8
 	probesOfAll  = 4
 	probesOfWeak = 2
 )
 
-// beginProbe keeps a worker free of other starts if a run there is a probe.
+// beginProbe blocks other starts on the worker if the run is a probe.
 func (p *Planner) beginProbe(r *run) {
 	if r.task == nil {
 		return
@@ -35,14 +37,14 @@
 	}
 }
 
-// endProbe lets other work start at a worker again.
+// endProbe allows other starts on a worker again.
 func (p *Planner) endProbe(w *worker) {
 	w.probe = nil
 	delete(p.probes, w)
 	p.watch(w)
 }
 
-// probeEnded takes note that a probe's run has ended, however it did.
+// probeEnded handles the end of a probe's run, whatever its result.
 func (p *Planner) probeEnded(r *run) {
 	x := r.probe
 	if x == nil {
@@ -56,7 +58,7 @@
 	}
 }
 
-// anyRun reports whether a task of the step has a run with a number.
+// hasRun reports whether a task of the phase has a run with the given number.
 func (s *step) anyRun(number uint64) bool {
 	return slices.ContainsFunc(s.tasks, func(t *task) bool {
 		return slices.ContainsFunc(t.runs, func(r *run) bool { return r.key.run == number })
@@ -72,8 +74,9 @@
 	return false
 }
 
-// staysApart reports whether nothing is started yet beside a run of a suspect. How long a run
-// that an earlier planner started has gone on is not known; each planner would wait anew.
+// isolates reports whether nothing may be started yet beside a run of a suspect. The age of a run
+// that an earlier planner started is not known, so a weak suspect's adopted run is not isolated:
+// otherwise each planner would wait again.
 func (x *suspicion) staysApart(r *run, now time.Time) bool {
 	if x.strong() > 0 || !x.step.spec.Lasting {
 		return now.Sub(r.since) < apartTime
@@ -81,46 +84,45 @@
 	return !r.adopted && now.Sub(r.since) < weakApart
 }
 
-// endOldProbes lets other work start beside probes that take long to clear.
+// endLongProbes allows other starts beside probes that exceeded their isolation timeout.
 func (p *Planner) endOldProbes(now time.Time) {
 	for w, x := range p.probes {
-		old := true
+		expired := true
 		for _, r := range w.runs {
 			if r.probe == x && x.staysApart(r, now) {
-				old = false
+				expired = false
 			}
 		}
-		if old {
+		if expired {
 			p.endProbe(w)
 		}
 	}
 }
 
-// apart reports whether a worker may be given a task of a step as to probes: only the
-// members of a gang that is one run beside each other.
+// acceptsBesideProbe reports whether probes allow a task of the phase to be started on the worker:
+// beside a probe, only another member of the same gang may be.
 func (w *worker) apart(s *step) bool {
 	return w.probe == nil || w.probe.step == s && s.spec.Gang
 }
 
-// probeSuspects starts a probe of a suspect of the step, if there is one that may be, and
-// reports whether the other tasks have to wait for what becomes of it. Tasks that last wait
-// for nothing: their users would.
-func (p *Planner) probeSuspects(s *step, now time.Time) (hold bool) {
+// probeSuspects starts probes of the phase's suspects where that is allowed, and reports whether
+// its other tasks must wait for their outcome. Lasting tasks do not wait, since their users would.
+func (p *Planner) probeSuspects(s *step, now time.Time) (wait bool) {
 	for _, t := range s.tasks {
 		x := t.suspicion()
 		if !x.suspected() || t.done {
 			continue
 		}
-		hold = !s.spec.Lasting
+		wait = !s.spec.Lasting
 		if t.free() && p.mayProbe(x) {
 			p.probe(t, x, now)
 		}
 	}
-	return hold
+	return wait
 }
 
-// mayProbe reports whether a suspect may be started now: the number of its run is recorded,
-// and its job and team have not too many probes.
+// mayProbe reports whether a suspect may be started now: the number of its run is recorded, and
+// its job and team have not reached their limits of probes.
 func (p *Planner) mayProbe(x *suspicion) bool {
 	if !p.probeRoom(x) {
 		return false
@@ -138,79 +140,80 @@
 	return j.saved >= x.chosen
 }
 
-// assumeCrash notes a probe that an earlier planner may have started and of which nothing was
-// heard. It says of the task only that it must go on running as a probe.
+// assumeCrash adds a weak crash for a probe that an earlier planner may have started and whose
+// result is not known. It only ensures that the task keeps running as a probe.
 func (p *Planner) assumeCrash(x *suspicion) {
 	if !slices.ContainsFunc(x.crashes, func(c winch.Crash) bool { return c.Run == x.probe }) {
 		x.crashes = append(x.crashes, winch.Crash{Run: x.probe, At: p.now(), Weak: true})
 	}
 }
 
-// probeRoom reports whether a suspect may have a probe: one of its job at a time, more once
-// some have shown that its tasks crash no worker, and a part of the workers for its team and
-// for all. Tasks that last neither wait for that nor count: their probes may take long.
+// withinProbeLimits reports whether a suspect may have a probe. A job may have one at a time, and
+// one more for each suspect already cleared; the probes of a team and of all teams are limited to
+// a part of the workers. Lasting tasks are neither limited nor counted, since their probes may
+// take long.
 func (p *Planner) probeRoom(x *suspicion) bool {
 	if x.step.spec.Lasting {
 		return true
 	}
 	j := x.step.job
-	ofJob, ofTeam, ofAll := 0, 0, 0
+	inJob, inTeam, total := 0, 0, 0
 	for _, y := range p.probes {
 		if y.step.spec.Lasting {
 			continue
 		}
 		if y.step.job == j {
-			ofJob++
+			inJob++
 		}
 		if y.step.job.team == j.team {
-			ofTeam++
+			inTeam++
 		}
-		ofAll++
+		total++
 	}
 	workers := len(p.pool(j.queue.Service).workers)
 	if x.strong() == 0 || j.cleared > 0 {
-		return ofJob <= j.cleared && ofAll < max(1, workers/probesOfWeak)
+		return inJob <= j.cleared && total < max(1, workers/probesOfWeak)
 	}
-	return ofJob <= j.cleared && ofTeam < max(1, workers/probesOfTeam) && ofAll < max(1, workers/probesOfAll)
+	return inJob <= j.cleared && inTeam < max(1, workers/probesOfTeam) && total < max(1, workers/probesOfAll)
 }
 
-// probe starts a suspect at the worker where as little as possible runs beside it.
+// startProbe starts a suspect on the worker where a crash would cost least.
 func (p *Planner) probe(t *task, x *suspicion, now time.Time) {
 	s := t.step
 	if !s.job.team.allows(s.spec.Need) {
 		return
 	}
 	var best *worker
-	least := 0
+	lowest := 0
 	counts := s.perWorker()
 	p.eachCandidate(s, now, func(w *worker) {
 		if !s.spec.Charge().Fits(p.openRoom(s, w, now)) || roomFor(s.spec.MostPerVM, counts[w]) <= 0 {
 			return
 		}
-		if harm := s.harm(w, now); best == nil || harm < least {
-			best, least = w, harm
+		if cost := s.harm(w, now); best == nil || cost < lowest {
+			best, lowest = w, cost
 		}
 	})
 	if x.since.IsZero() {
 		x.since = now
 	}
-	if best != nil && (least < youngHarm || now.Sub(x.since) > placeTime) {
+	if best != nil && (lowest < youngHarm || now.Sub(x.since) > placeTime) {
 		p.start(t, best, x.probe, t.checkpoint)
 	}
 }
 
 const (
-	// lastingHarm is how many other runs a run of a task that lasts counts for when a crash
-	// may take it along, doubtHarm one of a task under which a worker crashed, youngHarm one that
-	// was just started, and farHarm how many it is worth to keep a probe near its data.
+	// A crash of a worker costs one for each run, lastingCost for a run of a lasting task,
+	// suspectCost more for a run of a suspect, and recentStartCost more for a run started
+	// recently. remoteCost is what it is worth to keep a probe near its data.
 	lastingHarm = 4
 	doubtHarm   = 100
 	youngHarm   = 30
 	farHarm     = 3
 )
 
-// harm rates what a crash of a worker would take along, how little it would tell, and how
-// far the worker is from the step's data.
+// crashCost rates a worker for a probe of the phase by what a crash would interrupt, by how
+// unclear its cause would be, and by the distance from the phase's data.
 func (s *step) harm(w *worker, now time.Time) int {
 	n := len(w.runs) + (lastingHarm-1)*w.lasting
 	for _, r := range w.runs {
--- a/coord/fleet/record.go
+++ b/coord/fleet/record.go
@@ -6,26 +6,27 @@
 	"plantainwinch/winch"
 )
 
-// Record is the progress of a job to be written, and the revision that the
-// record must still have.
+// Record is the progress of a job that must be written, and the revision that the stored record
+// must still have.
 type Record struct {
 	Job      string
 	Progress winch.Progress
 	Revision uint64
-	Changes  uint64
-	// Rest says, of a job that has ended, that runs of it may still exist, here or at workers
-	// that have not been heard. The next planner has to know what they take, so the job is
-	// kept until they have ended.
+	// Changes is the change count of the job up to which the record is complete.
+	Changes uint64
+	// Retain is set if the job has ended but runs of it may still exist, at known workers or at
+	// some that have not listed their runs. The job is kept in the store until they have ended,
+	// since the next planner must know their needs.
 	Rest bool
 }
 
-// change notes that a job's record is to be written.
+// markChanged counts a change of a job and schedules the write of its record.
 func (p *Planner) change(j *job) {
 	j.changes++
 	p.note(j)
 }
 
-// note lists a job among those whose records are to be written.
+// markDirty adds a job to the list of those whose records must be written.
 func (p *Planner) note(j *job) {
 	if !j.dirty {
 		j.dirty = true
@@ -33,25 +34,25 @@
 	}
 }
 
-// Pressing reports whether a record waits that a caller waits for.
+// RecordAwaited reports whether a record that a caller or a start waits for must be written.
 func (p *Planner) Pressing() bool {
 	return slices.ContainsFunc(p.dirty, func(j *job) bool { return j.pressing && !j.saving })
 }
 
-// Unsaved reports whether any record waits.
+// HasUnsaved reports whether any record must be written.
 func (p *Planner) Unsaved() bool {
 	return len(p.dirty) > 0
 }
 
-// Records returns at most n records to write, those that callers wait for
-// first. None of a job is returned again before Saved or Unwritten was called for it.
+// Records returns at most n records to write, those that callers wait for first. A job's record is
+// not returned again until Saved or SaveFailed was called for it.
 func (p *Planner) Records(n int) []Record {
 	return p.RecordsWithin(n, func(bool) int { return 1 })
 }
 
-// RecordsWithin is Records with a bound on the sum of their costs, which differ for those
-// of jobs that have ended.
-func (p *Planner) RecordsWithin(most int, cost func(final bool) int) []Record {
+// RecordsWithin is like Records with a limit on the total cost; records of ended jobs may cost
+// more than others.
+func (p *Planner) RecordsWithin(budget int, cost func(final bool) int) []Record {
 	slices.SortStableFunc(p.dirty, func(a, b *job) int {
 		switch {
 		case a.pressing == b.pressing:
@@ -62,18 +63,18 @@
 		return 1
 	})
 	var out []Record
-	var rest []*job
+	var remaining []*job
 	for _, j := range p.dirty {
 		c := cost(j.state.Final())
-		if c > most || j.saving {
-			rest = append(rest, j)
+		if c > budget || j.saving {
+			remaining = append(remaining, j)
 			continue
 		}
-		most -= c
+		budget -= c
 		j.saving, j.dirty = true, false
 		out = append(out, Record{Job: j.rec.ID, Progress: j.progress(), Revision: j.revision, Changes: j.changes, Rest: j.hasRuns() || len(p.roster) > 0})
 	}
-	p.dirty = rest
+	p.dirty = remaining
 	return out
 }
 
@@ -117,7 +118,7 @@
 	if r.Progress.State.Final() {
 		if j.shown != j.state {
 			p.endings = append(p.endings, j.ending(p.now()))
-			j.ended = p.now() // Callers are shown it from now on, and it is kept from now on.
+			j.ended = p.now() // Callers see the end from now on, and the retention period starts.
 		}
 		j.shown, j.rest = r.Progress.State, r.Rest
 	}
@@ -127,8 +128,8 @@
 	j.listing = slices.DeleteFunc(j.listing, func(w *worker) bool { return !p.ending[w] })
 }
 
-// Unwritten notes that a record was not written, or not surely. The revision,
-// if it is not zero, is the one that the record has now.
+// SaveFailed notes that a record was not written, or that the outcome is unknown. A non-zero
+// revision is the one that the stored record has now.
 func (p *Planner) Unwritten(r Record, revision uint64) {
 	j := p.jobs[r.Job]
 	if j == nil {
--- a/coord/fleet/rest_test.go
+++ b/coord/fleet/rest_test.go
@@ -10,9 +10,9 @@
 	"plantainwinch/winch"
 )
 
-// A job fails while tasks of it still run, its end is recorded, and the planner is lost. The
-// next one did not know the job any more, took its runs for nothing, and filled their worker
-// beyond its room.
+// A job fails while tasks of it still run, its end is recorded, and the planner is lost. If the
+// next planner did not know the job, it would not charge these runs and would overcommit their
+// worker.
 func TestRunsOfAJobThatHasEndedKeepTheirRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -24,7 +24,7 @@
 		c.end(c.step()[0], winch.EndFailed)
 		end := c.planner.Records(10)[0]
 		is.Equal(end.Progress.State, winch.JobFailed)
-		is.True(end.Rest) // The other task is being stopped.
+		is.True(end.Rest) // the other task is being stopped
 
 		next := newCell(t, 1, urgentQueue())
 		next.planner.Term = 2
@@ -32,11 +32,11 @@
 		next.planner.Event(proto.KeepEvent{Kind: proto.EventFound, Worker: "w0", Running: []winch.Running{{Task: starts[1].Task, Run: starts[1].Run}}})
 		next.add("b", "preview", "choir", tasks(1, 16_000))
 		next.planner.Schedule()
-		is.Equal(next.planner.workers["w0"].used.Milli, int64(8000)) // and b does not start
+		is.Equal(next.planner.workers["w0"].used.Milli, int64(8000)) // b does not start
 	})
 }
 
-// Once nothing of a job that has ended runs any more, its parts are removed.
+// A job that has ended must be removed from the store once none of its runs is left.
 func TestJobThatHasEndedIsRemovedWithItsLastRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,8 +57,8 @@
 	})
 }
 
-// A run of a job that nobody knows is found at a worker. What it takes is not known, so
-// nothing is started beside it until it has ended.
+// A run of an unknown job is found at a worker. Its needs are not known, so nothing may start
+// beside it until it has ended.
 func TestRunOfAnUnknownJobTakesAllThatIsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/suspect.go
+++ b/coord/fleet/suspect.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// clearFactor and clearMargin say how long a run must live to show that its task was not
-	// the cause of earlier crashes: so many times as long as before those, and some more.
+	// A run shows that its task did not cause the earlier crashes if it lives clearFactor times as
+	// long as the longest run that ended in one of them, plus clearMargin.
 	clearFactor = 2
 	clearMargin = time.Second
-	// weakCrashes is how many weak crashes make a suspect.
+	// minWeakCrashes is how many weak crashes make a task a suspect.
 	weakCrashes = 2
 )
 
-// suspicion is what is known of a task, or a whole gang, under which workers crashed. A
-// suspect is started as a probe only: at first one of a job at a time, where as little as possible
-// runs beside it, and nothing is started beside it until it has lived long enough.
+// suspicion holds the crashes counted against a task or a whole gang. A suspect is started only as
+// a probe: at first one per job at a time, on the worker where a crash would cost least, and
+// nothing else is started on that worker until the probe has lived long enough.
 type suspicion struct {
 	step    *step
-	key     string // key is the failKey of the task or gang.
+	key     string // key is the failureKey of the task or gang.
 	crashes []winch.Crash
-	// probe is the number of its next run or of the one that runs; zero if none is chosen.
+	// probe is the number of the current or next probe run; zero if none is chosen.
 	probe uint64
-	// chosen is the count of the job's changes with which probe is recorded.
+	// chosenAt is the change count of the job at which probe is recorded.
 	chosen uint64
-	// since is when a place for the probe was first looked for.
+	// searchedSince is when a worker for the probe was first searched for.
 	since time.Time
 }
 
@@ -37,7 +37,7 @@
 	return x != nil && x.step.job.planner.Policy.Isolate && (x.strong() > 0 || len(x.crashes) >= weakCrashes)
 }
 
-// clearance is how long a run must live to clear the task.
+// clearanceTime returns how long a run must live to clear the task.
 func (x *suspicion) clearance() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range x.crashes {
@@ -46,7 +46,7 @@
 	return clearFactor*longest + clearMargin
 }
 
-// suspicion returns what is known of a task's crashes, or nil.
+// suspicion returns the suspicion of a task, or nil.
 func (t *task) suspicion() *suspicion {
 	if t.step.job.suspects == nil {
 		return nil
@@ -54,12 +54,12 @@
 	return t.step.job.suspects[t.failKey()]
 }
 
-// suspected reports whether a task of the step must run as a probe.
+// suspected reports whether any task of the phase must run as a probe.
 func (s *step) suspected() bool {
 	return s.job.suspects != nil && slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.done && t.suspicion().suspected() })
 }
 
-// suspect returns the suspicion of a task, which is new if there was none.
+// suspect returns the suspicion of a task and creates it if there is none.
 func (t *task) suspect() *suspicion {
 	j := t.step.job
 	if j.suspects == nil {
@@ -72,7 +72,7 @@
 	return j.suspects[key]
 }
 
-// clear drops a suspicion: a run lived for long enough, or the task is done.
+// clearSuspicion drops a suspicion, since a run lived long enough or the task is done.
 func (p *Planner) clear(x *suspicion) {
 	j := x.step.job
 	if j.suspects[x.key] != x {
@@ -83,8 +83,8 @@
 	if len(j.suspects) == 0 {
 		j.suspects = nil
 	}
-	for w, of := range p.probes {
-		if of == x {
+	for w, other := range p.probes {
+		if other == x {
 			p.endProbe(w)
 		}
 	}
@@ -92,19 +92,19 @@
 	j.consider()
 }
 
-// lives clears the task of a run that has lived for long enough by a time.
-func (p *Planner) lives(r *run, by time.Time) {
+// clearIfSurvived clears the task of a run that has lived long enough at the given time.
+func (p *Planner) lives(r *run, at time.Time) {
 	if r == nil || r.task == nil || !r.started {
 		return
 	}
 	x := r.task.suspicion()
-	if x == nil || by.Sub(r.since) < x.clearance() || r.task.step.spec.Gang && r.task.step.live < len(r.task.step.tasks) {
+	if x == nil || at.Sub(r.since) < x.clearance() || r.task.step.spec.Gang && r.task.step.live < len(r.task.step.tasks) {
 		return
 	}
 	p.clear(x)
 }
 
-// restoreCrashes takes over what is recorded.
+// restoreCrashes applies the recorded crashes and probes.
 func (j *job) restoreCrashes(progress *winch.Progress) {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
@@ -119,7 +119,7 @@
 	}
 }
 
-// recordCrashes adds to a record what a later planner has to know.
+// recordCrashes adds the crashes and probes to a progress record for later planners.
 func (j *job) recordCrashes(out *winch.Progress) {
 	for _, key := range slices.Sorted(maps.Keys(j.suspects)) {
 		x := j.suspects[key]
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -8,39 +8,40 @@
 	"plantainwinch/winch"
 )
 
-// runKey names a run at a worker.
+// runKey identifies a run at a worker.
 type runKey struct {
 	task winch.RunID
 	run  uint64
 }
 
-// run is one start of a task at a worker, from the order on until it has surely
-// ended there.
+// run is one attempt of a task at a worker, from the start order until it is guaranteed to have
+// ended.
 type run struct {
 	key    runKey
-	task   *task // task is nil for a run of a job that is not known.
+	task   *task // task is nil for a run of an unknown job.
 	team   *team
 	worker *worker
 	need   winch.Room // need is charged to the team, charge to the worker.
 	charge winch.Room
-	// started says that the worker confirmed the start.
+	// started is set once the worker has confirmed the start.
 	started  bool
 	stopping bool
-	urgent   bool // urgent says that it counts as urgent work that runs.
-	adopted  bool // adopted says that an earlier planner started it.
-	// probe is set for a run by which a suspect task is to show that it crashes no worker.
+	urgent   bool // urgent is set while the run counts as running urgent work.
+	adopted  bool // adopted is set if an earlier planner started the run.
+	// probe is set while nothing else may be started beside a probe.
 	probe *suspicion
+	// since is when the start was ordered or, once started is set, when it was confirmed.
 	since time.Time
-	// until is when the run was last known to do its task's work, once it is to stop.
+	// workedUntil is when a run that is being stopped was last known to do its task's work.
 	until time.Time
-	// percent is the progress last reported, moved when it last changed.
+	// percent is the progress last reported, progressedAt the time of its last change.
 	percent float64
 	moved   time.Time
-	// base is the progress that was told first, at baseAt.
+	// basePercent is the first progress reported, at baseAt.
 	base    float64
 	baseAt  time.Time
 	load    float64
-	pace    int // pace is the percentage in force, 100 at the start, or paceUnknown.
+	pace    int // throttle is the percentage in force, 100 at the start; negative if it is not known.
 	pacedAt time.Time
 }
 
@@ -49,52 +50,53 @@
 	planner *Planner
 	vm      winch.WorkerVM
 	used    winch.Room
-	// ready says that the worker's lists were received in this session.
+	// ready is set once the worker's lists of runs and completions were received in this session.
 	ready bool
-	// gone says that the worker is not in the platform's list any more.
+	// removed is set if the worker is no longer in the platform's list.
 	gone bool
-	// over says that another boot answers at the worker's address. The list names
-	// it later: until then each call would only be told the same.
+	// replaced is set if another boot responds at the worker's address. The platform's list names
+	// the new boot later; until then every call to the old one would be refused.
 	over bool
-	// quiet says that the worker may be recorded as one that gets no work since it
-	// does not answer, answers that it does again.
+	// unresponsive is set while the worker gets no work because it did not respond. respondsAgain
+	// is set once it responds again; it gets work after SetResponsive.
 	quiet, answers bool
-	// silent is since when nobody hears of the worker; zero while it is heard.
+	// unresponsiveSince is when contact with the worker was lost; zero while it is responsive.
 	silent time.Time
-	// told is when something was last told that shows that the boot lived.
+	// lastContact is when the last report arrived that shows that the boot was alive.
 	told time.Time
-	// empty says that surely nothing runs there: the boot is new to the region, or
-	// all that ran has ended, and nothing was ordered since.
+	// empty is set if the worker is guaranteed to run nothing: the boot is new to the region, or
+	// all its runs have ended, and nothing was ordered since.
 	empty bool
 	runs  map[runKey]*run
-	// ends holds the ends that are not recorded yet, in the order of their numbers.
-	ends    []endMark
+	// completions holds the completions that are not recorded yet, in the order of their numbers.
+	ends []endMark
+	// lastCompletion is the highest completion number received, forgottenUpTo the highest one that
+	// the worker was ordered to forget.
 	lastEnd uint64
 	forgot  uint64
-	fills   int64 // fills is the sum of what filling runs could use.
-	serving int   // serving counts runs with a target.
-	lasting int   // lasting counts runs of tasks that last.
+	fills   int64 // fillMilli is the sum of what backfill runs could use, in thousandths of a processor.
+	serving int   // serving counts the runs with a latency target.
+	lasting int   // lasting counts the runs of lasting tasks.
 	closely bool
 	// probe is set while nothing else may be started beside a probe.
 	probe    *suspicion
 	health   health
-	heldBack time.Time // heldBack is when fills here may next be given more.
-	// kept is the room that is kept for steps which were looked at earlier in the last
-	// Schedule.
+	heldBack time.Time // raiseAfter is the earliest time at which the throttle of backfill runs may be raised.
+	// reserved is the capacity that the last Schedule reserved for phases of higher rank.
 	kept reservation
-	// changes counts the changes of its runs; expects holds the ends expected at endsAt
-	// after endsOf changes,.
+	// changes counts the changes of the worker's runs. expectedEnds is a cache of the expected
+	// ends, computed at expectedAt after expectedOf changes.
 	changes, endsOf uint64
 	expects         []expectedEnd
 	endsAt          time.Time
-	order           int // order is its place among the workers by ID.
-	// mark is the number of the last search that marked the worker, markedAs what for.
+	order           int // index is the worker's position in the list of workers by ID.
+	// mark is the number of the last search that marked the worker, markedAs the mark.
 	mark     uint64
 	markedAs int
 }
 
-// endMark is an end whose number may be forgotten once the job's record has
-// reached changes.
+// pendingCompletion is a completion that the worker may forget once the job's record has reached
+// changes.
 type endMark struct {
 	number  uint64
 	key     runKey
@@ -102,8 +104,8 @@
 	changes uint64
 }
 
-// Gone is a run that another planner need not hear of any more: it does not
-// exist, and its end is recorded if it has to be.
+// ClosedRun is a run that no longer exists and whose result, if it must be recorded, is in the
+// store. Another planner need not know of it.
 type Gone struct {
 	Worker string
 	Task   winch.RunID
@@ -119,8 +121,8 @@
 	return w.ready && !w.quiet && !w.gone && !w.vm.Draining
 }
 
-// SetWorkers takes the platform's list. Workers that are missing get no new
-// work; what runs there counts until it has surely ended.
+// SetWorkers sets the platform's list of workers. Workers that are missing get no new work; their
+// runs stay charged until they are guaranteed to have ended.
 func (p *Planner) SetWorkers(list []winch.WorkerVM) {
 	listed := make(map[string]bool, len(list))
 	for _, vm := range list {
@@ -156,14 +158,14 @@
 	}
 }
 
-// Empty reports whether surely nothing runs at a worker.
+// Empty reports whether a worker is guaranteed to run nothing.
 func (p *Planner) Empty(id string) bool {
 	w := p.workers[id]
 	return w != nil && w.empty
 }
 
-// SetGone adds workers that earlier planners may have used and that are not in
-// the platform's list any more: work may still run there.
+// SetRemoved adds workers that earlier planners may have used and that are no longer in the
+// platform's list: work may still run there.
 func (p *Planner) SetGone(vms []winch.WorkerVM) {
 	for _, vm := range vms {
 		if p.workers[vm.ID] == nil && p.roster[vm.ID] {
@@ -173,14 +175,14 @@
 	}
 }
 
-// SetRoster names the workers that earlier planners may have used.
+// SetRoster sets the workers that earlier planners may have used.
 func (p *Planner) SetRoster(ids []string) {
 	for _, id := range ids {
 		p.roster[id] = true
 	}
 }
 
-// Adopting reports whether work of an earlier planner may still run unseen.
+// Adopting reports whether unknown work of an earlier planner may still run.
 func (p *Planner) Adopting() bool {
 	if p.awaitsEarlier(p.now()) {
 		return true
@@ -192,15 +194,15 @@
 	return false
 }
 
-// awaitsEarlier reports whether workers that an earlier planner used have not been
-// heard and their work has not surely ended. Without the office, another planner
-// may hold them.
+// awaitsEarlier reports whether some workers used by an earlier planner have not listed their
+// runs, and these are not guaranteed to have ended. If this planner may have lost the office,
+// another planner may use those workers.
 func (p *Planner) awaitsEarlier(now time.Time) bool {
 	return len(p.roster) > 0 && (now.Before(p.Barrier) || !p.KnownBefore.IsZero())
 }
 
-// RunsAt returns the runs that may exist at a worker, and those whose ends are
-// not recorded yet: until then only the worker can tell how they ended.
+// RunsAt returns the runs that may exist at a worker, and those whose completions are not recorded
+// yet: until then only the worker knows their result.
 func (p *Planner) RunsAt(id string) []winch.Running {
 	var out []winch.Running
 	if w := p.workers[id]; w != nil {
@@ -214,26 +216,26 @@
 	return out
 }
 
-// Heard reports whether all is known that may run at a worker.
+// RunsKnown reports whether all runs that may exist at a worker are known.
 func (p *Planner) Heard(id string) bool {
 	return !p.roster[id]
 }
 
-// AllHeard reports whether all is known that may run at any worker.
+// AllRunsKnown reports whether all runs that may exist at any worker are known.
 func (p *Planner) AllHeard() bool {
 	return len(p.roster) == 0
 }
 
-// Quiet reports whether a worker gets no work since it does not answer, and
-// whether it answers again.
-func (p *Planner) Quiet(id string) (quiet, answers bool) {
+// Unresponsive reports whether a worker gets no work because it does not respond, and whether it
+// responds again.
+func (p *Planner) Quiet(id string) (unresponsive, respondsAgain bool) {
 	if w := p.workers[id]; w != nil {
 		return w.quiet, w.answers
 	}
 	return false, false
 }
 
-// SetQuiet marks a worker that gets no work until Awake.
+// SetUnresponsive marks a worker as one that gets no work until SetResponsive.
 func (p *Planner) SetQuiet(id string) {
 	if w := p.workers[id]; w != nil {
 		w.quiet = true
@@ -241,7 +243,7 @@
 	}
 }
 
-// Awake lets a worker get work that answers again.
+// SetResponsive lets a worker that responds again get work.
 func (p *Planner) Awake(id string) {
 	if w := p.workers[id]; w != nil {
 		w.quiet = false
@@ -249,7 +251,7 @@
 	}
 }
 
-// Gone returns the runs that are gone since the last call.
+// ClosedRuns returns the runs closed since the last call.
 func (p *Planner) Gone() []Gone {
 	p.noteRecorded()
 	out := p.gone
@@ -264,7 +266,7 @@
 	p.gone = append(p.gone, Gone{w.vm.ID, key.task, key.run})
 }
 
-// Held returns the workers that need to be held, with their VMs.
+// WorkersToHold returns the VMs of the workers whose leases must be renewed by the call hold.
 func (p *Planner) Held() []winch.WorkerVM {
 	out := make([]winch.WorkerVM, 0, len(p.workers))
 	for _, w := range p.workers {
@@ -275,8 +277,8 @@
 	return out
 }
 
-// Unready marks workers whose keeper is lost: nothing is started there until
-// their lists have come again.
+// SetUnready marks workers whose keeper is lost: nothing is started there until their lists have
+// been received again.
 func (p *Planner) Unready(ids []string) {
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
@@ -297,7 +299,7 @@
 		t.recount()
 		w.count(spec, 1)
 	} else {
-		// Nobody knows what a run of an unknown job takes.
+		// The needs of a run of an unknown job are not known, so it takes all free capacity.
 		r.charge = w.free().Positive()
 	}
 	w.used = w.used.Add(r.charge)
@@ -310,8 +312,8 @@
 	return r
 }
 
-// watch has a worker reported more often while tasks that fill run beside tasks
-// that serve, and while a probe runs.
+// updateReporting makes a worker report more often while backfill runs beside tasks with a latency
+// target, and while a probe runs.
 func (p *Planner) watch(w *worker) {
 	closely := w.serving > 0 && w.fills > 0 || w.probe != nil
 	if closely != w.closely {
@@ -320,7 +322,7 @@
 	}
 }
 
-// count keeps what runs beside each other on the worker.
+// count updates the worker's totals for n runs of a phase that start or, if n is negative, end.
 func (w *worker) count(spec *winch.Phase, n int) {
 	if spec.Fills {
 		w.fills += int64(n) * spec.Need.Milli
@@ -333,7 +335,7 @@
 	}
 }
 
-// endRun takes a run's charges back once it has surely ended.
+// endRun releases the charges of a run that is guaranteed to have ended.
 func (p *Planner) endRun(r *run) {
 	w := r.worker
 	if w.runs[r.key] != r {
@@ -355,7 +357,8 @@
 	r.task.recount()
 }
 
-// stop orders the end of a run. Its room stays charged until the end is listed.
+// stopRun orders a worker to stop a run. Its capacity stays charged until the worker reports the
+// completion.
 func (p *Planner) stop(r *run) {
 	if r.stopping {
 		return
@@ -371,7 +374,7 @@
 	p.orders = append(p.orders, proto.Order{Kind: proto.OrderStop, Worker: r.worker.vm.ID, Task: r.key.task, Run: r.key.run})
 }
 
-// forget tells a worker which ends are recorded.
+// forgetRecorded orders a worker to forget the completions that are recorded.
 func (p *Planner) forget(w *worker) {
 	upTo := w.forgot
 	for len(w.ends) > 0 {
@@ -392,8 +395,8 @@
 	}
 }
 
-// Lost takes note that all that ran on a worker has surely ended; crashed says that its boot
-// is known to have ended.
+// WorkerLost notes that all runs at a worker are guaranteed to have ended. crashed means that its
+// boot is known to have ended.
 func (p *Planner) Lost(id string, crashed bool) {
 	delete(p.roster, id)
 	w := p.workers[id]
