--- a/coord/fleet/health.go
+++ b/coord/fleet/health.go
@@ -6,8 +6,8 @@
 
 const (
 	// minFailedJobs is how many distinct jobs must fail at a worker in a row, without a success in
-	// between, before the worker is quarantined. A single job that always fails does so
-	// everywhere.
+	// between, before the worker is quarantined. A job that can never succeed fails everywhere,
+	// but it counts only once.
 	failuresOfJobs = 3
 	// minQuarantine and maxQuarantine limit a quarantine, which doubles in length while the worker
 	// keeps failing.
--- a/coord/fleet/job.go
+++ b/coord/fleet/job.go
@@ -61,7 +61,7 @@
 	next  []*step // next holds the phases that name this one in after.
 	// due is the earliest start; zero if the job is not repeated.
 	due time.Time
-	// listed is set if the phase is in the planner's ready list, readySince is when it became
+	// enqueued is set if the phase is in the planner's ready list, readySince is when it became
 	// ready.
 	listed bool
 	since  time.Time
@@ -193,12 +193,12 @@
 	}
 }
 
-func (j *job) addRun(k int) {
+func (j *job) addRun(repetition int) {
 	first := len(j.steps)
 	for i := range j.rec.Phases {
-		s := &step{job: j, spec: &j.rec.Phases[i], k: k, phase: i}
+		s := &step{job: j, spec: &j.rec.Phases[i], k: repetition, phase: i}
 		if j.rec.Times > 0 {
-			s.due = j.rec.First.Add(time.Duration(k) * j.rec.Every)
+			s.due = j.rec.First.Add(time.Duration(repetition) * j.rec.Every)
 		}
 		for _, a := range s.spec.After {
 			before := j.steps[first+a]
@@ -267,9 +267,9 @@
 	return j.queue.Objective(chain)
 }
 
-func (j *job) step(k, phase int) *step {
-	i := k*len(j.rec.Phases) + phase
-	if k < 0 || phase < 0 || phase >= len(j.rec.Phases) || i >= len(j.steps) {
+func (j *job) step(repetition, index int) *step {
+	i := repetition*len(j.rec.Phases) + index
+	if repetition < 0 || index < 0 || index >= len(j.rec.Phases) || i >= len(j.steps) {
 		return nil
 	}
 	return j.steps[i]
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -28,7 +28,7 @@
 	stopping bool
 	urgent   bool // urgent is set while the run counts as running urgent work.
 	adopted  bool // adopted is set if an earlier planner started the run.
-	// probe is set while nothing else may be started beside a probe.
+	// probe is set if the run is a probe, which tests whether a suspect task crashes its worker.
 	probe *suspicion
 	// since is when the start was ordered or, once started is set, when it was confirmed.
 	since time.Time
@@ -38,8 +38,9 @@
 	percent float64
 	moved   time.Time
 	// basePercent is the first progress reported, at baseAt.
-	base    float64
-	baseAt  time.Time
+	base   float64
+	baseAt time.Time
+	// load is the load last reported, see winch.Running.
 	load    float64
 	pace    int // throttle is the percentage in force, 100 at the start; negative if it is not known.
 	pacedAt time.Time
@@ -77,6 +78,7 @@
 	fills   int64 // fillMilli is the sum of what backfill runs could use, in thousandths of a processor.
 	serving int   // serving counts the runs with a latency target.
 	lasting int   // lasting counts the runs of lasting tasks.
+	// reportsOften is set while the worker is ordered to report more often.
 	closely bool
 	// probe is set while nothing else may be started beside a probe.
 	probe    *suspicion
@@ -259,6 +261,7 @@
 	return out
 }
 
+// closeRun closes a run, unless it crashed its worker and the crash is not recorded yet.
 func (p *Planner) noteGone(w *worker, key runKey) {
 	if p.waitsForRecord(w, key) {
 		return
