--- a/coord/fleet/crash.go
+++ b/coord/fleet/crash.go
@@ -51,8 +51,8 @@
 	runs   []bootRun
 }
 
-// snapshotBoot returns the worker's boot as it would be lost now. Runs ordered after contact was
-// lost and not confirmed have not started, and are left out.
+// snapshotBoot returns what would be lost with the worker now. Runs ordered after contact was lost
+// and not confirmed have not started, and are left out.
 func (w *worker) boot(now time.Time) lostBoot {
 	b := lostBoot{vm: w.vm, silent: w.silent, apart: w.probe != nil}
 	if b.silent.IsZero() {
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// handleKnown applies what the keeper of an earlier planner's session knew of a worker. All orders
-// went through that keeper, so nothing else runs there. The worker gets no work until its own
-// lists have been received.
+// handleKnown applies what the keeper of an earlier planner's session reported of a worker. All
+// orders went through that keeper, so nothing else runs there. The worker gets no work until its
+// own lists have been received.
 func (p *Planner) knew(w *worker, e proto.KeepEvent) {
 	if w.ready {
 		return
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -122,8 +122,8 @@
 
 type queue struct {
 	winch.Queue
-	// allowedShare is the moving average of the share of workers that the advice service allows
-	// out of those in a request.
+	// allowedShare is the moving average of the fraction of requested workers that the advice
+	// service allows.
 	share float64
 	// turnaround is the moving average of the time from a request to its response, including time
 	// in the queue.
--- a/coord/fleet/record.go
+++ b/coord/fleet/record.go
@@ -20,7 +20,7 @@
 	Rest bool
 }
 
-// markChanged counts a change of a job and schedules the write of its record.
+// markChanged counts a modification of a job and schedules the write of its record.
 func (p *Planner) change(j *job) {
 	j.changes++
 	p.note(j)
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -325,7 +325,7 @@
 	}
 }
 
-// count updates the worker's totals for n runs of a phase that start or, if n is negative, end.
+// countRun updates the worker's totals for n runs of a phase that start or, if n is negative, end.
 func (w *worker) count(spec *winch.Phase, n int) {
 	if spec.Fills {
 		w.fills += int64(n) * spec.Need.Milli
@@ -360,7 +360,7 @@
 	r.task.recount()
 }
 
-// stopRun orders a worker to stop a run. Its capacity stays charged until the worker reports the
+// stopRun sends the order to end a run. Its capacity stays charged until the worker reports the
 // completion.
 func (p *Planner) stop(r *run) {
 	if r.stopping {
@@ -377,7 +377,7 @@
 	p.orders = append(p.orders, proto.Order{Kind: proto.OrderStop, Worker: r.worker.vm.ID, Task: r.key.task, Run: r.key.run})
 }
 
-// forgetRecorded orders a worker to forget the completions that are recorded.
+// forgetRecorded lets a worker drop the completions that are recorded.
 func (p *Planner) forget(w *worker) {
 	upTo := w.forgot
 	for len(w.ends) > 0 {
