--- a/region/fault_test.go
+++ b/region/fault_test.go
@@ -14,14 +14,15 @@
 	"plantainwinch/winch"
 )
 
+// simPhase returns a phase of simulated tasks that starts after the given phases.
 func simPhase(count int, after ...int) winch.Phase {
 	return winch.Phase{Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork, After: after}
 }
 
-// settle gives the entries time to find each other and to choose a planner.
+// settle waits until the entries have found each other and elected a planner.
 func settle() { time.Sleep(3 * time.Second) }
 
-// jobs hands some jobs in and returns their IDs.
+// submitJobs submits jobs with the given range of numbers, and returns their IDs.
 func (w *world) jobs(from, to int) []string {
 	var out []string
 	for i := from; i < to; i++ {
@@ -32,14 +33,14 @@
 	return out
 }
 
+// awaitAll waits until the jobs have ended.
 func (w *world) awaitAll(ids []string, limit time.Duration) {
 	for _, id := range ids {
 		w.await(id, limit)
 	}
 }
 
-// A region without faults: jobs that are accepted at any entry run and are
-// shown as done at any other.
+// Without faults, jobs that any entry has accepted run, and every other entry shows them as done.
 func TestCalmRegion(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -53,8 +54,8 @@
 	})
 }
 
-// The planner is killed while work runs. Another takes over within two seconds
-// or so; what runs goes on, and no job is lost or run twice.
+// The planner is killed while work runs. Another entry takes over within two seconds, running work
+// goes on, and no job is lost or run twice.
 func TestPlannerKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -64,19 +65,19 @@
 		ids := w.jobs(0, 8)
 		p := w.planner()
 		p.kill()
-		lost := time.Now()
+		killedAt := time.Now()
 		for w.planner() == nil {
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(time.Since(lost) < 2*time.Second)
+		is.True(time.Since(killedAt) < 2*time.Second)
 		w.awaitAll(ids, 20*time.Second)
 		w.end()
 	})
 }
 
-// The planner's process is killed and started again at once. Its next process
-// knows that the office's holder has ended and frees the office, so the standby
-// takes over long before the lease lapses: callers notice next to nothing.
+// The planner's process is killed and restarted at once. The new process knows that the holder of
+// the office has ended and frees the office, so the standby takes over long before the lease expires
+// and callers notice hardly any delay.
 func TestPlannerKilledAndStartedAgain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -88,21 +89,21 @@
 		p.kill()
 		time.Sleep(50 * time.Millisecond)
 		p.start()
-		again := time.Now()
+		restartedAt := time.Now()
 		for w.planner() == nil {
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(time.Since(again) < officeTTL/2)
-		is.True(w.planner() != p) // The standby, which knows what runs.
+		is.True(time.Since(restartedAt) < officeTTL/2)
+		is.True(w.planner() != p) // The standby has the office; it knows the runs.
 		w.awaitAll(ids, 20*time.Second)
 		w.end()
 	})
 }
 
-// A worker goes silent, and a moment later all entries lose power: nobody is left
-// who knows what ran there. The store tells it, so the jobs that ran elsewhere go on
-// as soon as the other workers have answered. Waiting until everything at the
-// silent worker had surely ended would take them eight seconds.
+// A worker becomes unresponsive, and soon after that all entries lose power, so no process is left
+// that knows what ran there. The roster in the store holds it, so jobs on other workers go on as soon
+// as those have responded. Waiting until everything at the unresponsive worker is guaranteed to have
+// ended would delay them by eight seconds.
 func TestSilentWorkerHoldsNothingUpAfterAPowerLoss(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -126,14 +127,14 @@
 		var usable int
 		l := w.planner().node.lead.Load()
 		is.NoErr(l.duty.Do(w.ctx, func() { usable = l.planner.Load().Usable }))
-		is.Equal(usable, 9) // It gets work again.
+		is.Equal(usable, 9) // The worker is given work again.
 		w.end()
 	})
 }
 
-// The large VMs are killed, and a small one takes the office over. Once a large
-// one is back the office goes there, and the small one plans no longer: it was
-// seen to fall behind for as long as it did, and all work was late.
+// The large entry VMs are killed, and a small one takes over the office. Once a large one is back the
+// office must move there: a small VM that stayed planner fell behind, and all work was late for as
+// long as it held the office.
 func TestOfficeGoesBackToAStrongEntry(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -160,13 +161,12 @@
 	})
 }
 
-// All entries lose power, and the weak VMs are back a moment before the strong
-// ones, while a worker does not answer. The office still goes to a strong entry
-// soon: a weak one was seen to need five seconds until it knew what runs, and all
-// that time nothing was started.
+// All entries lose power, and the weak VMs are back a moment before the strong ones, while a worker is
+// unresponsive. The office must still move to a strong entry soon: a weak one needed five seconds to
+// find out what runs, and nothing was started in that time.
 func TestStrongEntriesTakeTheOfficeAfterAPowerLoss(t *testing.T) {
 	t.Parallel()
-	for name, later := range map[string]time.Duration{"at once": 300 * time.Millisecond, "later": 2 * time.Second} {
+	for name, delay := range map[string]time.Duration{"at once": 300 * time.Millisecond, "later": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -190,7 +190,7 @@
 						n.start()
 					}
 				}
-				time.Sleep(later)
+				time.Sleep(delay)
 				for _, n := range large {
 					n.start()
 				}
@@ -202,10 +202,9 @@
 	}
 }
 
-// The planner is stopped as planned while the store takes 300 ms for each call. It
-// gives the office up with one call, since its standby knows all runs. Writing
-// everything down before would take longer than its lease, and nothing would start
-// for seconds.
+// The planner is stopped as planned while each store call takes 300 ms. It gives the office up with
+// one call, since its standby knows all runs. Storing them first would take longer than its lease, and
+// nothing would be started for seconds.
 func TestPlannerStopsWhileTheStoreIsSlow(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -222,16 +221,16 @@
 		for w.planner() == nil || w.planner() == p {
 			time.Sleep(5 * time.Millisecond)
 		}
-		is.True(time.Since(begin) < 2*time.Second) // five calls to the store, one after the other
+		is.True(time.Since(begin) < 2*time.Second) // Time for about five consecutive store calls.
 		w.awaitAll(ids, 30*time.Second)
 		w.end()
 	})
 }
 
-// The store is silent for some seconds, the planner's failure domain is cut off,
-// and then the store is back for the other domains. Calls that were sent into the
-// outage are never answered. The others see within a second that the store is
-// back and the office free; waiting for their old calls to time out would add four.
+// The store is unresponsive for some seconds, the planner's failure domain is partitioned, and then the
+// store is back for the other domains. Calls sent during the outage never get a response. The other
+// entries must find within a second that the store is back and the office free; waiting for their old
+// calls to time out would add four seconds.
 func TestStoreBackIsSeenSoon(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -250,11 +249,11 @@
 		w.store.mu.Lock()
 		w.store.down = false
 		w.store.mu.Unlock()
-		back := time.Now()
-		for next := w.planner(); next == nil || next == p; next = w.planner() {
+		recoveredAt := time.Now()
+		for successor := w.planner(); successor == nil || successor == p; successor = w.planner() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(time.Since(back) < time.Second)
+		is.True(time.Since(recoveredAt) < time.Second)
 		w.mu.Lock()
 		w.cut[p.domain] = false
 		w.mu.Unlock()
@@ -265,10 +264,10 @@
 	})
 }
 
-// The store turns one entry away and serves the others, while the operator
-// withdraws a key. The entry hears of it from its peers, and the key stops working
-// there within the two seconds that the operator was promised. What is passed on
-// is one copy for the entry that lacks it, not one for each pair of entries.
+// The store refuses the calls of one entry and serves the others, while the operator withdraws a key.
+// The entry gets the new configuration from its peers, so the key stops working there within the two
+// seconds that operators are promised. Exactly one copy is sent to the entry that lacks it, not one
+// between each pair of entries.
 func TestSettingsReachAnEntryThatTheStoreTurnsAway(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -297,9 +296,9 @@
 	})
 }
 
-// The planner's failure domain is cut off from the store and the other domains.
-// The standby takes over and knows what runs there, so jobs that were accepted
-// before go on at once in the other domains, and no task runs on both sides.
+// The planner's failure domain is partitioned from the store and the other domains. The standby takes
+// over and knows what runs there, so jobs accepted before go on at once in the other domains, and no
+// task runs on both sides.
 func TestPlannerCutOffWithItsDomain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -311,18 +310,18 @@
 		w.mu.Lock()
 		w.cut[p.domain] = true
 		w.mu.Unlock()
-		cut := time.Now()
+		partitionedAt := time.Now()
 		time.Sleep(4 * time.Second)
-		next := w.planner()
-		is.True(next != nil)
-		is.True(next.domain != p.domain)
+		successor := w.planner()
+		is.True(successor != nil)
+		is.True(successor.domain != p.domain)
 		var started int64
 		w.mu.Lock()
-		l := next.node.lead.Load()
+		l := successor.node.lead.Load()
 		w.mu.Unlock()
 		is.NoErr(l.duty.Do(w.ctx, func() { started = l.planner.Counts().Started }))
-		is.True(started > 0) // within the cut, long before the barrier
-		time.Sleep(8*time.Second - time.Since(cut))
+		is.True(started > 0) // Started during the partition, before the old planner's leases are guaranteed to have expired.
+		time.Sleep(8*time.Second - time.Since(partitionedAt))
 		w.mu.Lock()
 		w.cut[p.domain] = false
 		w.mu.Unlock()
@@ -331,8 +330,8 @@
 	})
 }
 
-// All entries lose power at once and start again. Nothing that was accepted is
-// lost, and what still runs at the workers is found and not started again.
+// All entries lose power at once and restart. No accepted job is lost, and runs that go on at the
+// workers are found and not started again.
 func TestAllEntriesKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -351,8 +350,8 @@
 	})
 }
 
-// A planned stop of the planner: the office changes hands at once, nothing that
-// runs is stopped and nothing waits.
+// The planner is stopped as planned. The office passes to another entry at once, no run is stopped and
+// no job is delayed.
 func TestPlannerStopsAsPlanned(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -372,9 +371,8 @@
 	})
 }
 
-// The store is down for some seconds while the answers to some writes are lost
-// before and after. Submissions are refused or uncertain meanwhile, and those
-// that were accepted are done exactly once.
+// The store is down for some seconds, and the responses to some writes are lost before and after that.
+// Submissions are refused or uncertain meanwhile, and accepted jobs run exactly once.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -393,14 +391,15 @@
 	})
 }
 
+// setStoreUnavailable makes all calls to the store time out, or ends that.
 func (w *world) setDown(down bool) {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	w.store.down = down
 }
 
-// The store is down, and nothing else. Work that was accepted before goes on:
-// its next phases start, through the same planner, until the store is back.
+// Only the store is down. Jobs accepted before go on: the same planner starts their next phases until
+// the store is back.
 func TestWorkGoesOnWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -411,7 +410,7 @@
 		p := w.planner()
 		l := p.node.lead.Load()
 		w.setDown(true)
-		time.Sleep(2 * time.Second) // the lease on the office has run out
+		time.Sleep(2 * time.Second) // Longer than the lease on the office.
 		var before, after fleet.Counts
 		is.NoErr(l.duty.Do(w.ctx, func() { before = l.planner.Counts() }))
 		time.Sleep(2 * time.Second)
@@ -423,13 +422,13 @@
 	})
 }
 
-// randomFaults plays faults of all kinds, several at a time, and mends them.
+// playRandomFaults injects faults of all kinds, several at a time, and ends each after a random time.
 func (w *world) randomFaults(steps int) {
 	for range steps {
 		time.Sleep(time.Duration(300+w.intn(2000)) * time.Millisecond)
 		length := time.Duration(500+w.intn(7000)) * time.Millisecond
 		kind := w.intn(8)
-		w.log.note("fault %d for %v", kind, length)
+		w.log.note("injecting fault of kind %d for %v", kind, length)
 		switch kind {
 		case 0:
 			if p := w.planner(); p != nil {
@@ -470,26 +469,29 @@
 	}
 }
 
+// randomNode returns a random entry.
 func (w *world) anyNode() *simNode {
 	return w.nodes[fmt.Sprintf("d%d-%d", w.intn(len(w.nodes)/perDomain), w.intn(perDomain))]
 }
 
-func (w *world) restart(n *simNode, after time.Duration) {
+// killAndRestart kills an entry that runs, and restarts it after a delay.
+func (w *world) restart(n *simNode, delay time.Duration) {
 	w.mu.Lock()
-	up := n.node != nil
+	running := n.node != nil
 	w.mu.Unlock()
-	if !up {
+	if !running {
 		return
 	}
 	n.kill()
 	w.group.Go(func() {
-		time.Sleep(after)
+		time.Sleep(delay)
 		if w.ctx.Err() == nil {
 			n.start()
 		}
 	})
 }
 
+// injectFor turns a fault on and, after a time, off again. It calls set with the world's mutex held.
 func (w *world) during(length time.Duration, set func(on bool)) {
 	w.mu.Lock()
 	set(true)
@@ -502,16 +504,15 @@
 	})
 }
 
-// The seeds of the random runs: more can be asked for by hand.
+// Flags that choose the seeds of the random tests.
 var (
-	firstSeed = flag.Uint64("first", 0, "first seed of the random runs")
-	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random runs")
+	firstSeed = flag.Uint64("first", 0, "first seed of the random tests")
+	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random tests")
 )
 
-// Faults of all kinds overlap: entries killed, domains cut off, the store down
-// or losing answers, workers that carry orders out without an answer. Afterwards
-// every accepted job ends, and at no time did a task run twice or a worker hold
-// more than its room.
+// Faults of all kinds overlap: entries are killed, domains partitioned, the store is down or loses
+// responses, and workers carry out calls without responding. Every accepted job must end, no task may
+// run twice at once, and no worker may run more than its capacity.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
--- a/region/lasting_test.go
+++ b/region/lasting_test.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// lastingWork is the command of tasks that run until they are stopped.
+	// lastingCommand is the command of tasks that run until they are stopped.
 	lastingWork = "last"
-	// lastingAim is how soon after its run has ended a task that lasts runs again,
-	// while there is room for it.
+	// maxRestartDelay is how soon a lasting task must run again after its run has ended, while there
+	// is free capacity for it.
 	lastingAim = 6 * time.Second
 )
 
-// lastingView tells, as the workers see it, which tasks that last do not run. The
-// world's mutex guards it.
+// lastingStatus tracks which lasting tasks run at the workers. The world's mutex guards it.
 type lastingView struct {
+	// downSince holds, by task, when its last run ended; zero while it runs.
 	down map[winch.RunID]time.Time
-	// longest is the longest that a task was down.
+	// longestDowntime is the longest time that a task was down.
 	longest time.Duration
 }
 
-// began notes that a run of a task that lasts has begun.
+// runStarted records that a run of a lasting task has started.
 func (v *lastingView) began(w *world, task winch.RunID) {
 	if v.down == nil {
 		v.down = make(map[winch.RunID]time.Time)
@@ -37,22 +37,22 @@
 	v.down[task] = time.Time{}
 }
 
-// ended notes that a run of a task has ended.
+// runEnded records that a run of a task has ended.
 func (v *lastingView) ended(task winch.RunID) {
-	if _, lasts := v.down[task]; lasts {
+	if _, lasting := v.down[task]; lasting {
 		v.down[task] = time.Now()
 	}
 }
 
-// back checks how long a task was down.
-func (v *lastingView) back(w *world, task winch.RunID, took time.Duration) {
-	v.longest = max(v.longest, took)
-	if w.windows == nil && took > lastingAim {
-		w.breaks("%v: %v did not run for %v", time.Since(w.log.begin), task, took)
+// checkDowntime checks how long a task was down. The random tests have checks of their own.
+func (v *lastingView) back(w *world, task winch.RunID, downtime time.Duration) {
+	v.longest = max(v.longest, downtime)
+	if w.windows == nil && downtime > lastingAim {
+		w.breaks("%v: lasting task %v was down for %v", time.Since(w.log.begin), task, downtime)
 	}
 }
 
-// last hands a job in whose tasks last, and waits until they all run.
+// startLasting submits a job with lasting tasks, and waits until they all run.
 func (w *world) last(id string, count int) {
 	phase := winch.Phase{Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork, Lasting: true}
 	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingWork, Phases: []winch.Phase{phase}})
@@ -61,20 +61,20 @@
 	}
 }
 
-// lastingUp counts the tasks that last and run.
+// runningLasting returns the number of lasting tasks that run.
 func (w *world) lastingUp() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	up := 0
+	running := 0
 	for _, at := range w.lasting.down {
 		if at.IsZero() {
-			up++
+			running++
 		}
 	}
-	return up
+	return running
 }
 
-// endLasting checks the tasks that are still down.
+// checkDownLasting checks how long the lasting tasks that do not run have been down.
 func (w *world) endLasting() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// endWorker ends a worker's process: what runs there is gone, and nothing answers.
+// terminateWorker ends a worker's process: its runs end, and it responds to nothing.
 func (w *world) endWorker(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,10 +96,10 @@
 		x.end(w, key, winch.EndLapsed)
 	}
 	x.down, x.over = true, true
-	w.log.note("%s is gone", id)
+	w.log.note("worker %s is terminated", id)
 }
 
-// leave ends a worker that has said so before; its entry goes with it.
+// leave ends a worker that leaves as announced: its record is removed with it.
 func (w *world) leave(id string) {
 	w.endWorker(id)
 	w.store.mu.Lock()
@@ -107,7 +107,7 @@
 	w.store.remove("workers/" + id)
 }
 
-// drain has a worker say that it takes no new work and is about to leave.
+// drain makes a worker announce that it takes no new work and is about to leave.
 func (w *world) drain(id string) {
 	w.mu.Lock()
 	vm := w.workers[id].vm
@@ -118,14 +118,14 @@
 	w.store.put("workers/"+id, mustJSON(vm), 0)
 }
 
-// runsAt counts the runs at a worker.
+// runsAt returns the number of runs at a worker.
 func (w *world) runsAt(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.workers[id].runs)
 }
 
-// busiest returns the worker with the most runs.
+// busiestWorker returns the worker whose runs take the most capacity.
 func (w *world) busiest() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -141,8 +141,8 @@
 	return best
 }
 
-// stopsInSeries stops entries as planned, one every two seconds, the planner first,
-// each ended two seconds later and started again at once.
+// stopInSeries stops entries as planned, one every two seconds, each time the planner if there is one.
+// Each process ends two seconds after its stop and is restarted 300 ms later.
 func (w *world) stopsInSeries(count int) {
 	for range count {
 		n := w.planner()
@@ -162,14 +162,12 @@
 	}
 }
 
-// A worker is gone at the moment at which the planner is stopped as planned, and
-// more entries are stopped after it, one every two seconds. No planner that follows
-// has ever had an answer of the worker. The listener of a room that should stay
-// open all week finds it closed until long after the last of the stops, though
-// other workers have room for it. What ran there could go on until the last lease had
-// lapsed; each keeper that got the worker knew nothing of that lease and counted the
-// longest one from its own beginning. The keepers' logs prove it: the worker was lost
-// 7.7 s after the last holding of it had begun, however long it had been gone.
+// A worker leaves at the moment at which the planner is stopped as planned, and more entries are
+// stopped after that, one every two seconds. No later planner has ever had contact with the worker. Its
+// lasting tasks stayed down until long after the last stop, though other workers had free capacity:
+// runs there may go on until the last lease expires, and each keeper that was assigned the worker knew
+// nothing of that lease and assumed the longest possible one from its own start. The worker was
+// reported as lost 7.7 s after its last assignment had begun, however long ago it had left.
 func TestLastingTaskIsBackWhileEntriesStopInSeries(t *testing.T) {
 	t.Parallel()
 	for _, millis := range []int{0, 30, 300, 700, 1100, 1400} {
@@ -194,9 +192,9 @@
 	}
 }
 
-// A worker is gone while nothing else happens. What ran there may go on as far as
-// anybody knows until its lease has lapsed, on a slow clock too; a lease as long as
-// workers grant would leave nothing of the six seconds for finding another place.
+// A worker leaves and nothing else happens. Its runs may go on until the lease expires, also on a slow
+// clock. A lease of the longest duration that workers accept would leave nothing of the six seconds
+// for starting the tasks elsewhere.
 func TestLastingTaskIsBackAfterItsWorkerIsGone(t *testing.T) {
 	t.Parallel()
 	for _, millis := range []int{0, 400, 800, 1200, 1600} {
@@ -217,10 +215,10 @@
 	}
 }
 
-// A worker says that it is about to leave, and leaves three seconds later. Tasks that
-// last were left to end with it, and then waited for until its lease had lapsed: the
-// rooms there closed for some five seconds with each worker that was replaced, though
-// it had been announced and there was room for them elsewhere.
+// A worker announces that it is about to leave, and leaves three seconds later. Its lasting tasks used
+// to run there until it ended, and were then delayed until its lease expired: with each replaced
+// worker they were down for about five seconds, though the change was announced and other workers had
+// free capacity.
 func TestLastingTasksLeaveADrainingWorker(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -10,34 +10,36 @@
 	"plantainwinch/winch"
 )
 
-// simStore is the platform's store.
+// simStore simulates the platform's store: versioned keys, leases and a change history.
 type simStore struct {
 	world    *world
 	mu       sync.Mutex
 	items    map[string]winch.Value
-	owner    map[string]uint64
+	owner    map[string]uint64 // keyLeases holds the lease that each key ends with; zero for none.
 	events   []winch.Event
 	leases   map[uint64]*simLease
 	revision uint64
-	down     bool // down makes all calls go unanswered.
-	lossy    bool // lossy loses the answers of half of the transactions.
-	calls    int
-	// slow is how much longer an answer takes.
+	down     bool // down makes all calls time out.
+	lossy    bool // losesResponses drops the responses to half of the transactions.
+	calls    int  // calls counts the calls that were carried out.
+	// extraDelay is added to the duration of each call.
 	slow time.Duration
-	// swallow leaves calls without an answer for as long as a real client waits.
+	// hangs makes calls that are not carried out time out only as late as with a real client.
 	swallow bool
-	most    int // most bounds the changes that one answer tells, if it is not zero.
-	// fate says whether a transaction takes effect and is answered.
-	fate    func(txn winch.Txn) (applied, answered bool)
-	onRead  func(host, prefix string) // onRead is told of each reading.
-	refused map[string]bool           // refused holds the entries that are turned away.
+	most    int // maxChanges bounds the changes in one response; zero is no bound.
+	// commitOutcome decides whether a transaction takes effect and whether its response arrives.
+	fate    func(txn winch.Txn) (applied, responded bool)
+	onRead  func(host, prefix string) // onRead is called on each read.
+	refused map[string]bool           // refused holds the entries, by host, whose calls are refused.
 }
 
+// simLease is a lease in the store.
 type simLease struct {
 	ttl   time.Duration
 	until time.Time
 }
 
+// put writes a key, which is removed when its lease ends, if it has one. The store's mutex is held.
 func (s *simStore) put(key string, data []byte, lease uint64) {
 	s.revision++
 	v := winch.Value{Key: key, Data: data, Version: s.revision}
@@ -46,6 +48,7 @@
 	s.owner[key] = lease
 }
 
+// remove deletes a key. The store's mutex is held.
 func (s *simStore) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -56,6 +59,7 @@
 	s.events = append(s.events, winch.Event{Value: winch.Value{Key: key, Version: s.revision}, Deleted: true})
 }
 
+// expireLeases ends leases that were not renewed in time.
 func (s *simStore) expire(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
@@ -69,6 +73,7 @@
 	}
 }
 
+// endLease ends a lease and removes its keys. The store's mutex is held.
 func (s *simStore) endLease(id uint64) {
 	if s.leases[id] == nil {
 		return
@@ -81,21 +86,21 @@
 	}
 }
 
-// simTable is an entry's way to the store.
+// simTable carries the calls of one entry to the store.
 type simTable struct {
 	store *simStore
 	node  *Node
 }
 
-// call makes a call if the store is reached, and waits in vain if not.
+// call runs f, with the store's mutex held, if the store can be reached. If not it times out.
 func (t *simTable) call(ctx context.Context, f func()) error {
 	w := t.store.world
 	t.store.mu.Lock()
-	way := 2*time.Millisecond + t.store.slow/2
+	delay := 2*time.Millisecond + t.store.slow/2
 	t.store.mu.Unlock()
-	time.Sleep(way)
+	time.Sleep(delay)
 	if ctx.Err() != nil {
-		return winch.ErrUncertain // As a client that does not wait for the answer.
+		return winch.ErrUncertain // As from a client that stops waiting for the response.
 	}
 	w.mu.Lock()
 	reached := w.reaches(t.node.Domain, "") && w.frozen[t.node.Host] == nil && w.live()[t.node.Name] != nil
@@ -109,19 +114,19 @@
 		t.store.calls++
 		f()
 		t.store.mu.Unlock()
-		time.Sleep(way)
+		time.Sleep(delay)
 		if ctx.Err() != nil {
 			return winch.ErrUncertain
 		}
 		t.node.NoteStoreResponse()
 		return nil
 	}
-	most := time.Second
+	timeout := time.Second
 	if t.store.swallow {
-		most = maxWatchWait + 1500*time.Millisecond
+		timeout = maxWatchWait + 1500*time.Millisecond
 	}
 	t.store.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, most)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	<-ctx.Done()
 	return winch.ErrUncertain
@@ -149,7 +154,7 @@
 			next = t.store.revision
 			for _, e := range t.store.events {
 				if e.Version > after && strings.HasPrefix(e.Key, prefix) {
-					if most := t.store.most; most > 0 && len(out) >= most && e.Version != out[len(out)-1].Version {
+					if limit := t.store.most; limit > 0 && len(out) >= limit && e.Version != out[len(out)-1].Version {
 						next = out[len(out)-1].Version
 						break
 					}
@@ -169,13 +174,13 @@
 
 func (t *simTable) Commit(ctx context.Context, txn winch.Txn) (revision uint64, err error) {
 	var result error
-	lost := false
+	responseLost := false
 	err = t.call(ctx, func() {
-		applied, answered := true, true
+		applied, responded := true, true
 		if t.store.fate != nil {
-			applied, answered = t.store.fate(txn)
+			applied, responded = t.store.fate(txn)
 		}
-		lost = !answered
+		responseLost = !responded
 		if !applied {
 			return
 		}
@@ -211,9 +216,9 @@
 			t.store.events[len(t.store.events)-len(txn.Writes)+i].Version = t.store.revision
 		}
 		revision = t.store.revision
-		lost = lost || t.store.lossy && t.store.world.intn(2) == 0
+		responseLost = responseLost || t.store.lossy && t.store.world.intn(2) == 0
 	})
-	if err == nil && lost {
+	if err == nil && responseLost {
 		time.Sleep(300 * time.Millisecond)
 		return 0, winch.ErrUncertain
 	}
--- a/region/simworker_test.go
+++ b/region/simworker_test.go
@@ -15,64 +15,69 @@
 	vm    winch.WorkerVM
 	mu    sync.Mutex
 	begin time.Time
-	// slow is how much slower than the entries' its steady clock is, as a part.
+	// clockDrift is the fraction by which the worker's monotonic clock is slower than the entries'.
 	slow  float64
-	token uint64
-	until time.Duration
+	token uint64        // token is the highest fencing token seen.
+	until time.Duration // leaseUntil is when the lease expires, on the worker's clock.
 	runs  map[simKey]*simRun
-	most  map[winch.RunID]uint64 // most is the highest run ended or stopped, by task.
-	ended []winch.Ended
-	next  uint64
-	used  int64
-	down  bool
-	// mute makes starts and stops go unanswered though they are carried out.
+	most  map[winch.RunID]uint64 // highestRun is the highest run that has ended or was stopped, by task.
+	ended []winch.Ended          // ended holds the completions that no entry has acknowledged.
+	next  uint64                 // lastEnded is the number of the last completion.
+	used  int64                  // usedMilli is what the runs take of Room.Milli.
+	down  bool                   // unresponsive makes calls time out without being carried out.
+	// losesResponses makes calls time out though they are carried out.
 	mute bool
-	// over says that the boot has ended: nothing runs there and nothing ever will.
+	// terminated says that the boot has ended: nothing runs there any more.
 	over bool
-	// lapses counts how often its lease has lapsed, lapsed says that it has.
+	// leaseExpiries counts how often the lease has expired; leaseExpired says that it has expired now.
 	lapses int
 	lapsed bool
-	// leaving is when it said that it leaves; zero if it has not.
+	// drainingSince is when the worker announced that it leaves; zero if it has not.
 	leaving time.Time
-	// refuses says that its address refuses connections once the boot is over; else calls
-	// there get no answer.
+	// refusesConnections says that connections are refused once the boot has ended; otherwise
+	// calls time out.
 	refuses bool
-	// shrunk is since when it has less room than it had; zero if it has all.
+	// shrunkSince is when the worker's capacity was reduced; zero if it has all of it.
 	shrunk time.Time
 }
 
+// simKey identifies a run of a task.
 type simKey struct {
 	task winch.RunID
 	run  uint64
 }
 
+// simRun is a run at a worker.
 type simRun struct {
-	end   time.Time // end is zero for a run that goes on until it is stopped.
-	fails bool
-	milli int64
-	gang  *simGang // gang is nil for a run that is no member of one.
-	fills bool
+	end   time.Time // end is when the run ends by itself; zero if it runs until it is stopped.
+	fails bool      // fails says that the run ends in failure.
+	milli int64     // milli is what the run takes of the worker's Room.Milli.
+	gang  *simGang  // gang is nil for a run that does not belong to a gang.
+	fills bool      // fills says that the run uses the processors that others leave idle.
 }
 
-// simGang is a run of a gang: its members, wherever they are.
+// simGang is a run of a gang, whose members may be at several workers.
 type simGang struct {
 	size, present int
-	// end is when all members end, once all are present; broken says that one has
-	// ended otherwise.
-	end    time.Time
+	// end is when all members end; zero until all are present.
+	end time.Time
+	// broken says that a member has ended without success.
 	broken bool
 }
 
-// simMilli is what each task of the world needs, simWork how long it runs.
 const (
+	// taskMilli is the processor need of each simulated task, in thousandths.
 	simMilli = 1000
-	simWork  = 400 * time.Millisecond
+	// taskDuration is how long a simulated task runs.
+	simWork = 400 * time.Millisecond
 )
 
+// addWorker starts a worker whose address is its ID.
 func (w *world) addWorker(id, domain string) {
 	w.boot(simVM(id, id, domain), 0)
 }
 
+// simVM returns the record of a worker VM that has slots for four simulated tasks.
 func simVM(id, address, domain string) winch.WorkerVM {
 	return winch.WorkerVM{
 		ID: id, Address: address, Service: "render", Domain: domain, Rack: "r" + domain,
@@ -80,13 +85,13 @@
 	}
 }
 
-// boot starts a worker's process, which takes its address and its ID over from
-// any that had them before, and lists it.
-func (w *world) boot(vm winch.WorkerVM, slow float64) {
+// bootWorker starts a worker process and lists its record. It replaces earlier boots with the same
+// address or ID.
+func (w *world) boot(vm winch.WorkerVM, clockDrift float64) {
 	w.mu.Lock()
 	w.boots++
 	vm.Born = w.boots
-	x := &simWorker{vm: vm, begin: time.Now(), slow: slow, runs: make(map[simKey]*simRun), most: make(map[winch.RunID]uint64)}
+	x := &simWorker{vm: vm, begin: time.Now(), slow: clockDrift, runs: make(map[simKey]*simRun), most: make(map[winch.RunID]uint64)}
 	w.workers[vm.ID], w.addresses[vm.Address] = x, x
 	w.mu.Unlock()
 	w.store.mu.Lock()
@@ -95,32 +100,32 @@
 	w.group.Go(func() { x.work(w) })
 }
 
-// lapse looks whether the lease has lapsed, and counts how often it has.
+// updateLease reports whether the lease has expired, and counts each expiry.
 func (x *simWorker) lapse() bool {
-	now := x.clock() > x.until
-	if now && !x.lapsed {
+	expired := x.clock() > x.until
+	if expired && !x.lapsed {
 		x.lapses++
 	}
-	x.lapsed = now
-	return now
+	x.lapsed = expired
+	return expired
 }
 
-// simDone is the end of a run that has ended well.
+// completedRun is a run that has succeeded.
 type simDone struct {
 	run    uint64
 	worker *simWorker
-	lapses int
-	// again says that the task was started after it.
+	lapses int // leaseExpiries is the worker's count of lease expiries when the run ended.
+	// restarted says that the task was started again after this run.
 	again bool
 }
 
-// clock is what the worker's steady clock shows.
+// clock returns the time on the worker's monotonic clock.
 func (x *simWorker) clock() time.Duration {
 	since := time.Since(x.begin)
 	return since - time.Duration(x.slow*float64(since))
 }
 
-// silence has a worker answer nothing any more, or answer again.
+// setUnresponsive makes a worker stop responding to calls, or respond again.
 func (w *world) silence(id string, down bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,20 +135,21 @@
 	x.down = down
 }
 
-// work lets runs end when their time has come, and all when the lease has lapsed.
+// endDueRuns ends each run when its time has come, and all runs when the lease expires. It returns
+// once the boot has ended.
 func (x *simWorker) work(w *world) {
-	for over := false; !over && w.ctx.Err() == nil; {
+	for terminated := false; !terminated && w.ctx.Err() == nil; {
 		time.Sleep(10 * time.Millisecond)
 		w.mu.Lock()
 		x.mu.Lock()
-		over = x.over
+		terminated = x.over
 		now := time.Now()
-		lapsed := x.lapse()
+		expired := x.lapse()
 		for key, r := range x.runs {
 			switch {
 			case r.gang != nil:
-				r.gang.work(w, x, key, r, lapsed, now)
-			case lapsed:
+				r.gang.work(w, x, key, r, expired, now)
+			case expired:
 				x.end(w, key, winch.EndLapsed)
 			case r.end.IsZero():
 			case now.After(r.end) && r.fails:
@@ -157,12 +163,13 @@
 	}
 }
 
+// endRun ends a run and adds its completion to the list that entries read. Both locks are held.
 func (x *simWorker) end(w *world, key simKey, kind winch.EndKind) {
 	r := x.runs[key]
 	delete(x.runs, key)
 	x.used -= r.milli
 	x.most[key.task] = max(x.most[key.task], key.run)
-	// A run at a worker that answers nobody goes on there until it truly ends.
+	// Only the actual end counts: a run at an unresponsive worker goes on until its lease expires.
 	w.running[key.task]--
 	w.lasting.ended(key.task)
 	if r.gang != nil && kind != winch.EndDone {
@@ -178,13 +185,13 @@
 	x.ended = append(x.ended, winch.Ended{Number: x.next, Task: key.task, Run: key.run, Kind: kind})
 }
 
-// simRunner is an entry's way to the workers.
+// simRunner carries the calls of one entry to the workers.
 type simRunner struct {
 	world *world
 	node  *Node
 }
 
-// call runs f at a worker with both locks held, if the worker is reached.
+// call runs f at a worker, with both locks held, if the worker can be reached.
 func (r *simRunner) call(ctx context.Context, vm winch.WorkerVM, f func(x *simWorker) error) error {
 	time.Sleep(simDelay)
 	w := r.world
@@ -195,7 +202,8 @@
 		time.Sleep(simDelay)
 		return winch.ErrUnavailable
 	}
-	if x == nil || x.down || w.paths[simPath{r.node.Host, x.vm.Address}] > 0 || w.frozen[r.node.Host] != nil || !w.reaches(r.node.Domain, x.vm.Domain) || w.live()[r.node.Name] == nil {
+	if x == nil || x.down || w.paths[simPath{r.node.Host, x.vm.Address}] > 0 || w.frozen[r.node.Host] != nil ||
+		!w.reaches(r.node.Domain, x.vm.Domain) || w.live()[r.node.Name] == nil {
 		w.mu.Unlock()
 		<-ctx.Done()
 		return winch.ErrUncertain
@@ -207,10 +215,10 @@
 	} else {
 		err = f(x)
 	}
-	mute := x.mute || w.paths[simPath{x.vm.Address, r.node.Host}] > 0
+	responseLost := x.mute || w.paths[simPath{x.vm.Address, r.node.Host}] > 0
 	x.mu.Unlock()
 	w.mu.Unlock()
-	if mute {
+	if responseLost {
 		<-ctx.Done()
 		return winch.ErrUncertain
 	}
@@ -218,6 +226,7 @@
 	return err
 }
 
+// fence rejects a call whose fencing token is lower than one seen before.
 func (x *simWorker) fence(token uint64) error {
 	if token < x.token {
 		return winch.ErrFenced
@@ -239,7 +248,7 @@
 				if e.Number <= c.Forget && e.Kind == winch.EndDone {
 					x.notes(r.world, e.Task, e.Run)
 					r.world.noted[e.Task] = r.world.noted[e.Task] || x.outlived(r.world, e.Task, e.Run)
-					r.world.log.note("%v of %s is noted at %s by %s", e.Task, e.Task.Job, x.vm.ID, r.node.Name)
+					r.world.log.note("completion of %v of %s at %s is acknowledged by %s", e.Task, e.Task.Job, x.vm.ID, r.node.Name)
 				}
 				return e.Number <= c.Forget
 			})
@@ -285,19 +294,19 @@
 	return result, 0
 }
 
-// notes checks, once the end of a run that has ended well is noted, that the task was
-// not started after it; but for an end which the lease has not outlived: nobody could
-// know of that one in time.
+// checkAcknowledged checks, when the completion of a successful run is acknowledged, that the task
+// was not started again after that run. A completion whose lease has expired since is exempt: no
+// entry could learn of it in time.
 func (x *simWorker) notes(w *world, task winch.RunID, run uint64) {
 	for _, d := range w.done[task] {
 		if d.worker == x && d.run == run && d.again && d.lapses == x.lapses {
-			w.breaks("%v: %v was started after it had ended well at %s", time.Since(w.log.begin), task, x.vm.ID)
+			w.breaks("%v: %v was started again after it had succeeded at %s", time.Since(w.log.begin), task, x.vm.ID)
 		}
 	}
 }
 
-// outlived reports whether the lease has outlived the end of a run: an end that is noted
-// later does not count, since nobody could know of it in time.
+// heldLeaseSince reports whether the lease has not expired since the run succeeded. A completion
+// that is acknowledged after an expiry does not count, since no entry could learn of it in time.
 func (x *simWorker) outlived(w *world, task winch.RunID, run uint64) bool {
 	for _, d := range w.done[task] {
 		if d.worker == x && d.run == run {
@@ -307,24 +316,25 @@
 	return true
 }
 
-// begins starts a run and checks what must hold.
+// startRun starts a run. It checks that the task does not already run, that its completion has not
+// been acknowledged, and that the worker has the capacity.
 func (x *simWorker) begins(w *world, key simKey, c winch.StartCall) {
 	for _, d := range w.done[c.Task] {
 		d.again = true
 	}
-	w.log.note("%v of %s begins as %d at %s", c.Task, c.Task.Job, c.Run, x.vm.ID)
+	w.log.note("%v of %s starts as run %d at %s", c.Task, c.Task.Job, c.Run, x.vm.ID)
 	if w.running[c.Task] > 0 {
-		w.breaks("%v: %v runs twice at once", time.Since(w.log.begin), c.Task)
+		w.breaks("%v: %v is started while another run of it goes on", time.Since(w.log.begin), c.Task)
 	}
 	if w.noted[c.Task] {
-		w.breaks("%v: %v is started after its end was recorded", time.Since(w.log.begin), c.Task)
+		w.breaks("%v: %v is started after its completion was acknowledged", time.Since(w.log.begin), c.Task)
 	}
 	milli := int64(simMilli)
 	if c.Command == fillingWork {
-		milli = 0 // It takes what the others leave.
+		milli = 0 // Filling tasks do not count against the worker's capacity.
 	}
 	if x.used+milli > x.vm.Room.Milli && (x.shrunk.IsZero() || time.Since(x.shrunk) > shrunkCounts) {
-		w.breaks("%v: %s is filled beyond its room", time.Since(w.log.begin), x.vm.ID)
+		w.breaks("%v: run started beyond the capacity of %s", time.Since(w.log.begin), x.vm.ID)
 	}
 	w.running[c.Task]++
 	x.used += milli
@@ -353,16 +363,17 @@
 }
 
 const (
-	// gangWork is the command of jobs of one gang, of gangSize members, fillingWork
-	// that of tasks that fill.
-	gangWork    = "gang"
-	gangSize    = 3
+	// gangCommand is the command of jobs that are one gang.
+	gangWork = "gang"
+	// gangSize is the number of members of each gang.
+	gangSize = 3
+	// fillingCommand is the command of tasks that use idle processors.
 	fillingWork = "fill"
-	// gangTime is how long a member waits for the others.
+	// gangTimeout is how long a member waits for the others.
 	gangTime = 3 * time.Second
 )
 
-// joins counts a member of a gang's run as present.
+// joinGang adds a member to a run of a gang, which it creates if needed.
 func (w *world) joins(task winch.RunID, run uint64) *simGang {
 	task.Index = 0
 	key := simKey{task, run}
@@ -378,11 +389,11 @@
 	return g
 }
 
-// work ends a member of a gang: with all others, or with one that has ended otherwise,
-// or alone. The locks of the world and of the worker are held.
-func (g *simGang) work(w *world, x *simWorker, key simKey, r *simRun, lapsed bool, now time.Time) {
+// endDueRun ends a member of a gang if its time has come: when all members succeed, when another
+// one has ended without success, or when the gang was not complete in time. Both locks are held.
+func (g *simGang) work(w *world, x *simWorker, key simKey, r *simRun, expired bool, now time.Time) {
 	switch {
-	case lapsed:
+	case expired:
 		x.end(w, key, winch.EndLapsed)
 	case g.broken:
 		x.end(w, key, winch.EndBroken)
@@ -411,7 +422,8 @@
 	return r.call(ctx, vm, func(x *simWorker) error { return x.fence(token) })
 }
 
-// load is what a run reports: tasks that serve miss their target beside tasks that fill.
+// load returns the load that a run reports. Serving tasks miss their target if two filling tasks
+// run beside them.
 func (x *simWorker) load(key simKey) float64 {
 	if !x.runs[key].end.IsZero() {
 		return simMilli
@@ -425,7 +437,7 @@
 	return float64(load.Milliseconds())
 }
 
-// servingTarget is what tasks that last must stay below where some fill beside them.
+// servingTarget is the tail response time that lasting tasks must stay below in spite of filling tasks.
 const servingTarget = 200 * time.Millisecond
 
 func (r *simRunner) Drop(winch.WorkerVM) {}
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -21,9 +21,9 @@
 	"plantainwinch/winch"
 )
 
-// world is a region in one test: a store, workers and entries that reach each
-// other as the test says. All checks of what must hold are made where it would
-// be seen: at the workers and in the answers to callers.
+// world is a simulated region in one test: a store, workers and entries whose connections the
+// test controls. The invariants are checked where a violation would be visible from outside: at
+// the workers and in the responses to callers.
 type world struct {
 	t       *testing.T
 	rand    *rand.Rand
@@ -31,59 +31,64 @@
 	mu      sync.Mutex
 	nodes   map[string]*simNode
 	workers map[string]*simWorker
-	// addresses holds the boot that answers at each address, boots counts all.
+	// addresses holds the worker boot that responds at each address.
 	addresses map[string]*simWorker
-	boots     int64
+	boots     int64 // bootCount counts the boots of all workers.
 	store     *simStore
-	// cut holds the failure domains that reach only themselves.
+	// partitioned holds the failure domains that are cut off from the store and from all others.
 	cut map[string]bool
-	// paths holds what gets nowhere on one way between entries, or between an entry and
-	// a worker; links holds the links between entries that have ended for it.
+	// blockedPaths counts the faults that block one direction between two entries, or between an
+	// entry and a worker. brokenLinks counts those that have ended the link between two entries.
 	paths map[simPath]int
 	links map[simPath]int
-	// frozen holds, by the host of an entry that stands still, what came meanwhile.
+	// paused holds, by the host of a paused entry, the messages that arrived during the pause.
 	frozen map[string]*simFrozen
-	// share holds the processor shares of entries; others have 400.
+	// shares holds the processor shares of entries by host; entries without one have 400.
 	share map[string]int
-	// running counts, by task, the runs at workers, also at those that do not answer.
+	// running counts the runs at workers by task, including those at unresponsive workers.
 	running map[winch.RunID]int
-	noted   map[winch.RunID]bool
+	noted   map[winch.RunID]bool // acknowledged holds the tasks whose completion an entry has acknowledged.
 	done    map[winch.RunID][]*simDone
-	failed  map[winch.RunID]int // failed counts the runs that ended in failure.
+	failed  map[winch.RunID]int // failed counts the failed runs by task.
 	lasting lastingView
 	gangs   map[simKey]*simGang
 	crashes crashView
-	// windows checks tasks that last in the random runs; others have none.
+	// downtimeChecks checks lasting tasks in the random tests; it is nil in all others.
 	windows *lastingWindows
-	// lost says which questions between entries get lost.
+	// dropsRequest reports whether a request between two entries gets lost.
 	lost func(from, to string, kind winch.Kind) bool
-	// late says how long a question waits at the entry that is asked before that takes
-	// it up, as in the buffers of a process that is frozen. It need not be reached then.
+	// requestDelay returns how long a request waits at the receiving entry before it is handled,
+	// as in the receive buffers of a paused process. The entry need not be reachable by then.
 	late   func(from, to string, kind winch.Kind) time.Duration
-	copies int // copies counts the configurations that entries gave each other.
-	broken []string
+	copies int      // configCopies counts the configurations sent from entry to entry.
+	broken []string // violations holds the invariant violations seen so far.
 	log    *simLog
 	group  conc.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// simNode is one entry, which may be killed and started again.
+// simNode is one entry VM, whose process may be killed and restarted.
 type simNode struct {
 	world  *world
 	host   string
 	domain string
-	node   *Node
-	boots  int
+	node   *Node // node is the running process, nil if there is none.
+	boots  int   // boots counts the processes started so far.
 	cancel context.CancelFunc
 }
 
+// entriesPerDomain is the number of entries in each failure domain.
 const perDomain = 2
 
+// newWorld starts a region. All random decisions that are drawn from the world follow from the seed.
 func newWorld(t *testing.T, seed uint64, domains, workers int) *world {
 	w := &world{
-		t: t, rand: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[string]*simNode), workers: make(map[string]*simWorker), addresses: make(map[string]*simWorker),
-		cut: make(map[string]bool), paths: make(map[simPath]int), links: make(map[simPath]int), frozen: make(map[string]*simFrozen), gangs: make(map[simKey]*simGang), running: make(map[winch.RunID]int), noted: make(map[winch.RunID]bool), done: make(map[winch.RunID][]*simDone), failed: make(map[winch.RunID]int),
+		t: t, rand: rand.New(rand.NewPCG(seed, 1)),
+		nodes: make(map[string]*simNode), workers: make(map[string]*simWorker), addresses: make(map[string]*simWorker),
+		cut: make(map[string]bool), paths: make(map[simPath]int), links: make(map[simPath]int),
+		frozen: make(map[string]*simFrozen), gangs: make(map[simKey]*simGang), running: make(map[winch.RunID]int),
+		noted: make(map[winch.RunID]bool), done: make(map[winch.RunID][]*simDone), failed: make(map[winch.RunID]int),
 	}
 	w.log = &simLog{begin: time.Now()}
 	w.ctx, w.cancel = context.WithCancel(t.Context())
@@ -103,6 +108,7 @@
 	return w
 }
 
+// simConfig returns a configuration with two queues and one team.
 func simConfig(version uint64) *winch.RegionConfig {
 	return &winch.RegionConfig{Version: version, Queues: []winch.Queue{
 		{Name: "preview", Service: "render", Attempts: 2, Target: 250 * time.Millisecond, Stretch: 1.5},
@@ -118,7 +124,7 @@
 	return data
 }
 
-// simCodec reads the world's own formats.
+// simCodec decodes the records that the simulated store holds.
 type simCodec struct{}
 
 func (simCodec) ConfigKey() string    { return "op/config" }
@@ -134,6 +140,7 @@
 	return vm, json.Unmarshal(data, &vm) == nil && vm.ID != ""
 }
 
+// start starts a new process of the entry.
 func (n *simNode) start() {
 	n.boots++
 	ctx, cancel := context.WithCancel(n.world.ctx)
@@ -157,7 +164,7 @@
 	n.world.group.Go(func() { node.Run(ctx) })
 }
 
-// stop stops an entry as planned; it is killed later.
+// stop asks the entry to stop as planned. Its process goes on until it is killed.
 func (n *simNode) stop() {
 	n.world.mu.Lock()
 	node := n.node
@@ -167,7 +174,7 @@
 	}
 }
 
-// kill ends an entry at once.
+// kill ends the entry's process at once.
 func (n *simNode) kill() {
 	n.world.mu.Lock()
 	node := n.node
@@ -175,7 +182,7 @@
 	n.killBoot(node)
 }
 
-// killBoot ends one boot of an entry, and reports whether that was what ended it.
+// killBoot ends one process of the entry, and reports whether it was still running.
 func (n *simNode) killBoot(node *Node) bool {
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
@@ -187,14 +194,14 @@
 	return true
 }
 
-// intn returns a number from the world's seed.
+// intn returns a random number below n that follows from the world's seed.
 func (w *world) intn(n int) int {
 	w.randMu.Lock()
 	defer w.randMu.Unlock()
 	return w.rand.IntN(n)
 }
 
-// end stops the world and reports what was broken.
+// end stops the region, and fails the test if an invariant was violated.
 func (w *world) end() {
 	w.cancel()
 	w.group.Wait()
@@ -206,7 +213,7 @@
 	}
 }
 
-// simLog keeps what the entries log, for runs that fail.
+// simLog collects the log lines of all entries. They are printed if the test fails.
 type simLog struct {
 	mu    sync.Mutex
 	begin time.Time
@@ -227,14 +234,15 @@
 	return len(line), nil
 }
 
+// note adds a line about the simulation itself, such as a fault that is injected.
 func (l *simLog) note(format string, args ...any) {
-	_, _ = fmt.Fprintf(l, format, args...) // It is kept in memory.
+	_, _ = fmt.Fprintf(l, format, args...) // Write never fails.
 }
 
 // Sync implements zapcore.WriteSyncer.
 func (l *simLog) Sync() error { return nil }
 
-// count returns the number of lines that hold a text.
+// count returns the number of lines that contain text.
 func (l *simLog) count(text string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,16 +260,17 @@
 	}
 }
 
+// reportViolation records that an invariant was violated. The world's mutex is held.
 func (w *world) breaks(format string, args ...any) {
 	w.broken = append(w.broken, fmt.Sprintf(format, args...))
 }
 
-// reaches reports whether a domain reaches another; the store lies in "".
+// canReach reports whether one failure domain reaches another. The store is in domain "".
 func (w *world) reaches(from, to string) bool {
 	return from == to || !w.cut[from] && !w.cut[to]
 }
 
-// live returns the boots that run now, by name.
+// liveNodes returns the running entry processes by name. The world's mutex is held.
 func (w *world) live() map[string]*Node {
 	out := make(map[string]*Node)
 	for _, n := range w.nodes {
@@ -272,20 +281,21 @@
 	return out
 }
 
-// simPath is a way between two hosts.
+// simPath is one direction of the network path between two hosts.
 type simPath struct{ from, to string }
 
-// linked reports whether two entries have a link.
+// linked reports whether the link between two entries is up.
 func (w *world) linked(a, b string) bool {
 	return w.links[simPath{a, b}] == 0 && w.links[simPath{b, a}] == 0
 }
 
-// simPeers carries messages between the entries of the world.
+// simPeers carries the messages of one entry to the others.
 type simPeers struct {
 	world *world
 	node  *Node
 }
 
+// networkDelay is how long a message takes in one direction.
 const simDelay = time.Millisecond
 
 func (p *simPeers) Names() []string {
@@ -301,6 +311,7 @@
 	return out
 }
 
+// target returns the process named to if it is linked to this entry, else nil.
 func (p *simPeers) target(to string) *Node {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
@@ -311,43 +322,44 @@
 	return n
 }
 
-// passes reports whether what is sent from one host to another arrives there.
+// delivers reports whether a message from one host to another arrives.
 func (p *simPeers) passes(from, to string) bool {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
 	return p.world.paths[simPath{from, to}] == 0 && p.world.frozen[from] == nil
 }
 
-// simFrozen holds what was sent to an entry that stands still. Its process takes that
-// up once it goes on, whoever has given up waiting for it.
+// pausedEntry holds the messages that were sent to a paused entry. The process handles them when
+// it is resumed, even if the sender has given up waiting by then.
 type simFrozen struct {
 	tells, asks []func()
 }
 
-// keeps keeps a message for an entry that stands still, and reports whether it does.
-func (w *world) keeps(to *Node, tell bool, take func()) bool {
+// queueIfPaused keeps a message for a paused entry until it is resumed, and reports whether the
+// entry is paused.
+func (w *world) keeps(to *Node, isNotification bool, handle func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := w.frozen[to.Host]
 	switch {
 	case f == nil:
 		return false
-	case tell:
-		f.tells = append(f.tells, take)
+	case isNotification:
+		f.tells = append(f.tells, handle)
 	default:
-		f.asks = append(f.asks, take)
+		f.asks = append(f.asks, handle)
 	}
 	return true
 }
 
-// loses reports whether a question gets lost on its way.
+// drops reports whether a request gets lost on its way.
 func (p *simPeers) loses(to string, kind winch.Kind) bool {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
 	return p.world.lost != nil && p.world.lost(p.node.Name, to, kind)
 }
 
-// delayed returns how long a question waits before it is taken up.
+// delay returns how long a request waits at its receiver before it is handled.
 func (p *simPeers) delayed(to string, kind winch.Kind) time.Duration {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
@@ -357,11 +369,11 @@
 	return p.world.late(p.node.Name, to, kind)
 }
 
-// lose has questions between entries get lost; nil ends it.
-func (w *world) lose(lost func(from, to string, kind winch.Kind) bool) {
+// setRequestLoss sets which requests between entries get lost; nil means none.
+func (w *world) lose(drops func(from, to string, kind winch.Kind) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lost = lost
+	w.lost = drops
 }
 
 func (p *simPeers) Ask(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
@@ -375,28 +387,28 @@
 		<-ctx.Done()
 		return winch.ErrPeerLost
 	}
-	take := func(into any) error { return proto.Decode(data, into) }
-	if p.world.keeps(n, false, func() { n.Handle(context.Background(), p.node.Name, kind, take) }) {
+	decode := func(into any) error { return proto.Decode(data, into) }
+	if p.world.keeps(n, false, func() { n.Handle(context.Background(), p.node.Name, kind, decode) }) {
 		<-ctx.Done()
 		return winch.ErrPeerLost
 	}
-	if late := p.delayed(to, kind); late > 0 {
-		time.Sleep(late)
-		n.Handle(context.Background(), p.node.Name, kind, take)
+	if delay := p.delayed(to, kind); delay > 0 {
+		time.Sleep(delay)
+		n.Handle(context.Background(), p.node.Name, kind, decode)
 		return winch.ErrPeerLost
 	}
-	answer := n.Handle(ctx, p.node.Name, kind, take)
+	response := n.Handle(ctx, p.node.Name, kind, decode)
 	time.Sleep(simDelay)
 	if p.target(to) == nil || !p.passes(n.Host, p.node.Host) {
 		<-ctx.Done()
 		return winch.ErrPeerLost
 	}
-	if give, ok := answer.(proto.Settings); ok && len(give.Data) > 0 {
+	if settings, ok := response.(proto.Settings); ok && len(settings.Data) > 0 {
 		p.world.mu.Lock()
 		p.world.copies++
 		p.world.mu.Unlock()
 	}
-	data, err = proto.Encode(answer)
+	data, err = proto.Encode(response)
 	if err != nil {
 		return err
 	}
@@ -413,23 +425,23 @@
 		return err
 	}
 	if !p.passes(p.node.Host, n.Host) {
-		return nil // It is lost with the link, which ends for it a moment later.
+		return nil // The message is lost. The blocked path breaks the link a moment later.
 	}
-	take := func() {
+	handle := func() {
 		n.Handle(context.Background(), p.node.Name, kind, func(into any) error { return proto.Decode(data, into) })
 	}
-	if !p.world.keeps(n, true, take) {
-		take()
+	if !p.world.keeps(n, true, handle) {
+		handle()
 	}
 	return nil
 }
 
-// submit hands a job in at any entry until it is accepted.
+// submit submits a job with the given phases to random entries until one accepts it.
 func (w *world) submit(id string, phases ...winch.Phase) {
 	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: "work", Phases: phases})
 }
 
-// hand hands a job in at any entry until it is accepted.
+// submitJob submits a job to random entries until one accepts it.
 func (w *world) hand(job *winch.PhasedJob) {
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
@@ -452,10 +464,11 @@
 	}
 }
 
-// await asks until a job is shown as ended, and fails after a time.
+// await polls the entries until a job has ended, and returns its final state. It reports a violation
+// if the job has not ended within limit.
 func (w *world) await(id string, limit time.Duration) winch.JobState {
-	end := time.Now().Add(limit)
-	for time.Now().Before(end) {
+	deadline := time.Now().Add(limit)
+	for time.Now().Before(deadline) {
 		w.mu.Lock()
 		live := slices.Collect(maps.Values(w.live()))
 		w.mu.Unlock()
@@ -467,12 +480,13 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	w.mu.Lock()
-	w.breaks("%s has not ended after %v", id, limit)
+	w.breaks("job %s has not ended after %v", id, limit)
 	w.mu.Unlock()
 	return ""
 }
 
-// planner returns the entry that holds the office, or nil.
+// planner returns the entry that holds the office (the planner's leadership lease in the store), or
+// nil if none does.
 func (w *world) planner() *simNode {
 	w.mu.Lock()
 	defer w.mu.Unlock()
