--- a/region/crash_test.go
+++ b/region/crash_test.go
@@ -11,19 +11,18 @@
 )
 
 const (
-	// crashWork begins the command of tasks that crash the worker that starts them; the
-	// rest is how long after the start.
+	// crashCommand is the prefix of the command of tasks that crash the worker that starts them. The
+	// rest of the command is how long after the start they do.
 	crashWork = "crash "
-	// rebootTime is how long a worker that crashed is away. It is back as another boot
-	// under another ID at the same address.
+	// rebootDelay is how long after a crash the next boot follows, under a new ID at the same address.
 	rebootTime = 3200 * time.Millisecond
-	// crashBudget is how often a task may be started once crashBudget workers have crashed
-	// under it: one time less than this.
+	// maxCrashes bounds the crashes that a task may cause: once maxCrashes workers have crashed under
+	// it, fewer than maxCrashes further starts of it may happen.
 	crashBudget = 3
 )
 
-// crashAfter returns how long after its start a task with a command crashes its worker, and
-// whether it does.
+// crashAfter returns how long after its start a task with the command crashes its worker, and whether
+// it does so at all.
 func crashAfter(command string) (time.Duration, bool) {
 	rest, crashes := strings.CutPrefix(command, crashWork)
 	if !crashes {
@@ -33,27 +32,28 @@
 	return d, err == nil
 }
 
-// crashView counts, as the workers see it, the workers that crashed under each task, and
-// the starts of it after three, by entries in touch. The world's mutex guards it.
+// crashCounter counts, by task, the workers that crashed under it and its further starts once it has
+// reached maxCrashes. The world's mutex guards it.
 type crashView struct {
-	workers map[winch.RunID]int
-	starts  map[winch.RunID]int
-	// rough is when an entry or the store was last disturbed, if starts soon after that are
-	// not to count.
+	workers map[winch.RunID]int // crashedWorkers counts the workers that crashed.
+	starts  map[winch.RunID]int // extraStarts counts the starts after maxCrashes crashes.
+	// disturbedUntil is until when an entry or the store was last disturbed. Starts during and soon
+	// after a disturbance do not count, since entries may not know of all crashes.
 	rough time.Time
 }
 
-// touchTime is for how long an entry must have been undisturbed for its starts to count.
+// minUndisturbedTime is how long there must have been no disturbance of an entry or the store for a
+// start to count.
 const touchTime = 3 * time.Second
 
-// roughUntil notes a disturbance of an entry or the store that ends at a time.
+// addDisturbance records a disturbance of an entry or the store that ends at the given time.
 func (v *crashView) roughUntil(at time.Time) {
 	if at.After(v.rough) {
 		v.rough = at
 	}
 }
 
-// begins checks the start of a task that crashes its workers.
+// checkStart checks the start of a task that crashes its workers.
 func (v *crashView) begins(w *world, task winch.RunID) {
 	if v.workers == nil {
 		v.workers, v.starts = make(map[winch.RunID]int), make(map[winch.RunID]int)
@@ -63,24 +63,24 @@
 	}
 	v.starts[task]++
 	if v.starts[task] == crashBudget {
-		w.breaks("%v: %v is started %d times more after %d workers crashed under it", time.Since(w.log.begin), task, crashBudget, crashBudget)
+		w.breaks("%v: %v was started %d more times after %d workers had crashed under it", time.Since(w.log.begin), task, crashBudget, crashBudget)
 	}
 }
 
-// crash ends a worker some time after a run began there, unless the run has ended, and
-// starts its next boot.
+// crashUnderRun crashes a worker some time after the start of a run there, unless the run has ended by
+// then, and starts the worker's next boot.
 func (w *world) crash(x *simWorker, key simKey, after time.Duration) {
 	time.Sleep(after + 10*time.Millisecond)
 	w.mu.Lock()
 	x.mu.Lock()
-	runs := x.runs[key] != nil
+	running := x.runs[key] != nil
 	x.mu.Unlock()
-	if runs {
+	if running {
 		w.crashes.workers[key.task]++
 		x.refuses = x.vm.Born%3 != 0
 	}
 	w.mu.Unlock()
-	if !runs || !w.ends(x, false) {
+	if !running || !w.ends(x, false) {
 		return
 	}
 	if w.windows != nil {
@@ -98,34 +98,35 @@
 	w.boot(simVM(id, x.vm.Address, x.vm.Domain), 0)
 }
 
-// crashed returns how many workers have crashed under the tasks of a job.
+// crashesUnder returns the number of workers that crashed under the tasks of a job.
 func (w *world) crashed(job string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for task, workers := range w.crashes.workers {
+	for task, crashes := range w.crashes.workers {
 		if task.Job == job {
-			n += workers
+			n += crashes
 		}
 	}
 	return n
 }
 
-// handCrash hands a job in whose tasks crash their workers some time after their start.
+// submitCrashing submits a job whose tasks crash their workers some time after their start.
 func (w *world) handCrash(id string, count int, after time.Duration) {
 	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: crashWork + after.String(), Phases: []winch.Phase{simPhase(count)}})
 }
 
-// awaitState checks how a job ends.
+// awaitState waits until a job has ended, and checks its final state.
 func (w *world) awaitState(id string, want winch.JobState, limit time.Duration) {
 	if got := w.await(id, limit); got != want {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.breaks("%s has ended as %q, not as %q", id, got, want)
+		w.breaks("job %s ended in state %q, want %q", id, got, want)
 	}
 }
 
-// A task that crashes every worker which starts it is started again each time the loss is
-// known, and takes the work beside it along.
+// A task crashes every worker that starts it, and each crash also ends the runs beside it. Without a
+// bound the task would be started again after each loss; its job must fail instead, and the other jobs
+// must end.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
@@ -143,7 +144,8 @@
 	}
 }
 
-// The planner is killed after each crash: the next one counts the crashes anew.
+// The planner is killed after each crash. A successor that started to count from zero would never
+// reach the bound, and the job would go on crashing workers.
 func TestCrashesAreCountedOverTakeovers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/crashrand_test.go
+++ b/region/crashrand_test.go
@@ -12,28 +12,28 @@
 	"plantainwinch/winch"
 )
 
-// shrunkCounts is after how long room that has shrunk counts: what was decided before is on
-// its way, and entries may have to find out.
+// shrinkGracePeriod is how long a worker whose capacity was reduced may still be given too much work:
+// earlier decisions are under way, and entries may not yet know of the change.
 const shrunkCounts = 3400 * time.Millisecond
 
-// shrinks leaves a worker a part of its room for a while.
+// shrinkWorker reduces a worker's capacity for a while.
 func (r *lastingRun) shrinks() {
 	w := r.world
 	x := r.pick()
 	if x == nil {
 		return
 	}
-	part, length := int64(r.rand.IntN(3)), r.between(2*time.Second, 9*time.Second)
-	w.log.note("%s has room for %d for %v", x.vm.ID, part, length)
-	w.setRoom(x, part*simMilli, time.Now())
+	slots, length := int64(r.rand.IntN(3)), r.between(2*time.Second, 9*time.Second)
+	w.log.note("worker %s has only %d slots for %v", x.vm.ID, slots, length)
+	w.setRoom(x, slots*simMilli, time.Now())
 	w.group.Go(func() {
 		time.Sleep(length)
 		w.setRoom(x, simVM("", "", "").Room.Milli, time.Time{})
 	})
 }
 
-// setRoom changes what a worker says of its room, unless it has ended or leaves.
-func (w *world) setRoom(x *simWorker, milli int64, shrunk time.Time) {
+// setCapacity changes the capacity that a worker's record states, unless the worker has ended or drains.
+func (w *world) setRoom(x *simWorker, milli int64, shrunkSince time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x.mu.Lock()
@@ -41,7 +41,7 @@
 	if x.over || !x.leaving.IsZero() {
 		return
 	}
-	x.vm.Room.Milli, x.shrunk = milli, shrunk
+	x.vm.Room.Milli, x.shrunk = milli, shrunkSince
 	if w.windows != nil {
 		w.windows.lookRoom(w)
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// crashingJobs hands in jobs with tasks that crash their workers: at once or after some
-// seconds, one task or several, gangs, and tasks that last.
+// submitCrashingJobs submits jobs with tasks that crash their workers, at once or after some seconds:
+// single tasks, several tasks, gangs and lasting tasks. It returns the jobs' IDs.
 func (r *lastingRun) crashingJobs(count int) []string {
 	var ids []string
 	for i := range count {
@@ -68,7 +68,7 @@
 		case 2:
 			phase.Lasting = true
 		}
-		r.world.log.note("%s crashes its workers after %v: %+v", id, after, phase)
+		r.world.log.note("job %s crashes its workers %v after each start: %+v", id, after, phase)
 		r.world.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: crashWork + after.String(), Phases: []winch.Phase{phase}})
 		ids = append(ids, id)
 		time.Sleep(r.between(2*time.Second, 10*time.Second))
@@ -76,8 +76,8 @@
 	return ids
 }
 
-// checkFailed checks that a job which is shown as failed has a task that failed as often as
-// its queue allows.
+// checkFailure checks that a job which is shown as failed has a task that failed as often as its queue
+// allows.
 func (w *world) checkFailed(id string, state winch.JobState) {
 	if state != winch.JobFailed {
 		return
@@ -89,12 +89,12 @@
 			return
 		}
 	}
-	w.breaks("%s has failed without cause", id)
+	w.breaks("job %s is shown as failed, but none of its tasks failed twice", id)
 }
 
-// Jobs crash the workers that start them, and workers have less room for a while, under the
-// trouble of the other random runs. No task crashes more workers than it may, no other job
-// is given up, and nothing is started beyond the room that is left.
+// Jobs crash the workers that start them, and workers have less capacity for a while, during the faults
+// of the other random tests. No task may crash more workers than allowed, no other job may fail because
+// of that, and nothing may be started beyond the remaining capacity.
 func TestRandomCrashes(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
--- a/region/fault_test.go
+++ b/region/fault_test.go
@@ -320,7 +320,8 @@
 		l := successor.node.lead.Load()
 		w.mu.Unlock()
 		is.NoErr(l.duty.Do(w.ctx, func() { started = l.planner.Counts().Started }))
-		is.True(started > 0) // Started during the partition, before the old planner's leases are guaranteed to have expired.
+		// Runs are started during the partition, long before the old leases are guaranteed to have expired.
+		is.True(started > 0)
 		time.Sleep(8*time.Second - time.Since(partitionedAt))
 		w.mu.Lock()
 		w.cut[p.domain] = false
--- a/region/lastrand_test.go
+++ b/region/lastrand_test.go
@@ -15,45 +15,42 @@
 	"plantainwinch/winch"
 )
 
-// The bounds below are what users are promised, not what was measured: a task that
-// lasts is given lastingAim to be back, and another stretch of downMost counts as lost.
+// The bounds below are the promises to users: a lasting task has maxRestartDelay to run again, and
+// counts as lost if it is down for another maxDowntime.
 const (
-	// downMost is for how long a task that lasts may be without a run at a stretch,
-	// from lastingAim after its last run has ended, while there is room for it twice
-	// over and all is calm.
+	// maxDowntime is how long a lasting task may stay down beyond maxRestartDelay, while there is free
+	// capacity for minSpareSlots such tasks and no disturbance.
 	downMost = 3 * time.Second
-	// calmBefore is how long all must have been calm before such a stretch begins: a
-	// disturbance may need that long to be got over.
+	// recoveryTime is how long the region may need to recover from a disturbance; until then
+	// downtime does not count.
 	calmBefore = 4 * time.Second
-	// roomOver is for how many such tasks there must be room, for the one that waits.
+	// minSpareSlots is the free capacity, in tasks, that must exist for a waiting task to count as late.
 	roomOver = 2
-	// drainAim is how long after it has said that it leaves a worker may still be
-	// given work.
+	// maxDrainDelay is how long after its announcement a draining worker may still be given work.
 	drainAim = 2 * time.Second
-	// entryLives is how long the entry of a worker stays listed that ended without
-	// a word.
+	// crashedRecordLifetime is how long the record of a worker that crashed stays listed.
 	entryLives = 4500 * time.Millisecond
-	// slowClock is how much slower than the entries' a worker's clock may be.
+	// workerClockDrift is the fraction by which a worker's clock may be slower than the entries'.
 	slowClock = 0.02
 )
 
-// lastingWindows checks, in the random runs, that no task that lasts is down for
-// longer than a user may see. Planned work excuses nothing: entries that stop as
-// planned and workers that leave are calm. Kills, crashes, cuts, silence and trouble
-// with the store are not. The world's mutex guards it.
+// downtimeChecker checks, in the random tests, that no lasting task is down for longer than users are
+// promised. Kills, crashes, network partitions, pauses, unresponsive workers and store faults are
+// disturbances, which excuse downtime. Planned stops of entries and announced departures of workers
+// are not. The world's mutex guards it.
 type lastingWindows struct {
-	// disturbed counts the disturbances that go on, calm is when the last one ended.
+	// disturbances counts the disturbances that go on; calmSince is when the last one began or ended.
 	disturbed int
 	calm      time.Time
-	// planned is when planned work was last begun.
+	// plannedAt is when the last planned stop or departure began.
 	planned time.Time
-	// room is since when there has been room all the while; zero if there is none.
+	// spareSince is since when there has always been free capacity; zero if there is none.
 	room time.Time
-	// told holds the tasks whose stretch of the moment has been reported.
+	// reported holds the tasks whose present downtime has been reported.
 	told map[winch.RunID]bool
 }
 
-// disturb notes that a disturbance begins or ends. The world's mutex is held.
+// addDisturbance records that a disturbance begins or ends. The world's mutex is held.
 func (v *lastingWindows) disturb(on bool) {
 	v.calm = time.Now()
 	if on {
@@ -63,7 +60,7 @@
 	}
 }
 
-// calmFor returns for how long there has been no disturbance.
+// calmTime returns for how long there has been no disturbance.
 func (v *lastingWindows) calmFor() time.Duration {
 	if v.disturbed > 0 {
 		return 0
@@ -71,7 +68,7 @@
 	return time.Since(v.calm)
 }
 
-// look checks all tasks that last.
+// check checks all lasting tasks.
 func (v *lastingWindows) look(w *world) {
 	v.lookRoom(w)
 	for task, at := range w.lasting.down {
@@ -79,32 +76,32 @@
 			delete(v.told, task)
 			continue
 		}
-		over := time.Since(at) >= lastingAim+downMost && v.calmFor() >= calmBefore+downMost &&
+		late := time.Since(at) >= lastingAim+downMost && v.calmFor() >= calmBefore+downMost &&
 			!v.room.IsZero() && time.Since(v.room) >= downMost
-		if over && !v.told[task] {
+		if late && !v.told[task] {
 			v.told[task] = true
-			w.breaks("%v: %v has not run for %v, with room for %v and calm for %v",
+			w.breaks("%v: lasting task %v has been down for %v, with free capacity for %v and no disturbance for %v",
 				time.Since(w.log.begin), task, time.Since(at), time.Since(v.room), v.calmFor())
 		}
 	}
 }
 
-// lookRoom looks whether there is room. It is called whenever there may be less.
+// updateSpare updates since when there has been free capacity. It is called whenever there may be less.
 func (v *lastingWindows) lookRoom(w *world) {
-	left := int64(0)
+	slots := int64(0)
 	for _, x := range w.workers {
 		if !x.over && !x.down && x.leaving.IsZero() && !w.cut[x.vm.Domain] {
-			left += (x.vm.Room.Milli - x.used) / simMilli
+			slots += (x.vm.Room.Milli - x.used) / simMilli
 		}
 	}
-	if left < roomOver {
+	if slots < roomOver {
 		v.room = time.Time{}
 	} else if v.room.IsZero() {
 		v.room = time.Now()
 	}
 }
 
-// begins takes a run of a task that lasts, which may fail by itself at any time.
+// runStarted checks the start of a run of a lasting task, and makes some runs fail by themselves later.
 func (v *lastingWindows) begins(w *world, x *simWorker, r *simRun) {
 	if v == nil {
 		return
@@ -114,11 +111,11 @@
 		r.end, r.fails = time.Now().Add(time.Duration(1+w.intn(30))*time.Second), true
 	}
 	if !x.leaving.IsZero() && time.Since(x.leaving) > drainAim && v.calmFor() > calmBefore {
-		w.breaks("%v: %s is given work %v after it said that it leaves", time.Since(w.log.begin), x.vm.ID, time.Since(x.leaving))
+		w.breaks("%v: draining worker %s is given work %v after its announcement", time.Since(w.log.begin), x.vm.ID, time.Since(x.leaving))
 	}
 }
 
-// checksWindows has the stretches checked that users are promised around disturbances.
+// startDowntimeChecks starts the checks of downtime outside disturbances.
 func (w *world) checksWindows() {
 	w.mu.Lock()
 	w.windows = &lastingWindows{calm: time.Now(), told: make(map[winch.RunID]bool)}
@@ -126,7 +123,7 @@
 	w.group.Go(func() { w.windows.watch(w) })
 }
 
-// watch checks until the world ends.
+// watch runs check until the world ends.
 func (v *lastingWindows) watch(w *world) {
 	for w.ctx.Err() == nil {
 		time.Sleep(50 * time.Millisecond)
@@ -136,31 +133,31 @@
 	}
 }
 
-// lastingRun plays what an operator does and what goes wrong, both by the seed.
+// randomScenario plays the operator's planned work and faults, both as drawn from the seed.
 type lastingRun struct {
 	world *world
 	rand  *rand.Rand
-	// rolling says that a series of planned stops goes on; there is one at a time.
-	// The world's mutex guards it.
+	// restarting says that a rolling restart of entries goes on; there is one at a time. The world's
+	// mutex guards it.
 	rolling bool
-	named   int // named counts the workers, for their IDs.
-	turn    int // turn counts the entries that were stopped.
-	// wide is the share of trouble that leaves some ways open, beside seven of the rest.
+	named   int // workerIDs counts the worker IDs that were assigned.
+	turn    int // stoppedEntries counts the entries of all rolling restarts.
+	// partialFaultWeight is the weight of partial faults in draws in which all else together has seven.
 	wide int
 }
 
-// between draws a time.
-func (r *lastingRun) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(r.rand.Int64N(int64(most-least)))
+// randomDuration draws a duration from low up to high.
+func (r *lastingRun) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(r.rand.Int64N(int64(high-low)))
 }
 
-// chance draws whether something happens once in n times.
+// oneIn draws whether an event with a probability of 1/n happens.
 func (r *lastingRun) chance(n int) bool { return r.rand.IntN(n) == 0 }
 
-// play plays stretches in which all kinds of trouble overlap with planned work, and
-// stretches of planned work alone, which are the ones that the aim speaks of.
-func (r *lastingRun) play(stretches int) {
-	for range stretches {
+// play alternates between periods in which all kinds of faults overlap with planned work, and periods
+// of planned work alone, to which the promised bounds apply.
+func (r *lastingRun) play(rounds int) {
+	for range rounds {
 		for end := time.Now().Add(r.between(time.Second, 8*time.Second)); time.Now().Before(end); {
 			r.trouble()
 			time.Sleep(r.between(200*time.Millisecond, 3*time.Second))
@@ -172,6 +169,7 @@
 	}
 }
 
+// playPlanned draws and plays planned work, or nothing.
 func (r *lastingRun) planned() {
 	switch r.rand.IntN(3) {
 	case 0:
@@ -181,6 +179,7 @@
 	}
 }
 
+// playDisturbed draws and plays a fault or planned work.
 func (r *lastingRun) trouble() {
 	switch r.rand.IntN(7 + r.wide) {
 	case 0:
@@ -196,30 +195,30 @@
 	}
 }
 
-// rolls stops entries as planned, one after the other: all in turn, or each time
-// the planner.
+// rollingRestart restarts several entries as planned, one after the other: in turn, or each time the
+// present planner.
 func (r *lastingRun) rolls() {
 	w := r.world
 	w.mu.Lock()
-	already := r.rolling
+	ongoing := r.rolling
 	r.rolling = true
 	w.mu.Unlock()
-	if already {
+	if ongoing {
 		return
 	}
-	count, gap, chase := 3+r.rand.IntN(8), r.between(1500*time.Millisecond, 3*time.Second), r.chance(2)
+	count, interval, plannerFirst := 3+r.rand.IntN(8), r.between(1500*time.Millisecond, 3*time.Second), r.chance(2)
 	grace, pause := r.between(time.Second, 2500*time.Millisecond), r.between(100*time.Millisecond, 400*time.Millisecond)
-	turn := r.turn
+	first := r.turn
 	r.turn += count
-	w.log.note("%d entries stop, one every %v, the planner first: %v", count, gap, chase)
+	w.log.note("rolling restart of %d entries, one every %v, each time the planner: %v", count, interval, plannerFirst)
 	w.group.Go(func() {
 		for i := range count {
-			n := w.nodeAt(turn + i)
-			if p := w.planner(); chase && p != nil {
+			n := w.nodeAt(first + i)
+			if p := w.planner(); plannerFirst && p != nil {
 				n = p
 			}
 			w.stopsAsPlanned(n, grace, pause)
-			time.Sleep(gap)
+			time.Sleep(interval)
 		}
 		w.mu.Lock()
 		r.rolling = false
@@ -227,13 +226,14 @@
 	})
 }
 
-// nodeAt returns an entry, counted over all failure domains in turn.
+// nodeAt returns the i-th entry, where consecutive entries are in different failure domains.
 func (w *world) nodeAt(i int) *simNode {
 	names := slices.Sorted(maps.Keys(w.nodes))
 	return w.nodes[names[i*perDomain%len(names)+i*perDomain/len(names)%perDomain]]
 }
 
-// stopsAsPlanned tells an entry to stop, ends its process and starts the next.
+// stopAsPlanned asks an entry to stop, kills its process after the grace period and restarts it after
+// a pause.
 func (w *world) stopsAsPlanned(n *simNode, grace, pause time.Duration) {
 	w.mu.Lock()
 	node := n.node
@@ -241,14 +241,14 @@
 	if node == nil || node.Stopping() {
 		return
 	}
-	w.log.note("%s is to stop", node.Name)
+	w.log.note("entry %s is asked to stop", node.Name)
 	w.roughNow()
 	w.plannedNow()
 	w.group.Go(func() { node.Stop(w.ctx) })
 	w.group.Go(func() {
 		time.Sleep(grace)
-		if n.killBoot(node) { // It has ended by then; a kill may have come before.
-			w.log.note("%s has ended", node.Name)
+		if n.killBoot(node) { // A random fault may have killed it before.
+			w.log.note("entry %s has ended as planned", node.Name)
 			time.Sleep(pause)
 			w.startAgain(n)
 			w.roughNow()
@@ -256,13 +256,14 @@
 	})
 }
 
+// startUnlessEnded starts an entry unless the test is over.
 func (w *world) startAgain(n *simNode) {
 	if w.ctx.Err() == nil {
 		n.start()
 	}
 }
 
-// kills kills an entry, maybe in the midst of a planned stop, and starts it again.
+// killAndRestart kills an entry, possibly during a planned stop, and restarts it after a pause.
 func (r *lastingRun) kills(n *simNode) {
 	w := r.world
 	pause := r.between(50*time.Millisecond, 3*time.Second)
@@ -275,7 +276,7 @@
 	if !n.killBoot(node) {
 		return
 	}
-	w.log.note("%s is killed", node.Name)
+	w.log.note("entry %s is killed", node.Name)
 	w.disturb(true)
 	w.roughNow()
 	w.group.Go(func() {
@@ -286,30 +287,32 @@
 	})
 }
 
-// roughNow notes that an entry is disturbed.
+// noteEntryDisturbed records that an entry is disturbed now; see crashCounter.
 func (w *world) roughNow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.crashes.roughUntil(time.Now())
 }
 
+// addDisturbance records that a disturbance begins or ends.
 func (w *world) disturb(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.windows.disturb(on)
 }
 
-// newWorker starts a worker under a new ID.
+// newWorker starts a worker under a new ID, half of them with a slow clock, and returns the ID.
 func (r *lastingRun) newWorker(domain string) string {
 	r.named++
 	id := fmt.Sprintf("x%d", r.named)
-	slow := slowClock * float64(r.rand.IntN(2))
-	r.world.boot(simVM(id, id, domain), slow)
-	r.world.log.note("%s comes", id)
+	drift := slowClock * float64(r.rand.IntN(2))
+	r.world.boot(simVM(id, id, domain), drift)
+	r.world.log.note("worker %s is added", id)
 	return id
 }
 
-// pick returns a worker that neither leaves nor has ended, often the busiest.
+// pickWorker returns a worker that neither drains nor has ended: half of the time the busiest, else a
+// random one.
 func (r *lastingRun) pick() *simWorker {
 	busiest := r.chance(2)
 	w := r.world
@@ -330,28 +333,28 @@
 	return all[r.rand.IntN(len(all))]
 }
 
-// replaces replaces workers one after the other: a new one comes, and then one says
-// that it leaves and is gone some seconds later.
+// replaceWorkers replaces workers one after the other: a new one is added, and then an old one
+// announces that it leaves and ends some seconds later.
 func (r *lastingRun) replaces() {
 	count := 1 + r.rand.IntN(4)
-	gap := r.between(500*time.Millisecond, 1500*time.Millisecond)
+	interval := r.between(500*time.Millisecond, 1500*time.Millisecond)
 	for range count {
 		x := r.pick()
 		if x == nil {
 			return
 		}
 		r.newWorker(x.vm.Domain)
-		stays := r.between(3*time.Second, 9*time.Second)
+		drainTime := r.between(3*time.Second, 9*time.Second)
 		r.world.drains(x)
 		r.world.group.Go(func() {
-			time.Sleep(stays)
+			time.Sleep(drainTime)
 			r.world.ends(x, true)
 		})
-		time.Sleep(gap)
+		time.Sleep(interval)
 	}
 }
 
-// drains has a worker say that it leaves.
+// drainBoot makes a boot of a worker announce that it leaves.
 func (w *world) drains(x *simWorker) {
 	w.mu.Lock()
 	x.leaving, w.windows.planned = time.Now(), time.Now()
@@ -362,10 +365,10 @@
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	w.store.put("workers/"+vm.ID, mustJSON(vm), 0)
-	w.log.note("%s says that it leaves", vm.ID)
+	w.log.note("worker %s announces that it leaves", vm.ID)
 }
 
-// plannedNow notes that planned work is begun.
+// notePlanned records that planned work begins.
 func (w *world) plannedNow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -374,8 +377,8 @@
 	}
 }
 
-// ends ends a boot of a worker, unless it has ended before: what runs there is gone
-// and nothing answers. One that said so before takes its entry along.
+// terminateBoot ends a boot of a worker, unless it has ended before: its runs end and it responds to
+// nothing. If that is planned its record is removed too.
 func (w *world) ends(x *simWorker, planned bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -391,7 +394,7 @@
 	if w.windows != nil {
 		w.windows.lookRoom(w)
 	}
-	w.log.note("%s, boot %d, is gone, as planned: %v", x.vm.ID, x.vm.Born, planned)
+	w.log.note("worker %s, boot %d, is terminated, as planned: %v", x.vm.ID, x.vm.Born, planned)
 	if planned {
 		w.windows.planned = time.Now()
 		w.unlist(x)
@@ -399,7 +402,7 @@
 	return true
 }
 
-// unlist removes a boot's entry, unless it is another boot's by now.
+// unlist removes the record of a boot, unless another boot has replaced it.
 func (w *world) unlist(x *simWorker) {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
@@ -410,8 +413,8 @@
 	}
 }
 
-// crashes ends a worker without a word. It stays away, or is back as another boot,
-// under the ID that it had or under a new one at the same address.
+// crashWorker ends a worker without an announcement. After a pause another boot follows: under the same
+// ID, under a new ID at the same address, or under a new ID and address.
 func (r *lastingRun) crashes() {
 	w := r.world
 	x := r.pick()
@@ -420,7 +423,7 @@
 	}
 	w.disturb(true)
 	w.disturb(false)
-	pause, how := r.between(100*time.Millisecond, 9*time.Second), r.rand.IntN(3)
+	pause, successor := r.between(100*time.Millisecond, 9*time.Second), r.rand.IntN(3)
 	r.named++
 	id := fmt.Sprintf("x%d", r.named)
 	w.group.Go(func() {
@@ -430,42 +433,45 @@
 	w.group.Go(func() {
 		time.Sleep(pause)
 		address := x.vm.Address
-		switch how {
+		switch successor {
 		case 0:
 			id = x.vm.ID
 		case 1:
 			address = id
 		}
-		w.log.note("%s comes at %s", id, address)
+		w.log.note("worker %s is added at %s", id, address)
 		w.boot(simVM(id, address, x.vm.Domain), 0)
 	})
 }
 
-// lasts hands a job in whose tasks last.
+// submitLasting submits a job with lasting tasks that have a response time target.
 func (w *world) lasts(id string, count int) {
-	phase := winch.Phase{Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork, Lasting: true, Image: "serves", Target: servingTarget}
+	phase := winch.Phase{
+		Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork,
+		Lasting: true, Image: "serves", Target: servingTarget,
+	}
 	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingWork, Phases: []winch.Phase{phase}})
 }
 
-// Tasks that last run while entries stop as planned in series, the planner is
-// killed, and workers leave, crash and come back as other boots, all at once, beside
-// gangs and tasks that fill. The listener of a room that should stay open may find it
-// closed for a moment, but not for long after all has been calm again; and at no time
-// is it open twice.
+// Lasting tasks run while entries are restarted as planned, the planner is killed, and workers leave,
+// crash and return as other boots, all at once, beside gangs and filling tasks. A lasting task may be
+// down for a moment, but not for long once the region has recovered, and it must never run twice at
+// once.
 func TestRandomLasting(t *testing.T) {
 	t.Parallel()
 	randomLasting(t, 0)
 }
 
-// The same with workers that are silent for a while and then answer again, maybe to
-// another keeper, entries of which one does not hear the other, entries that do not
-// reach a worker or get no answer, failure domains that are cut off, and a store that
-// is away or loses answers.
+// The same as TestRandomLasting with partial faults too: workers that are unresponsive for a while and
+// then respond again, possibly to another keeper; paused entries; entries of which one does not receive
+// what the other sends; entries that do not reach a worker or get no response from it; partitioned
+// failure domains; and a store that is down or loses responses.
 func TestRandomLastingWide(t *testing.T) {
 	t.Parallel()
 	randomLasting(t, 7)
 }
 
+// randomLasting plays one random scenario per seed and checks the lasting tasks and the other jobs.
 func randomLasting(t *testing.T, wide int) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -477,10 +483,10 @@
 				w.lasts("00000000000000a1", 7)
 				w.lasts("00000000000000a2", 5)
 				r := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 2)), wide: wide}
-				ended := w.jobsMeanwhile(24)
+				jobs := w.jobsMeanwhile(24)
 				r.play(4)
 				r.rests()
-				ended.Wait()
+				jobs.Wait()
 				w.allLast(12)
 				w.end()
 			})
@@ -488,7 +494,7 @@
 	}
 }
 
-// jobsMeanwhile hands usual jobs in, one every few seconds, and sees each end.
+// startBackgroundJobs submits a job every three seconds and waits for the end of each.
 func (w *world) jobsMeanwhile(count int) *conc.WaitGroup {
 	group := conc.NewWaitGroup()
 	group.Go(func() {
@@ -500,45 +506,46 @@
 	return group
 }
 
-// rests waits until no planned work goes on, and for a long calm then.
+// awaitCalm waits until no rolling restart goes on, and then long enough for the region to recover.
 func (r *lastingRun) rests() {
-	for busy := true; busy; {
+	for restarting := true; restarting; {
 		time.Sleep(time.Second)
 		r.world.mu.Lock()
-		busy = r.rolling
+		restarting = r.rolling
 		r.world.mu.Unlock()
 	}
 	time.Sleep(20 * time.Second)
 }
 
-// allLast checks, after a long calm, that all tasks that last run. One may just have
-// failed by itself.
+// checkAllLasting checks, long after the last disturbance, that all lasting tasks run. A task whose run
+// has just failed by itself counts as running.
 func (w *world) allLast(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	up := 0
+	running := 0
 	for task, at := range w.lasting.down {
 		if at.IsZero() || time.Since(at) < lastingAim {
-			up++
+			running++
 			continue
 		}
-		w.log.note("%v has not run for %v", task, time.Since(at))
+		w.log.note("lasting task %v has been down for %v", task, time.Since(at))
 	}
-	if up != count {
-		w.breaks("%d of %d tasks that last run after a long calm", up, count)
+	if running != count {
+		w.breaks("%d of %d lasting tasks run long after the last disturbance", running, count)
 	}
 }
 
-// alone checks that a member of a gang did not wait in vain while all was calm, planned
-// work too: its sender may have been told to stop. The world's mutex is held.
+// gangTimedOut checks that the gang of a member that waited in vain was not left incomplete without a
+// disturbance. Planned work counts as one here, since the entry that starts the members may have been
+// stopped. The world's mutex is held.
 func (v *lastingWindows) alone(w *world, key simKey) {
-	w.log.note("%v ends alone as %d", key.task, key.run)
+	w.log.note("gang member %v, run %d, ends because its gang was not complete in time", key.task, key.run)
 	if v != nil && v.calmFor() > calmBefore+gangTime && time.Since(v.planned) > calmBefore+gangTime {
-		w.breaks("%v: %v ends alone, calm for %v", time.Since(w.log.begin), key.task, v.calmFor())
+		w.breaks("%v: gang of %v was not complete in time, with no disturbance for %v", time.Since(w.log.begin), key.task, v.calmFor())
 	}
 }
 
-// meddles plays trouble of the kinds that leave some ways open and others not.
+// playPartialFault plays a fault that leaves some of the region's connections working.
 func (r *lastingRun) meddles() {
 	w := r.world
 	length := r.between(300*time.Millisecond, 9*time.Second)
@@ -553,11 +560,11 @@
 		r.cutsWorker(length)
 	case 4:
 		domain := fmt.Sprintf("d%d", r.rand.IntN(3))
-		w.log.note("%s is cut off for %v", domain, length)
+		w.log.note("failure domain %s is partitioned for %v", domain, length)
 		w.troubles(length, func(on bool) { w.cut[domain] = on })
 	case 5:
 		lossy := r.chance(2)
-		w.log.note("the store is away for %v, or loses answers: %v", length, lossy)
+		w.log.note("the store is faulty for %v, losing responses instead of being down: %v", length, lossy)
 		w.troubles(length, func(on bool) {
 			w.store.mu.Lock()
 			defer w.store.mu.Unlock()
@@ -570,7 +577,7 @@
 	}
 }
 
-// troubles plays a disturbance for a time.
+// disturbFor plays a disturbance for a time.
 func (w *world) troubles(length time.Duration, set func(on bool)) {
 	w.during(length, func(on bool) {
 		set(on)
@@ -581,15 +588,14 @@
 	})
 }
 
-// silences has a worker answer nothing for a time, while what runs there goes on until
-// its lease has lapsed.
+// makeUnresponsive makes a worker stop responding for a time. Its runs go on until the lease expires.
 func (r *lastingRun) silences(length time.Duration) {
 	x := r.pick()
 	if x == nil {
 		return
 	}
 	w := r.world
-	w.log.note("%s is silent for %v", x.vm.ID, length)
+	w.log.note("worker %s is unresponsive for %v", x.vm.ID, length)
 	w.troubles(length, func(on bool) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -597,9 +603,8 @@
 	})
 }
 
-// freezes has an entry stand still as seen from outside: it reaches nobody, and what is
-// sent to it is taken up when it goes on, unless it has been killed. Its own clocks go
-// on meanwhile, as in a process that is suspended.
+// pauseEntry pauses an entry as seen from outside: it reaches no one, and what is sent to it is handled
+// when it is resumed, unless it has been killed. Its own clocks go on, as in a suspended process.
 func (r *lastingRun) freezes(length time.Duration) {
 	w := r.world
 	n := w.nodeAt(r.rand.IntN(len(w.nodes)))
@@ -607,58 +612,59 @@
 		n = p
 	}
 	w.mu.Lock()
-	node, already := n.node, w.frozen[n.host] != nil
+	node, alreadyPaused := n.node, w.frozen[n.host] != nil
 	w.mu.Unlock()
-	if node == nil || already {
+	if node == nil || alreadyPaused {
 		return
 	}
-	w.log.note("%s stands still for %v", node.Name, length)
-	var kept *simFrozen
+	w.log.note("entry %s is paused for %v", node.Name, length)
+	var held *simFrozen
 	w.troubles(length, func(on bool) {
 		if on {
 			w.frozen[n.host] = &simFrozen{}
 			return
 		}
-		kept = w.frozen[n.host]
+		held = w.frozen[n.host]
 		delete(w.frozen, n.host)
 	})
 	w.group.Go(func() {
 		time.Sleep(length + time.Microsecond)
 		w.mu.Lock()
-		up := n.node == node
+		running := n.node == node
 		w.mu.Unlock()
-		if !up || kept == nil {
+		if !running || held == nil {
 			return
 		}
-		for _, take := range kept.asks {
-			w.group.Go(take)
+		for _, handle := range held.asks {
+			w.group.Go(handle)
 		}
-		for _, take := range kept.tells {
-			take()
+		for _, handle := range held.tells {
+			handle()
 		}
 	})
 }
 
-// cutsOneWay loses all that one entry sends to another. What is sent on a link gets
-// lost until the link has ended for it.
+// blockEntries drops all messages that one entry sends to another. After some time both find that the
+// link is broken.
 func (r *lastingRun) cutsOneWay(length time.Duration) {
 	w := r.world
 	a, b := w.nodeAt(r.rand.IntN(len(w.nodes))), w.nodeAt(r.rand.IntN(len(w.nodes)))
-	ends := r.between(300*time.Millisecond, 1500*time.Millisecond)
+	detected := r.between(300*time.Millisecond, 1500*time.Millisecond)
 	if a == b {
 		return
 	}
 	path := simPath{a.host, b.host}
-	w.log.note("%s hears nothing of %s for %v, the link ends after %v", b.host, a.host, length, ends)
+	w.log.note("messages to %s from %s are lost for %v; the link breaks after %v", b.host, a.host, length, detected)
 	w.troubles(length, w.blocks(w.paths, path))
 	w.group.Go(func() {
-		time.Sleep(min(length, ends))
+		time.Sleep(min(length, detected))
 		w.linkChanged(path, 1)
-		time.Sleep(max(0, length-ends) + 200*time.Millisecond)
+		time.Sleep(max(0, length-detected) + 200*time.Millisecond)
 		w.linkChanged(path, -1)
 	})
 }
 
+// blockPath returns a function that blocks a path, or ends that.
 func (w *world) blocks(paths map[simPath]int, path simPath) func(on bool) {
 	return func(on bool) {
 		if on {
@@ -669,42 +675,43 @@
 	}
 }
 
-// linkChanged ends the link of two entries or has it stand again, and both know.
-func (w *world) linkChanged(path simPath, more int) {
+// changeLink adds delta to the number of faults that break the link between two entries, and notifies
+// both entries.
+func (w *world) linkChanged(path simPath, delta int) {
 	w.mu.Lock()
-	w.links[path] += more
-	var told []*Node
+	w.links[path] += delta
+	var nodes []*Node
 	for _, host := range []string{path.from, path.to} {
 		if n := w.nodes[host].node; n != nil {
-			told = append(told, n)
+			nodes = append(nodes, n)
 		}
 	}
 	w.mu.Unlock()
-	for _, n := range told {
+	for _, n := range nodes {
 		n.LinkChanged()
 	}
 }
 
-// cutsWorker cuts the way between one entry and one worker, both ways or one.
+// blockWorker blocks the path between an entry and a worker, in one direction or both.
 func (r *lastingRun) cutsWorker(length time.Duration) {
 	w := r.world
-	n, x, ways := w.nodeAt(r.rand.IntN(len(w.nodes))), r.pick(), 1+r.rand.IntN(3)
+	n, x, directions := w.nodeAt(r.rand.IntN(len(w.nodes))), r.pick(), 1+r.rand.IntN(3)
 	if x == nil {
 		return
 	}
-	w.log.note("%s and %s are cut, ways %d, for %v", n.host, x.vm.ID, ways, length)
-	to, back := w.blocks(w.paths, simPath{n.host, x.vm.Address}), w.blocks(w.paths, simPath{x.vm.Address, n.host})
+	w.log.note("path between entry %s and worker %s is blocked, directions %d (1: requests, 2: responses, 3: both), for %v", n.host, x.vm.ID, directions, length)
+	requests, responses := w.blocks(w.paths, simPath{n.host, x.vm.Address}), w.blocks(w.paths, simPath{x.vm.Address, n.host})
 	w.troubles(length, func(on bool) {
-		if ways&1 != 0 {
-			to(on)
+		if directions&1 != 0 {
+			requests(on)
 		}
-		if ways&2 != 0 {
-			back(on)
+		if directions&2 != 0 {
+			responses(on)
 		}
 	})
 }
 
-// someJob hands in a usual job, a gang, or tasks that fill, and returns its ID.
+// submitSomeJob submits an ordinary job, a gang or filling tasks, in turn, and returns the job's ID.
 func (w *world) someJob(i int) string {
 	id := fmt.Sprintf("%016x", i)
 	job := &winch.PhasedJob{ID: id, Queue: "preview", Team: "choir"}
--- a/region/shrink_test.go
+++ b/region/shrink_test.go
@@ -8,8 +8,8 @@
 	"plantainwinch/winch"
 )
 
-// The store is away while workers say there that they have less room. Work that is known goes
-// on for some seconds without the store, and would be started beyond the room that is left.
+// The store is down while the workers' records there state less capacity. Known work goes on for some
+// seconds without the store, and must not be started beyond the remaining capacity.
 func TestNothingIsStartedBeyondRoomThatShrankUnseen(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -30,7 +30,7 @@
 	// commitOutcome decides whether a transaction takes effect and whether its response arrives.
 	fate    func(txn winch.Txn) (applied, responded bool)
 	onRead  func(host, prefix string) // onRead is called on each read.
-	refused map[string]bool           // refused holds the entries, by host, whose calls are refused.
+	refused map[string]bool           // refusedHosts holds the entries whose calls are refused.
 }
 
 // simLease is a lease in the store.
