--- a/region/lastrand_test.go
+++ b/region/lastrand_test.go
@@ -39,7 +39,7 @@
 // disturbances, which excuse downtime. Planned stops of entries and announced departures of workers
 // are not. The world's mutex guards it.
 type lastingWindows struct {
-	// disturbances counts the disturbances that go on; calmSince is when the last one began or ended.
+	// disturbances counts the disturbances that go on; undisturbedSince is when the last one began or ended.
 	disturbed int
 	calm      time.Time
 	// plannedAt is when the last planned stop or departure began.
@@ -60,7 +60,7 @@
 	}
 }
 
-// calmTime returns for how long there has been no disturbance.
+// undisturbedTime returns for how long there has been no disturbance.
 func (v *lastingWindows) calmFor() time.Duration {
 	if v.disturbed > 0 {
 		return 0
@@ -472,7 +472,7 @@
 }
 
 // randomLasting plays one random scenario per seed and checks the lasting tasks and the other jobs.
-func randomLasting(t *testing.T, wide int) {
+func randomLasting(t *testing.T, partialFaultWeight int) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -482,7 +482,7 @@
 				w.checksWindows()
 				w.lasts("00000000000000a1", 7)
 				w.lasts("00000000000000a2", 5)
-				r := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 2)), wide: wide}
+				r := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 2)), wide: partialFaultWeight}
 				jobs := w.jobsMeanwhile(24)
 				r.play(4)
 				r.rests()
@@ -506,7 +506,7 @@
 	return group
 }
 
-// awaitCalm waits until no rolling restart goes on, and then long enough for the region to recover.
+// awaitRecovery waits until no rolling restart goes on, and then long enough for the region to recover.
 func (r *lastingRun) rests() {
 	for restarting := true; restarting; {
 		time.Sleep(time.Second)
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -24,7 +24,7 @@
 	calls    int  // calls counts the calls that were carried out.
 	// extraDelay is added to the duration of each call.
 	slow time.Duration
-	// hangs makes calls that are not carried out time out only as late as with a real client.
+	// hangs makes calls that fail time out as late as those of a real client, not after a second.
 	swallow bool
 	most    int // maxChanges bounds the changes in one response; zero is no bound.
 	// commitOutcome decides whether a transaction takes effect and whether its response arrives.
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -35,7 +35,7 @@
 	addresses map[string]*simWorker
 	boots     int64 // bootCount counts the boots of all workers.
 	store     *simStore
-	// partitioned holds the failure domains that are cut off from the store and from all others.
+	// partitioned holds the failure domains that reach neither the store nor any other domain.
 	cut map[string]bool
 	// blockedPaths counts the faults that block one direction between two entries, or between an
 	// entry and a worker. brokenLinks counts those that have ended the link between two entries.
@@ -47,9 +47,9 @@
 	share map[string]int
 	// running counts the runs at workers by task, including those at unresponsive workers.
 	running map[winch.RunID]int
-	noted   map[winch.RunID]bool // acknowledged holds the tasks whose completion an entry has acknowledged.
-	done    map[winch.RunID][]*simDone
-	failed  map[winch.RunID]int // failed counts the failed runs by task.
+	noted   map[winch.RunID]bool       // acknowledged holds the tasks whose completion an entry has acknowledged.
+	done    map[winch.RunID][]*simDone // completed holds the successful runs by task.
+	failed  map[winch.RunID]int        // failed counts the failed runs by task.
 	lasting lastingView
 	gangs   map[simKey]*simGang
 	crashes crashView
