--- a/coord/place/adopt.go
+++ b/coord/place/adopt.go
@@ -8,9 +8,9 @@
 	"plantainwinch/winch"
 )
 
-// Known tells that a worker has answered under the current epoch and lists the
-// tasks that it runs. Tasks of jobs that the planner knows are adopted; the
-// decisions returned stop those that must not go on.
+// Reconcile handles a worker's first answer under the current epoch, which lists
+// the tasks that it runs. Tasks of known jobs are adopted. The returned decisions
+// stop the tasks that must not continue.
 func (p *Planner) Known(vmID string, tasks []winch.Task, now time.Time) []Decision {
 	n := p.nodes[vmID]
 	if n == nil {
@@ -20,9 +20,9 @@
 	p.roomVersion++
 	var out []Decision
 	for _, t := range tasks {
-		if have := n.tasks[t.ID]; have != nil {
-			have.confirmed = true
-			have.doubt = false
+		if existing := n.tasks[t.ID]; existing != nil {
+			existing.confirmed = true
+			existing.doubt = false
 			continue
 		}
 		if t.State != winch.TaskRunning {
@@ -38,11 +38,11 @@
 	return out
 }
 
-// holdForeign keeps the room of a task that is being stopped, and a unit of its
-// team. Without it new work would be committed to room that the worker does not
-// have yet, and the team could run more than its limit for a moment.
+// chargeForeign reserves the capacity of a task that is being stopped, and a unit of
+// its team's limit. Otherwise new work would be committed to capacity that the worker
+// does not have yet, and the team could briefly exceed its limit.
 func (p *Planner) holdForeign(n *node, t winch.Task) {
-	if _, held := n.foreign[t.Ref()]; held || !t.Need.Fits(n.free) {
+	if _, charged := n.foreign[t.Ref()]; charged || !t.Need.Fits(n.free) {
 		return
 	}
 	if n.foreign == nil {
@@ -53,13 +53,13 @@
 	p.index.charge(n, t.Need)
 }
 
-// freeForeign gives the room of a task back that was not this planner's.
+// releaseForeign frees the capacity and the unit that chargeForeign reserved for a task.
 func (p *Planner) freeForeign(vmID string, a winch.Attempt) {
 	n := p.nodes[vmID]
 	if n == nil {
 		return
 	}
-	if t, held := n.foreign[a]; held {
+	if t, charged := n.foreign[a]; charged {
 		delete(n.foreign, a)
 		p.Limits.Return(t.Team, 1)
 		p.index.charge(n, winch.Resources{}.Sub(t.Need))
@@ -67,7 +67,7 @@
 	}
 }
 
-// ConfirmedOn lists the starts that a worker has acknowledged and that have not
+// ConfirmedOn lists the attempts that a worker has acknowledged and that have not
 // ended.
 func (p *Planner) ConfirmedOn(vmID string) []winch.Attempt {
 	n := p.nodes[vmID]
@@ -83,8 +83,8 @@
 	return out
 }
 
-// Vanished tells that a worker does not have a task that it had acknowledged,
-// as when a former placer let it forget the task's end.
+// TaskMissing handles a worker that no longer has a task that it acknowledged, for
+// example because an earlier planner let it forget the task's completion.
 func (p *Planner) Vanished(vmID string, a winch.Attempt, now time.Time) []Decision {
 	t := p.find(a.Task)
 	if t == nil || t.node.vm.ID != vmID || t.attempt != a.Number {
@@ -93,29 +93,30 @@
 	return p.Ended(vmID, winch.Task{ID: a.Task, Attempt: a.Number, State: winch.TaskStopped}, now)
 }
 
-// adopt takes a task over that an earlier placer started, or returns nil. The
-// caller takes a unit for it, or marks it as unpaid.
+// adopt takes over a task that an earlier planner started, or returns nil if it
+// cannot. The caller charges a unit for it or marks it as uncharged.
 func (p *Planner) adopt(n *node, t winch.Task, now time.Time) *placed {
 	j := p.jobs[t.ID.Job]
 	if j == nil || j.running[t.ID.Index] != nil || !t.Need.Fits(n.free) {
 		return nil
 	}
-	at := slices.Index(j.pending, t.ID.Index)
-	if at < 0 {
+	pos := slices.Index(j.pending, t.ID.Index)
+	if pos < 0 {
 		return nil
 	}
 	p.queue.remove(j)
-	j.pending = slices.Delete(j.pending, at, at+1)
+	j.pending = slices.Delete(j.pending, pos, pos+1)
 	adopted := p.commit(j, t.ID.Index, n, now)
 	adopted.attempt, adopted.confirmed = t.Attempt, true
 	p.push(j)
 	return adopted
 }
 
-// OpenBarrier tells that every worker has answered under the current epoch, or
-// its leases have surely lapsed. Held jobs may start. A task of a non-repeatable
-// job that has a start intent and was not found may have run: its job ends as
-// unknown. It reports whether the barrier was closed before.
+// OpenBarrier releases the held jobs, once every worker has answered under the
+// current epoch or its leases are guaranteed to have expired. A task of a
+// non-repeatable job that has a recorded start intent and was found at no worker may
+// have run, so its job ends as unknown. OpenBarrier reports whether the barrier was
+// closed before.
 func (p *Planner) OpenBarrier() bool {
 	if p.barrier {
 		return false
@@ -135,6 +136,8 @@
 	return true
 }
 
+// unresolvedIntent returns the index of a pending task that has a recorded start
+// intent, or -1.
 func lostIntent(j *job) int {
 	for _, i := range j.pending {
 		if slices.Contains(j.rec.Intent, i) {
@@ -144,21 +147,21 @@
 	return -1
 }
 
-// Confirmed tells that a worker acknowledged a start.
+// StartConfirmed records that a worker acknowledged a start.
 func (p *Planner) Confirmed(a winch.Attempt) {
 	if t := p.attempt(a); t != nil {
 		t.confirmed = true
 	}
 }
 
-// Doubt tells that the reply to a start was lost: the task may run.
+// StartUncertain records that the response to a start was lost, so the task may run.
 func (p *Planner) Doubt(a winch.Attempt) {
 	if t := p.attempt(a); t != nil && !t.confirmed {
 		t.doubt = true
 	}
 }
 
-// Doubtful lists the tasks on a worker whose start is in doubt.
+// UncertainOn lists the tasks on a worker whose start is uncertain.
 func (p *Planner) Doubtful(vmID string) []winch.Task {
 	n := p.nodes[vmID]
 	if n == nil {
--- a/coord/place/ended.go
+++ b/coord/place/ended.go
@@ -8,7 +8,7 @@
 	"plantainwinch/winch"
 )
 
-// Final tells that a job has reached its end, or that a task has.
+// Completion is the final state of a job that has ended.
 type Final struct {
 	Job    string
 	State  winch.JobState
@@ -16,8 +16,8 @@
 	Detail string
 }
 
-// Refused tells that a start surely did not happen. The rest of a gang is taken
-// back whole.
+// StartRefused handles a start that certainly did not happen. If the task belongs to
+// a gang, the rest of the gang is stopped.
 func (p *Planner) Refused(a winch.Attempt, now time.Time) []Decision {
 	t := p.attempt(a)
 	if t == nil {
@@ -27,7 +27,7 @@
 	p.free(t)
 	p.failedOn(n, j, now)
 	if j.rec.State.Final() {
-		return nil // Queued again, it would be started although its job is over.
+		return nil // If queued again, the task would start although its job has ended.
 	}
 	if j.rec.Cancel {
 		p.cancelled(j)
@@ -41,7 +41,7 @@
 	return p.takeBack(j)
 }
 
-// takeBack stops all running tasks of a job; they wait again once stopped.
+// stopRunning stops all running tasks of a job. They are queued again once stopped.
 func (p *Planner) takeBack(j *job) []Decision {
 	var out []Decision
 	for i := range j.rec.Spec.Tasks {
@@ -60,9 +60,9 @@
 	p.push(j)
 }
 
-// Ended tells that a task has ended at its worker, or is surely gone with it.
-// A worker that was taken for lost may report an end of an attempt that has
-// since been started elsewhere; such a report must not end the new attempt.
+// TaskEnded handles a task that has ended at its worker or was lost with it. A worker
+// that was considered lost may report the end of a task that has since been started
+// elsewhere. Such a report must not end the new attempt.
 func (p *Planner) Ended(vmID string, task winch.Task, now time.Time) []Decision {
 	p.freeForeign(vmID, task.Ref())
 	t := p.find(task.ID)
@@ -79,7 +79,7 @@
 	}
 	out := p.outcome(j, t, task, now)
 	if !j.rec.State.Final() {
-		p.push(j) // The rest of a gang may have waited for this task's end.
+		p.push(j) // The rest of a gang may have waited for this task to end.
 	}
 	return out
 }
@@ -95,10 +95,10 @@
 	}
 }
 
-// endedBefore takes in a task that an earlier placer started and that ended
-// before this one knew of it. The earlier placer may have given its unit back and
-// used it for another task already: giving it back again would let the team run
-// more than its limit.
+// adoptEnded applies the result of a task that an earlier planner started and that
+// ended before this planner knew of it. The earlier planner may already have returned
+// its unit and used it for another task. Returning it again would let the team exceed
+// its limit.
 func (p *Planner) endedBefore(vmID string, task winch.Task, now time.Time) []Decision {
 	n, j := p.nodes[vmID], p.jobs[task.ID.Job]
 	if n == nil || j == nil || task.State == winch.TaskStopped || !j.need.Fits(n.free) {
@@ -117,7 +117,7 @@
 	t.node.health.good()
 	j.backoff = 0
 	if j.rec.Spec.Kind == winch.LongRunning {
-		p.requeue(j, t.id.Index) // A service is kept at its count.
+		p.requeue(j, t.id.Index) // A long-running job always keeps its number of tasks.
 		return nil
 	}
 	j.ended[t.id.Index] = true
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// outputsKept bounds the outputs in a job's record.
+// maxOutputs bounds the outputs in a job's record.
 const outputsKept = 16
 
 func (p *Planner) failed(j *job, t *placed, now time.Time) []Decision {
@@ -151,15 +151,15 @@
 	return nil
 }
 
-// delay keeps a job out of the queue for a while after a start that failed,
-// longer each time. Without it a job that every worker refuses at once would be
-// started again and again as fast as the placer can.
+// backOff doubles a job's backoff after a failed start and keeps the job out of the
+// queue for that time. Without it, a job that every worker refuses at once would be
+// started again in a tight loop.
 func (p *Planner) delay(j *job, now time.Time) {
 	j.backoff = min(max(2*j.backoff, backoffFirst), backoffMost)
 	p.pause(j, now)
 }
 
-// pause keeps a job out of the queue for its present backoff.
+// delayJob keeps a job out of the queue for its current backoff.
 func (p *Planner) pause(j *job, now time.Time) {
 	p.queue.remove(j)
 	j.notBefore = now.Add(max(j.backoff, backoffFirst))
@@ -169,22 +169,22 @@
 	}
 }
 
-// wakeJobs puts jobs back into the queue whose delay is over.
+// requeueDelayed puts jobs whose delay has passed back into the queue.
 func (p *Planner) wakeJobs(now time.Time) {
-	left := p.delayed[:0]
+	remaining := p.delayed[:0]
 	for _, j := range p.delayed {
 		if now.Before(j.notBefore) && !j.rec.State.Final() {
-			left = append(left, j)
+			remaining = append(remaining, j)
 			continue
 		}
 		j.delayed = false
 		p.push(j)
 	}
-	clear(p.delayed[len(left):])
-	p.delayed = left
+	clear(p.delayed[len(remaining):])
+	p.delayed = remaining
 }
 
-// push queues a job unless it is delayed, or a gang of which some still run.
+// push queues a job unless it is delayed or is a gang with tasks that still run.
 func (p *Planner) push(j *job) {
 	if j.delayed || j.gang() && len(j.running) > 0 {
 		return
@@ -192,8 +192,8 @@
 	p.queue.push(j)
 }
 
-// stopped handles a task that ended without result: evicted, lost with its
-// worker, or stopped by request. Only a repeatable one may run again.
+// taskStopped handles a task that ended without a result: it was evicted, lost with
+// its worker or stopped on request. Only tasks of repeatable jobs run again.
 func (p *Planner) stopped(j *job, t *placed, now time.Time) []Decision {
 	if j.rec.Cancel {
 		p.cancelled(j)
@@ -205,7 +205,7 @@
 		return out
 	}
 	if t.stopping {
-		p.pause(j, now) // Else it could take back the room that it was evicted from.
+		p.pause(j, now) // Otherwise it could reclaim the capacity that it was evicted from.
 	}
 	p.requeue(j, t.id.Index)
 	if j.gang() {
@@ -214,15 +214,15 @@
 	return nil
 }
 
-// cancelled ends a job whose cancel was asked for, once nothing of it runs.
+// finishCancelled ends a job whose cancellation was requested, once none of its tasks run.
 func (p *Planner) cancelled(j *job) {
 	if len(j.running) == 0 {
 		p.finish(j, winch.JobCancelled, winch.Cancelled, "")
 	}
 }
 
-// finish ends a job. Tasks of it that still run were told to stop; they keep
-// their room until they have.
+// finish ends a job. Its tasks that still run are being stopped and keep their
+// capacity until they have ended.
 func (p *Planner) finish(j *job, state winch.JobState, reason winch.Reason, detail string) {
 	if j.rec.State.Final() {
 		return
@@ -236,7 +236,7 @@
 	}
 }
 
-// Finals returns the jobs that ended since the last call.
+// TakeCompletions returns the completions of the jobs that ended since the last call.
 func (p *Planner) Finals() []Final {
 	out := p.ends
 	p.ends = nil
--- a/coord/place/evict.go
+++ b/coord/place/evict.go
@@ -8,28 +8,28 @@
 	"plantainwinch/winch"
 )
 
-// reservation keeps workers free for a job that waits until enough has ended.
+// reservation keeps workers free for a job that waits for running tasks to end.
 type reservation struct {
 	job   *job
 	nodes map[*node]bool
-	at    time.Time // at is when the job is forecast to start.
+	at    time.Time // forecastStart is when the job is expected to start.
 }
 
-// reserve finds the workers on which the job could start earliest by the
-// forecasts of what runs there, so that smaller work is put on them only if it
-// ends before. Without it a stream of small tasks keeps a gang waiting for ever.
+// reserve reserves the workers on which the job can start earliest according to the
+// run time forecasts. Smaller work is backfilled there only if it ends before that
+// time. Without a reservation, a stream of small tasks would starve a gang.
 func (p *Planner) reserve(j *job, now time.Time) {
 	type slot struct {
-		at   time.Time
-		node *node
+		freeAt time.Time
+		node   *node
 	}
 	var slots []slot
 	for _, n := range p.sorted() {
 		if !n.known || n.vm.Leaving || now.Before(n.aside) || !j.need.Fits(n.vm.Size) {
 			continue
 		}
-		for _, at := range p.openings(n, j.need, now) {
-			slots = append(slots, slot{at, n})
+		for _, freeAt := range p.openings(n, j.need, now) {
+			slots = append(slots, slot{freeAt, n})
 		}
 	}
 	need := 1
@@ -39,28 +39,28 @@
 	if len(slots) < need {
 		return
 	}
-	slices.SortStableFunc(slots, func(a, b slot) int { return a.at.Compare(b.at) })
-	r := &reservation{job: j, nodes: make(map[*node]bool), at: slots[need-1].at}
+	slices.SortStableFunc(slots, func(a, b slot) int { return a.freeAt.Compare(b.freeAt) })
+	r := &reservation{job: j, nodes: make(map[*node]bool), at: slots[need-1].freeAt}
 	for _, s := range slots[:need] {
 		r.nodes[s.node] = true
 	}
 	p.reserved = r
 }
 
-// openings returns when a node has room for one, two, … tasks of this need, as
-// its tasks end by their forecasts.
+// slotTimes returns the times at which the node is forecast to have capacity for one,
+// two, … tasks of this need.
 func (p *Planner) openings(n *node, need winch.Resources, now time.Time) []time.Time {
 	tasks := sortedTasks(n)
 	slices.SortStableFunc(tasks, func(a, b *placed) int { return a.ends.Compare(b.ends) })
 	var out []time.Time
 	free := n.free
-	take := func(at time.Time) {
+	addSlots := func(at time.Time) {
 		for need.Fits(free) && len(out) < maxOpenings {
 			free = free.Sub(need)
 			out = append(out, at)
 		}
 	}
-	take(now)
+	addSlots(now)
 	for _, t := range tasks {
 		if t.job.rec.Spec.Kind == winch.LongRunning {
 			continue
@@ -68,18 +68,18 @@
 		free = free.Add(t.job.need)
 		at := t.ends
 		if at.Before(now) {
-			at = now.Add(defaultRun / 2) // It runs longer than forecast: nobody knows how long.
+			at = now.Add(defaultRun / 2) // It has exceeded its forecast, so its remaining run time is unknown.
 		}
-		take(at)
+		addSlots(at)
 	}
 	return out
 }
 
-// maxOpenings bounds the tasks of one gang that are forecast on one worker.
+// maxSlotTimes bounds the tasks of one gang that are forecast on one worker.
 const maxOpenings = 64
 
-// evict makes room for an urgent task by checkpointing the tasks that lose the
-// least work, or returns nil if no worker can be cleared that way.
+// evict frees capacity for an urgent task by checkpointing the tasks that lose the
+// least work. It returns nil if this frees enough capacity on no worker.
 func (p *Planner) evict(j *job, now time.Time) []Decision {
 	var best []*placed
 	bestLoss := time.Duration(math.MaxInt64)
@@ -87,8 +87,8 @@
 		if !p.usable(n, j, now) || !j.need.Fits(n.vm.Size) {
 			continue
 		}
-		victims, loss, room := p.victims(n, j, now)
-		if room && loss < bestLoss {
+		victims, loss, fits := p.victims(n, j, now)
+		if fits && loss < bestLoss {
 			best, bestLoss = victims, loss
 		}
 	}
@@ -106,22 +106,23 @@
 	return out
 }
 
-// victims returns the tasks to evict from one worker. Tasks that are already
-// being stopped count as room to come, so that one urgent task does not evict
-// again while its room is on the way.
-func (p *Planner) victims(n *node, j *job, now time.Time) (out []*placed, loss time.Duration, room bool) {
+// victims returns the tasks to evict from one worker, the run time that is lost and
+// whether the job's task fits then. Tasks that are already being stopped count as
+// free, so that one urgent task does not cause further evictions while capacity for it
+// is being freed.
+func (p *Planner) victims(n *node, j *job, now time.Time) (out []*placed, loss time.Duration, fits bool) {
 	free := n.free
-	var able []*placed
+	var preemptible []*placed
 	for _, t := range sortedTasks(n) {
 		switch {
 		case t.stopping:
 			free = free.Add(t.job.need)
 		case t.job.class.Preemptible && t.job.class.Repeatable && !t.job.urgent() && !t.job.gang():
-			able = append(able, t)
+			preemptible = append(preemptible, t)
 		}
 	}
-	slices.SortStableFunc(able, func(a, b *placed) int { return b.started.Compare(a.started) })
-	for _, t := range able {
+	slices.SortStableFunc(preemptible, func(a, b *placed) int { return b.started.Compare(a.started) })
+	for _, t := range preemptible {
 		if j.need.Fits(free) {
 			break
 		}
--- a/coord/place/health.go
+++ b/coord/place/health.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// badJobs is how many distinct jobs must fail in a row on a worker before it
-	// is set aside.
+	// failedJobsToQuarantine is how many distinct jobs must fail in a row on a worker
+	// before it is quarantined.
 	badJobs = 3
-	// asideFirst and asideMost bound the time before it is tried again.
+	// minQuarantine and maxQuarantine bound the time before the worker is tried again.
 	asideFirst = 5 * time.Second
 	asideMost  = 5 * time.Minute
-	// asidePart is the part of the workers, as a divisor, that is set aside at most.
+	// quarantineDivisor bounds how many workers are quarantined at once: about one in
+	// quarantineDivisor.
 	asidePart = 5
 )
 
-// health tells a worker that fails everything from jobs that fail everywhere.
+// health distinguishes a worker that fails every job from jobs that fail on every worker.
 type health struct {
 	failed  map[string]bool
 	backoff time.Duration
@@ -24,10 +25,10 @@
 	h.backoff = 0
 }
 
-// failedOn counts a failure of a job on a worker. A worker on which several
-// distinct jobs failed in a row, none of them known to fail on other workers
-// too, is set aside. Without this it is always free, since whatever it starts
-// ends at once, and the whole queue would run through it and fail.
+// recordFailure records a failure of a job on a worker. A worker on which several
+// distinct jobs failed in a row, none of them known to fail on other workers too, is
+// quarantined. Otherwise it would always have free capacity, since its tasks end at
+// once, and the whole queue would be started there and fail.
 func (p *Planner) failedOn(n *node, j *job, now time.Time) {
 	j.badOn[n.vm.ID] = true
 	if len(j.badOn) > 1 {
@@ -54,8 +55,8 @@
 	return count
 }
 
-// wakeNodes gives workers that were set aside another try: one more failure of
-// any job sets them aside again, for longer.
+// endQuarantines makes workers available again whose quarantine is over. One more
+// failure of any job quarantines them again, for longer.
 func (p *Planner) wakeNodes(now time.Time) {
 	for _, n := range p.nodes {
 		if !n.aside.IsZero() && !now.Before(n.aside) {
--- a/coord/place/index.go
+++ b/coord/place/index.go
@@ -1,6 +1,6 @@
-// Package place decides which task runs on which worker. It is a state machine
-// over plain data: it does no input or output, reads no clock and takes no
-// lock, so that a decision costs microseconds and every run can be repeated.
+// Package place decides which task runs on which worker of a failure domain. It is a
+// state machine over plain data that does no I/O, reads no clock and takes no lock, so
+// that a decision takes microseconds and runs are reproducible.
 package place
 
 import (
@@ -11,50 +11,53 @@
 	"plantainwinch/winch"
 )
 
-// node is a worker with what is committed on it.
+// node is a worker with the tasks committed to it.
 type node struct {
 	vm    winch.VM
 	free  winch.Resources
 	tasks map[winch.TaskID]*placed
-	// foreign holds tasks that the worker runs and that are not this planner's,
+	// foreign holds tasks that the worker runs but that this planner did not adopt,
 	// until they have been stopped.
 	foreign map[winch.Attempt]winch.Task
-	// known says that the worker has answered under the current epoch.
+	// reconciled is set once the worker has answered under the current epoch.
 	known bool
-	// aside is until when it gets no work after failing everything.
+	// quarantinedUntil is the time until which the worker gets no work, after several
+	// jobs failed on it.
 	aside time.Time
-	// bucket and slot say where the index holds the node.
+	// bucket and position locate the node in the index.
 	bucket, slot int
 	health       health
 }
 
-// placed is a task that is committed to a worker.
+// placement is a task that is committed to a worker.
 type placed struct {
 	id      winch.TaskID
 	job     *job
 	node    *node
 	started time.Time
-	attempt int // attempt tells this start of the task from others.
-	// ends is when it is forecast to end.
+	attempt int // attempt distinguishes this start of the task from others.
+	// forecastEnd is when the task is expected to end.
 	ends time.Time
-	// confirmed says that the worker acknowledged the start.
+	// confirmed is set once the worker has acknowledged the start.
 	confirmed bool
-	// doubt says that the reply to its start was lost.
+	// uncertain is set if the response to the start was lost.
 	doubt bool
-	// stopping says that it was told to stop for another task's sake or by its caller.
+	// stopping is set if the task is being stopped: evicted, cancelled, or stopped with
+	// its gang or job.
 	stopping bool
-	// unpaid says that no unit of the team's limit was taken for it.
+	// uncharged is set if no unit of the team's limit was taken for the task.
 	unpaid bool
 }
 
-// index finds workers by free processors. Workers with accelerators are kept
-// apart, so that work that needs none takes them only if nothing else is free.
+// index finds workers by free processors. Workers with accelerators are indexed
+// separately, so that tasks that need none use them only if nothing else is free.
 type index struct {
 	plain, accel []bucket
 }
 
 type bucket []*node
 
+// bucketsOf returns the buckets for the node's kind of worker.
 func (x *index) side(n *node) *[]bucket {
 	if n.vm.Size.Accelerators > 0 {
 		return &x.accel
@@ -63,13 +66,13 @@
 }
 
 func (x *index) add(n *node) {
-	side := x.side(n)
+	buckets := x.side(n)
 	n.bucket = n.free.Processors
-	for len(*side) <= n.bucket {
-		*side = append(*side, nil)
+	for len(*buckets) <= n.bucket {
+		*buckets = append(*buckets, nil)
 	}
-	n.slot = len((*side)[n.bucket])
-	(*side)[n.bucket] = append((*side)[n.bucket], n)
+	n.slot = len((*buckets)[n.bucket])
+	(*buckets)[n.bucket] = append((*buckets)[n.bucket], n)
 }
 
 func (x *index) remove(n *node) {
@@ -80,34 +83,34 @@
 	*b = (*b)[:len(*b)-1]
 }
 
-// charge commits resources of the node, or frees them if need is negative. To
-// commit more than there is would break the first promise to the users, so the
-// process stops instead.
+// charge commits resources of the node, or frees them if need is negative. It panics
+// rather than overcommit a worker, which would break the scheduler's most important
+// guarantee to its users.
 func (x *index) charge(n *node, need winch.Resources) {
 	x.remove(n)
 	n.free = n.free.Sub(need)
 	zero := winch.Resources{}
 	if !zero.Fits(n.free) || !n.free.Fits(n.vm.Size) {
-		panic(fmt.Sprintf("place: worker %s of size %+v would have %+v free", n.vm.ID, n.vm.Size, n.free))
+		panic(fmt.Sprintf("place: worker %s overcommitted or over-freed: size %+v, free would be %+v", n.vm.ID, n.vm.Size, n.free))
 	}
 	x.add(n)
 }
 
-// each calls f with the workers that may have room for need, those that would
-// be left with the fewest free processors first (or last, if widest is set),
-// until f returns false.
-func (x *index) each(need winch.Resources, widest bool, f func(*node) bool) {
-	sides := [][]bucket{x.plain, x.accel}
+// each calls f with the workers that have free capacity for need until f returns
+// false. Workers with the fewest free processors come first, or last if mostFree is
+// set.
+func (x *index) each(need winch.Resources, mostFree bool, f func(*node) bool) {
+	kinds := [][]bucket{x.plain, x.accel}
 	if need.Accelerators > 0 {
-		sides = sides[1:]
+		kinds = kinds[1:]
 	}
-	for _, side := range sides {
-		for i := need.Processors; i < len(side); i++ {
-			at := i
-			if widest {
-				at = len(side) - 1 - (i - need.Processors)
+	for _, buckets := range kinds {
+		for i := need.Processors; i < len(buckets); i++ {
+			pos := i
+			if mostFree {
+				pos = len(buckets) - 1 - (i - need.Processors)
 			}
-			for _, n := range side[at] {
+			for _, n := range buckets[pos] {
 				if need.Fits(n.free) && !f(n) {
 					return
 				}
@@ -116,8 +119,8 @@
 	}
 }
 
-// sorted returns the nodes in the order of their ids, for decisions that must
-// not depend on the order of a map.
+// sortedNodes returns the nodes ordered by ID, for decisions that must not depend on
+// map order.
 func (p *Planner) sorted() []*node {
 	if p.order == nil {
 		p.order = sorted(p.nodes)
--- a/coord/place/learn.go
+++ b/coord/place/learn.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// learnRate is the weight of a new run time in the forecast.
+// runTimeWeight is the weight of a new sample in the moving averages of run times.
 const learnRate = 0.2
 
-// historyKey groups the run times that are alike.
+// historyKey identifies the tasks that share a run time history.
 type historyKey struct {
 	team, class string
 }
 
-// history holds how long tasks of one team and class really run.
+// history holds averages of the actual run times of one team's tasks in one class.
 type history struct {
-	// factor is the mean of true over declared run time.
+	// factor is the average ratio of actual to declared run time.
 	factor float64
-	// mean is the mean true run time, for tasks that declare none.
+	// meanRunTime is the average actual run time, for tasks that declare none.
 	mean time.Duration
 }
 
-// forecast returns the expected run time of a task. Declared run times are
-// often far off, but a team tends to be off in the same way, so the declared
-// one is corrected by the team's history in the class.
+// forecast returns the expected run time of a task. Declared run times are often far
+// off, but a team's error tends to be consistent, so the declared run time is corrected
+// by the team's history in the class.
 func (p *Planner) forecast(j *job) time.Duration {
 	h := p.history[historyKey{j.rec.Team, j.rec.Class}]
 	declared := j.rec.Spec.RunTime
--- a/coord/place/place_test.go
+++ b/coord/place/place_test.go
@@ -14,8 +14,8 @@
 	"plantainwinch/winch"
 )
 
-// TestMain fixes the seed of the randomized runs, so that the verdict is the
-// same each time; -rapid.seed=0 takes another one each run.
+// TestMain fixes the seed of the randomized tests, so that their result is
+// reproducible. The flag -rapid.seed=0 selects a new seed for each run.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "400")
@@ -33,11 +33,11 @@
 	room   = winch.Class{Name: "room", Wait: 30 * time.Second, Repeatable: true, MaxRun: 24 * time.Hour}
 )
 
-// purse is a fake of the teams' units.
+// fakeLimits implements Limits with fixed limits and no checks in Charge.
 type purse struct {
 	limit map[string]int
 	used  map[string]int
-	// returned counts the units that were given back.
+	// returned counts the units that were returned.
 	returned int
 }
 
@@ -56,7 +56,7 @@
 	p.returned += n
 }
 
-// rig drives a planner with workers that do what they are told.
+// rig drives a planner with simulated workers that carry out each decision at once.
 type rig struct {
 	*Planner
 	purse   *purse
@@ -95,7 +95,7 @@
 	}, class, false, r.now)
 }
 
-// plan plans until nothing more can be decided, and does what was decided.
+// plan calls Plan and carries the decisions out until there are no more.
 func (r *rig) plan() (started []winch.TaskID, evicted int) {
 	for {
 		out := r.Plan(r.now, 100)
@@ -143,7 +143,7 @@
 	}
 }
 
-// ids lists the running tasks in an order that does not change from run to run.
+// ids lists the running tasks in a reproducible order.
 func (r *rig) ids() []winch.TaskID {
 	return slices.SortedFunc(maps.Keys(r.running), compareIDs)
 }
@@ -159,9 +159,9 @@
 
 var eight = winch.Resources{Processors: 8, Memory: 8}
 
-// A gang waits behind a stream of small work that would always fill the gaps.
-// Room is reserved for it, so that it starts by its forecast; small work that
-// ends before runs in the gaps meanwhile.
+// A stream of small tasks that always takes the free capacity could starve a waiting
+// gang. A reservation must let the gang start at its forecast time. Only small tasks
+// that end before that time are backfilled.
 func TestGangIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	r := newRig(4, eight)
@@ -180,8 +180,8 @@
 		r.end(winch.TaskID{Job: "old0", Index: i}, winch.TaskDone)
 	}
 	r.plan()
-	is.Equal(r.count("long"), 0)  // it would delay the gang
-	is.Equal(r.count("short"), 4) // it fits in before
+	is.Equal(r.count("long"), 0)  // they would delay the gang
+	is.Equal(r.count("short"), 4) // it ends before the gang starts
 	r.now = r.now.Add(30 * time.Second)
 	for _, id := range r.ids() {
 		r.end(id, winch.TaskDone)
@@ -190,8 +190,8 @@
 	is.Equal(r.count("gang"), 4)
 }
 
-// The placer died after the last task's end was recorded and before the job's
-// was. Its successor must notice that nothing is left to do.
+// An earlier planner recorded the completion of all tasks and crashed before it recorded
+// the end of the job. Its successor must end the job, although no task is left to run.
 func TestAllTasksEndedBefore(t *testing.T) {
 	is := is.New(t)
 	r := newRig(1, eight)
@@ -204,9 +204,9 @@
 	is.Equal(r.finals["j"].State, winch.JobDone)
 }
 
-// A billed gang is taken back since one start was refused. A task of it that the
-// worker had begun, though its start was not acknowledged yet, may have billed:
-// the job ends as unknown and the task is not started again.
+// A gang of a non-repeatable class is stopped because one start was refused. Another
+// start of it was not acknowledged yet, but the worker had begun the task, which may
+// have had effects. The job must end as unknown, and the task must not start again.
 func TestBilledGangTakenBack(t *testing.T) {
 	is := is.New(t)
 	r := newRig(2, eight)
@@ -219,8 +219,8 @@
 	is.Equal(r.finals["gang"].State, winch.JobUnknown)
 }
 
-// A worker still runs a task of a job that has ended, when a new placer meets it.
-// The task is stopped; until it has, its room is given to nobody else.
+// A worker still runs a task of an ended job when a new planner contacts it. The task is
+// stopped. Its capacity must not be used for other tasks before it has ended.
 func TestForeignTaskKeepsRoom(t *testing.T) {
 	is := is.New(t)
 	r := newRig(0, eight)
@@ -238,10 +238,10 @@
 	is.Equal(r.count("j"), 1)
 }
 
-// The earlier placer took note of a task's end, gave its unit back and started
-// another task with it. Then it died, before the first task's end was recorded,
-// so the worker lists that end to its successor. If that gave the unit back once
-// more, the team would run one task more than its limit.
+// An earlier planner handled a task's completion, returned its unit and used the unit
+// for another task. It crashed before the completion was recorded, so the worker reports
+// it again to the successor. If the successor returned the unit once more, the team
+// would exceed its limit by one task.
 func TestEndOfEarlierPlacerFreesNoUnit(t *testing.T) {
 	is := is.New(t)
 	r := newRig(0, eight)
@@ -260,16 +260,16 @@
 	is.Equal(r.purse.used["choir"], 1)
 	r.OpenBarrier()
 	r.plan()
-	is.Equal(r.count("j"), 0) // The limit is reached by the task that runs.
+	is.Equal(r.count("j"), 0) // the running task uses the whole limit
 	r.Ended("w0", task(1, winch.TaskDone), r.now)
 	is.Equal(r.purse.returned, 1)
 	r.plan()
 	is.Equal(r.count("j"), 1)
 }
 
-// A start is held up for so long that its worker is taken for lost, and the task
-// is placed elsewhere. The held-up start must not go out any more, and what is
-// heard of it must not touch the task's new run: it would run twice.
+// A start is delayed for so long that its worker is considered lost and the task is
+// placed elsewhere. The delayed start must no longer be sent, and a report about it must
+// not affect the new run. Otherwise the task would run twice.
 func TestHeldUpStartOfALostWorker(t *testing.T) {
 	is := is.New(t)
 	r := newRig(2, eight)
@@ -288,9 +288,9 @@
 	is.Equal(len(r.Plan(r.now, 10)), 0)
 }
 
-// A job ends, or is cancelled, while a start of it is still under way, and the
-// worker then refuses that start. Nothing of the job may be started again; its
-// caller has been told that it is over.
+// A job fails or is cancelled while one of its starts is in flight, and the worker then
+// refuses that start. No task of the job may start again, since the caller has already
+// been notified of the job's end.
 func TestStartRefusedAfterTheEnd(t *testing.T) {
 	for _, end := range []string{"cancelled", "failed"} {
 		t.Run(end, func(t *testing.T) {
@@ -316,8 +316,8 @@
 	}
 }
 
-// Some of a gang's tasks have ended when a worker with others is lost. What is
-// left starts again together; it must not be forgotten.
+// A worker with a gang's task is lost while other tasks of the gang have already
+// succeeded. The remaining tasks must start again together and not be left unqueued.
 func TestGangPartEnded(t *testing.T) {
 	is := is.New(t)
 	r := newRig(3, eight)
@@ -333,8 +333,8 @@
 	is.Equal(r.count("gang"), 2)
 }
 
-// One start of a gang is refused by its worker. The whole gang is taken back and
-// starts again as a whole.
+// A worker refuses one start of a gang. The whole gang must be stopped and start again as
+// a whole after a delay.
 func TestGangTakenBack(t *testing.T) {
 	is := is.New(t)
 	r := newRig(2, eight)
@@ -351,15 +351,15 @@
 	is.Equal(len(r.running), 0)
 	is.Equal(r.purse.used["choir"], 0)
 	r.plan()
-	is.Equal(r.count("gang"), 0) // not again at once
+	is.Equal(r.count("gang"), 0) // not before the backoff is over
 	r.now = r.now.Add(time.Second)
 	r.plan()
 	is.Equal(r.count("gang"), 4)
 }
 
-// A worker fails whatever it starts and is therefore always free. It is set
-// aside after a few distinct jobs, so the queue does not run through it; the
-// jobs themselves end well on other workers.
+// A worker fails every task at once and therefore always has free capacity, so the whole
+// queue could be started there and fail. It must be quarantined after a few distinct
+// jobs, and all jobs must succeed on other workers.
 func TestBlackHoleWorker(t *testing.T) {
 	is := is.New(t)
 	r := newRig(10, eight)
@@ -386,8 +386,8 @@
 	is.True(bad <= 10)
 }
 
-// A job fails on every worker. It is given up after a few, and no worker is set
-// aside because of it.
+// Jobs fail on every worker. They must end as failed after a few attempts, and no more
+// workers than the bound allows may be quarantined because of them.
 func TestJobFailsEverywhere(t *testing.T) {
 	is := is.New(t)
 	r := newRig(10, eight)
@@ -408,8 +408,8 @@
 	is.True(r.asideCount(r.now)*asidePart <= len(r.nodes)+asidePart)
 }
 
-// A job is larger than any worker left. It says so instead of waiting without a
-// word, and starts once a worker that is large enough comes.
+// A job is larger than any present worker. Its status must name that reason, and the job
+// must start once a worker that is large enough joins.
 func TestNeverFitsUntilFleetChanges(t *testing.T) {
 	is := is.New(t)
 	r := newRig(3, eight)
@@ -422,8 +422,8 @@
 	is.Equal(r.count("big"), 1)
 }
 
-// Thousands of jobs are cancelled in one wave, some twice and some already
-// ended. All end, nothing of them runs on, and other work starts.
+// Thousands of jobs are cancelled at once, each twice. All must end, none of their tasks
+// may keep running, and other work must start afterwards.
 func TestCancelWave(t *testing.T) {
 	is := is.New(t)
 	r := newRig(20, eight)
@@ -449,8 +449,8 @@
 	is.Equal(r.count("next"), 1)
 }
 
-// One team floods the queue before another submits. Once the fleet is full, what
-// comes free goes to the team that is further below its share.
+// One team floods the queue before another team submits. Once the workers are full, freed
+// capacity must go to the team with the lower usage relative to its share.
 func TestFloodKeepsShares(t *testing.T) {
 	is := is.New(t)
 	r := newRig(4, eight)
@@ -459,15 +459,15 @@
 	r.submit("quiet", "quiet", mix, winch.Batch, 100, 1, time.Minute)
 	for range 20 {
 		r.plan()
-		r.end(r.ids()[0], winch.TaskDone) // the flood's tasks come first
+		r.end(r.ids()[0], winch.TaskDone) // the tasks of team flood sort first
 	}
 	r.plan()
 	is.Equal(r.count("quiet"), 16)
 	is.Equal(r.count("flood"), 16)
 }
 
-// The fleet is full of preemptible work when urgent work comes. The tasks that
-// lose the least work make room; work that may not be repeated is left alone.
+// Urgent work arrives when all workers are full. The preemptible tasks that lose the
+// least work must be evicted, and non-repeatable tasks must not be.
 func TestEviction(t *testing.T) {
 	is := is.New(t)
 	r := newRig(2, eight)
@@ -489,8 +489,8 @@
 	is.Equal(r.Lost, 2*time.Minute)
 }
 
-// A worker is lost and comes back when its tasks run elsewhere. Its late report
-// of their old end must not end the new runs.
+// A worker is lost and returns after its task was started elsewhere. Its late report that
+// the old attempt ended must not end the new run.
 func TestLateReportOfLostWorker(t *testing.T) {
 	is := is.New(t)
 	r := newRig(2, eight)
@@ -510,9 +510,9 @@
 	is.Equal(r.finals["j"].State, winch.JobDone)
 }
 
-// A new placer loads jobs that its predecessor may have started. They wait until
-// all workers have answered; what runs is adopted, and a billed task with an
-// intent that is found nowhere ends as unknown.
+// A new planner loads jobs that an earlier planner may have started. They must wait until
+// all workers have answered, or tasks could run twice. Running tasks are adopted, and a
+// non-repeatable job with a start intent for a task that no worker runs ends as unknown.
 func TestBarrier(t *testing.T) {
 	is := is.New(t)
 	r := newRig(0, eight)
@@ -536,13 +536,13 @@
 	r.Known("w1", nil, r.now)
 	r.OpenBarrier()
 	started, _ = r.plan()
-	is.Equal(len(started), 3) // mix's other task and both of fresh
+	is.Equal(len(started), 3) // the other task of mix and both tasks of fresh
 	is.Equal(r.starts[task.ID], 0)
 	is.Equal(r.finals["lost"].State, winch.JobUnknown)
 }
 
-// A service's task ends or its worker is lost. It is started again, on a rack
-// that holds few of the others.
+// The tasks of a long-running job must be spread over the racks, and a task that ends must
+// be started again.
 func TestServiceKeptAndSpread(t *testing.T) {
 	is := is.New(t)
 	r := newRig(9, eight)
@@ -558,7 +558,7 @@
 	is.Equal(r.count("room"), 6)
 }
 
-// Declared run times are four times too short. The forecast learns that.
+// Declared run times are four times too short. The forecast must adapt to the actual ones.
 func TestForecastLearns(t *testing.T) {
 	is := is.New(t)
 	r := newRig(1, eight)
@@ -573,7 +573,7 @@
 	is.True(f > 230*time.Second && f <= 4*time.Minute)
 }
 
-// The time of day of a target is in UTC and lies ahead.
+// A target's time of day must be taken as UTC and lie in the future.
 func TestNextTimeOfDay(t *testing.T) {
 	is := is.New(t)
 	is.Equal(nextTimeOfDay(epoch, "06:00"), time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC))
@@ -581,7 +581,8 @@
 	is.Equal(nextTimeOfDay(epoch, "20:01"), time.Date(2026, 3, 1, 20, 1, 0, 0, time.UTC))
 }
 
-// A worker is marked as leaving. It gets nothing new, and what it runs ends there.
+// A worker is marked as leaving. It must get no new tasks, and its running tasks end
+// there.
 func TestWorkerLeaves(t *testing.T) {
 	is := is.New(t)
 	r := newRig(2, eight)
--- a/coord/place/plan.go
+++ b/coord/place/plan.go
@@ -8,14 +8,15 @@
 	"plantainwinch/winch"
 )
 
-// Plan makes up to most decisions and commits them. Decisions to evict come
-// without the start they make room for: that follows once the room is free.
-func (p *Planner) Plan(now time.Time, most int) []Decision {
+// Plan makes about maxDecisions decisions and commits them; a gang or the evictions for
+// one task may exceed that number. The start that an eviction frees capacity for is
+// decided later, once the capacity is free.
+func (p *Planner) Plan(now time.Time, maxDecisions int) []Decision {
 	p.wakeNodes(now)
 	p.wakeJobs(now)
 	r := &round{planner: p, now: now, full: make(map[string]bool)}
 	r.gather()
-	for len(r.out) < most {
+	for len(r.out) < maxDecisions {
 		s := r.next()
 		if s == nil {
 			break
@@ -28,29 +29,30 @@
 	return r.out
 }
 
-// round is the state of one call of Plan.
+// round is the state of one call to Plan.
 type round struct {
 	planner *Planner
 	now     time.Time
 	out     []Decision
-	// open is a heap of the shapes that may be tried, full the teams without units.
+	// ranked is a heap of the shapes to try, atLimit the teams whose limit is reached.
 	open []entry
 	full map[string]bool
-	// evicting counts the evictions decided in this round.
+	// evictions counts the tasks for which this round evicts others.
 	evicting int
 }
 
+// rankedShape is a shape with the rank that it had when it was pushed.
 type entry struct {
 	rank  rank
 	shape *shape
 }
 
-// maxEvictions bounds the evictions that one round decides.
+// maxEvictions bounds the tasks for which one round evicts others.
 const maxEvictions = 8
 
-// gather collects the shapes to try. One that fitted nowhere is left out until
-// room has come free somewhere: with thousands of jobs waiting, trying them all
-// each time would take the placer longer than the work does.
+// collectShapes collects the shapes to try. A shape that fitted on no worker is skipped
+// until capacity has become free: with thousands of waiting jobs, trying all of them in
+// every round would take longer than the work itself.
 func (r *round) gather() {
 	for _, s := range r.planner.queue.order {
 		if len(s.jobs) > 0 && s.failed != r.planner.roomVersion {
@@ -82,19 +84,18 @@
 	return e
 }
 
-// next returns the shape whose first job is served now: urgent before deferred
-// work, then the team that uses the smallest part of its share, then the
-// earliest latest start. The baseline takes the oldest job. A start makes the
-// ranks of the team's other shapes worse, so a rank is looked at again before
-// it is trusted.
+// next returns the shape whose first job is tried next: urgent before deferred work,
+// then the team with the lowest usage relative to its share, then the earliest latest
+// start. The baseline takes the oldest job. A start makes the ranks of the team's
+// other shapes worse, so a stored rank is recomputed before it is used.
 func (r *round) next() *shape {
 	for len(r.open) > 0 {
 		e := heap.Pop(r).(entry)
 		if r.full[e.shape.team] || len(e.shape.jobs) == 0 {
 			continue
 		}
-		if now := r.planner.rank(e.shape, r.now); e.rank.before(now) {
-			heap.Push(r, entry{now, e.shape})
+		if current := r.planner.rank(e.shape, r.now); e.rank.before(current) {
+			heap.Push(r, entry{current, e.shape})
 			continue
 		}
 		return e.shape
@@ -102,6 +103,7 @@
 	return nil
 }
 
+// rank orders shapes; the lowest rank is served first.
 type rank struct {
 	tier   int
 	use    float64
@@ -134,15 +136,17 @@
 	return rank{tier: tier, use: p.Use(s.team), latest: j.latest, seq: j.seq}
 }
 
-// Use returns a team's dominant part of the domain's resources over its share.
+// Usage returns a team's dominant fraction of the domain's resources, divided by the
+// team's share.
 func (p *Planner) Use(team string) float64 {
 	return p.part(p.used[team]) / float64(max(1, p.Team(team).Share))
 }
 
-// part returns the dominant part that resources are of the domain's.
-func (p *Planner) part(u winch.Resources) float64 {
-	part := math.Max(ratio(u.Processors, p.size.Processors), ratio(u.Memory, p.size.Memory))
-	return math.Max(part, ratio(u.Accelerators, p.size.Accelerators))
+// dominantFraction returns the largest of the fractions of the domain's processors,
+// memory and accelerators that the resources amount to.
+func (p *Planner) part(used winch.Resources) float64 {
+	fraction := math.Max(ratio(used.Processors, p.size.Processors), ratio(used.Memory, p.size.Memory))
+	return math.Max(fraction, ratio(used.Accelerators, p.size.Accelerators))
 }
 
 func ratio[T int | winch.Bytes](a, b T) float64 {
@@ -152,7 +156,8 @@
 	return float64(a) / float64(b)
 }
 
-// start starts what it can of a job and reports whether it started anything.
+// start starts the next task of a job, or all tasks of a gang, and reports whether it
+// started anything.
 func (r *round) start(j *job, s *shape) bool {
 	if j.gang() {
 		return r.startGang(j, s)
@@ -184,13 +189,13 @@
 	r.out = append(r.out, Decision{Action: Start, Task: r.planner.task(t), VM: n.vm, Repeatable: j.class.Repeatable})
 }
 
-// attemptBits leaves room for the starts of one task by one placer. Were their
-// numbers not told apart by epoch, a worker that still holds the end of an
-// earlier placer's first start would take a new placer's first start for that
-// one, and the task would never run.
+// attemptBits is the number of bits of an attempt number that count the starts of one
+// task by one planner. The bits above hold the epoch. Without the epoch, a worker that
+// still holds the completion of an earlier planner's first attempt would mistake the
+// new planner's first attempt for it, and the task would never run.
 const attemptBits = 20
 
-// startGang commits all tasks of a gang or none.
+// startGang commits all pending tasks of a gang or none.
 func (r *round) startGang(j *job, s *shape) bool {
 	p := r.planner
 	nodes := p.pickGang(j, r.now)
@@ -205,8 +210,8 @@
 	pending := j.pending
 	p.queue.remove(j)
 	j.pending = nil
-	for k, i := range pending {
-		r.commit(j, i, nodes[k])
+	for pos, i := range pending {
+		r.commit(j, i, nodes[pos])
 	}
 	if p.reserved != nil && p.reserved.job == j {
 		p.dropReservation()
@@ -214,8 +219,9 @@
 	return true
 }
 
-// blocked is called for a job that fits nowhere now: urgent work makes room by
-// evictions, and a gang or large task gets a reservation.
+// handleBlocked handles a job that currently fits on no worker. It reserves workers for
+// the job if there is no reservation yet, and evicts other tasks if the job is urgent
+// and no gang.
 func (r *round) blocked(j *job, s *shape) {
 	p := r.planner
 	j.why = ""
@@ -242,7 +248,7 @@
 	r.out = append(r.out, out...)
 }
 
-// usable reports whether a task may go to a node with enough room.
+// usable reports whether a task of the job may run on the node, apart from its capacity.
 func (p *Planner) usable(n *node, j *job, now time.Time) bool {
 	if !n.known || n.vm.Leaving || now.Before(n.aside) {
 		return false
@@ -261,9 +267,9 @@
 	}
 	var best *node
 	var bestScore float64
-	seen := 0
-	widest := p.Prefer == Waiting && j.rec.Spec.Kind == winch.LongRunning
-	p.index.each(j.need, widest, func(n *node) bool {
+	compared := 0
+	mostFree := p.Prefer == Waiting && j.rec.Spec.Kind == winch.LongRunning
+	p.index.each(j.need, mostFree, func(n *node) bool {
 		if !p.usable(n, j, now) {
 			return true
 		}
@@ -271,13 +277,14 @@
 		if best == nil || score < bestScore {
 			best, bestScore = n, score
 		}
-		seen++
-		return seen < candidates
+		compared++
+		return compared < candidates
 	})
 	return best
 }
 
-// firstFit is the baseline: the first worker in the order of ids with room.
+// firstFit implements the baseline: it returns the first worker by ID with enough free
+// capacity, or nil.
 func (p *Planner) firstFit(j *job, now time.Time) *node {
 	for _, n := range p.sorted() {
 		if j.need.Fits(n.free) && p.usable(n, j, now) {
@@ -287,13 +294,13 @@
 	return nil
 }
 
-// score is lower for a better worker: one where the free processors and memory
-// stay in the proportion of the VM, so that neither is stranded, and for a
-// service one whose rack holds few of its tasks.
+// score rates a worker for a task; lower is better. It favours workers whose free
+// processors and memory stay in the proportion of the VM, so that neither is stranded,
+// and for a long-running job also racks with few of its tasks.
 func (p *Planner) score(n *node, j *job) float64 {
-	left := n.free.Sub(j.need)
-	cpu := ratio(left.Processors, n.vm.Size.Processors)
-	mem := ratio(left.Memory, n.vm.Size.Memory)
+	remaining := n.free.Sub(j.need)
+	cpu := ratio(remaining.Processors, n.vm.Size.Processors)
+	mem := ratio(remaining.Memory, n.vm.Size.Memory)
 	score := math.Abs(cpu-mem) + (cpu+mem)/4
 	if j.rec.Spec.Kind == winch.LongRunning {
 		score += 10 * float64(p.inRack(j, n.vm.Rack))
@@ -310,8 +317,8 @@
 	return count
 }
 
-// pickGang returns a worker for each pending task of a gang, or nil. It charges
-// the workers while it searches and frees them again before it returns.
+// pickGang returns a worker for each pending task of a gang, or nil if they do not all
+// fit. It charges the workers while it searches and frees them before it returns.
 func (p *Planner) pickGang(j *job, now time.Time) []*node {
 	out := make([]*node, 0, len(j.pending))
 	for range j.pending {
--- a/coord/place/planner.go
+++ b/coord/place/planner.go
@@ -9,90 +9,102 @@
 )
 
 const (
-	// failuresToGiveUp is how often a task of a repeatable job is tried.
+	// maxTaskFailures is the number of failures of one task after which a repeatable job
+	// fails.
 	failuresToGiveUp = 3
-	// overdue is how long before its latest start deferred work counts as urgent.
+	// urgentBefore is how long before its latest start deferred work counts as urgent.
 	overdue = time.Minute
-	// defaultRun is the forecast run time where none is declared or known.
+	// defaultRunTime is the forecast for a task without a declared run time and history.
 	defaultRun = time.Minute
-	// backoffFirst and backoffMost bound the pause after a start that failed.
+	// minBackoff and maxBackoff bound the delay after a failed start.
 	backoffFirst = 200 * time.Millisecond
 	backoffMost  = 30 * time.Second
-	// candidates is how many workers are compared for one task.
+	// maxCandidates bounds the workers that are compared for one task.
 	candidates = 8
 )
 
-// Preference is the operator's target for placement.
+// Preference is the placement goal that the operator selects.
 type Preference string
 
-// Preferences.
+// The placement goals.
 const (
+	// Packing fills the workers with the fewest free processors first.
 	Packing Preference = "Packing"
+	// Waiting puts long-running tasks on the workers with the most free processors.
 	Waiting Preference = "Waiting"
 )
 
-// Action is what a decision does.
+// Action is the kind of a decision.
 type Action uint8
 
-// Actions.
+// The actions of a decision.
 const (
-	Start Action = iota + 1 // Start: start the task on the worker.
-	Evict                   // Evict: checkpoint the task to make room.
-	Stop                    // Stop: stop the task for good.
+	Start Action = iota + 1 // Start starts the task on the worker.
+	Evict                   // Evict checkpoints the task to free capacity.
+	Stop                    // Stop stops the task for a reason other than eviction.
 )
 
-// Decision is one thing to be done at a worker.
+// Decision is one action to be carried out at a worker.
 type Decision struct {
 	Action Action
 	Task   winch.Task
 	VM     winch.VM
-	// Job is the job's record; a non-repeatable one needs an intent before Start.
+	// Repeatable is the property of the job's class. For a task of a non-repeatable job, a
+	// start intent must be recorded before Start is carried out.
 	Repeatable bool
 }
 
-// Limits gives a planner units of the teams' upper limits.
+// Limits accounts for the units of the teams' upper limits. Each running task uses one
+// unit.
 type Limits interface {
+	// TryTake takes n units if the team's limit allows it and reports whether it did.
 	TryTake(team string, n int) bool
+	// Charge takes n units without checking the team's limit.
 	Charge(team string, n int)
+	// Return gives n units back.
 	Return(team string, n int)
 }
 
-// Planner holds one domain's workers, running tasks and queue. All methods must
-// be called by one goroutine. Set the exported fields first.
+// Planner holds the workers, running tasks and job queue of one failure domain. It is
+// not safe for concurrent use. Set the exported configuration fields before calling any
+// method.
 type Planner struct {
 	Prefer Preference
 	Limits Limits
 	// Team returns a team's configuration.
 	Team func(name string) winch.Team
-	// Epoch is the placer's epoch; it tells its starts from those of other placers.
+	// Epoch is the planner's epoch. It distinguishes the planner's starts from those of
+	// other planners.
 	Epoch uint64
-	// Baseline switches to first come, first fit: what the rest is measured against.
+	// Baseline selects plain first come, first served with first fit, as a reference for
+	// comparisons.
 	Baseline bool
 
 	nodes   map[string]*node
-	order   []*node // order is the nodes by id, nil after a change.
+	order   []*node // order caches the nodes sorted by ID; nil after a change.
 	index   index
 	jobs    map[string]*job
 	queue   queue
 	size    winch.Resources
 	used    map[string]winch.Resources
 	history map[historyKey]*history
-	// reserved is kept free for one gang or large task that waits.
+	// reserved is the reservation for one waiting job, or nil.
 	reserved *reservation
-	// delayed holds jobs that are not tried again before some time.
+	// delayed holds the jobs that are kept out of the queue until their backoff is over.
 	delayed []*job
 	seq     uint64
-	// roomVersion rises whenever something could make a job fit that did not.
+	// capacityVersion increases with every change that could let a job fit that did not fit
+	// before.
 	roomVersion uint64
-	// barrier is open once every worker has answered under the current epoch.
+	// barrier is true once the barrier is open, see OpenBarrier.
 	barrier bool
 	ends    []Final
-	// Lost counts the run time that was thrown away by evictions.
+	// LostRunTime is the total run time that evictions discarded.
 	Lost      time.Duration
 	Evictions int
 }
 
-// NewPlanner returns a planner without workers and jobs.
+// NewPlanner returns a planner without workers or jobs.
 func NewPlanner(limits Limits, team func(string) winch.Team) *Planner {
 	return &Planner{
 		Prefer: Packing, Limits: limits, Team: team,
@@ -103,8 +115,8 @@
 	}
 }
 
-// SetVM adds a worker or takes its leaving mark over. A worker gets work only
-// after Known.
+// SetVM adds a worker, or updates the address and the leaving mark of a known one. A
+// worker gets work only after Reconcile was called for it.
 func (p *Planner) SetVM(vm winch.VM) {
 	if n := p.nodes[vm.ID]; n != nil {
 		n.vm.Leaving = vm.Leaving
@@ -118,8 +130,8 @@
 	p.size = p.size.Add(vm.Size)
 }
 
-// Gone drops a worker whose leases have surely lapsed. Its tasks are lost:
-// those of repeatable jobs wait again, others end as unknown.
+// RemoveWorker removes a worker whose leases are guaranteed to have expired. Its tasks
+// are lost: those of repeatable jobs are queued again, and other jobs end as unknown.
 func (p *Planner) Gone(vmID string, now time.Time) {
 	n := p.nodes[vmID]
 	if n == nil {
@@ -140,7 +152,7 @@
 	}
 }
 
-// dropReservation opens the reserved workers to all again.
+// dropReservation makes the reserved workers available to all jobs again.
 func (p *Planner) dropReservation() {
 	p.reserved = nil
 	p.roomVersion++
@@ -171,7 +183,7 @@
 	}
 }
 
-// Submit adds a job. A held job may have been started by an earlier placer: its
+// Submit adds a job. A held job may have been started by an earlier planner, so its
 // tasks start only after OpenBarrier, unless they are found running.
 func (p *Planner) Submit(rec winch.Job, class winch.Class, held bool, now time.Time) {
 	if p.jobs[rec.ID] != nil || rec.State.Final() {
@@ -195,7 +207,7 @@
 	j.latest = p.latestStart(j, now)
 	p.jobs[rec.ID] = j
 	if len(j.ended) == rec.Spec.Tasks {
-		p.finish(j, winch.JobDone, "", "") // The earlier placer died before it recorded the job's end.
+		p.finish(j, winch.JobDone, "", "") // The earlier planner crashed before it recorded the job's end.
 		return
 	}
 	p.queue.push(j)
@@ -203,24 +215,25 @@
 
 // latestStart returns the time by which a job must start to meet its target.
 func (p *Planner) latestStart(j *job, now time.Time) time.Time {
-	since := j.rec.Submitted
-	if since.IsZero() {
-		since = now
+	submitted := j.rec.Submitted
+	if submitted.IsZero() {
+		submitted = now
 	}
 	if j.class.By == "" {
-		return since.Add(j.class.Wait)
+		return submitted.Add(j.class.Wait)
 	}
-	return nextTimeOfDay(since, j.class.By).Add(-p.forecast(j))
+	return nextTimeOfDay(submitted, j.class.By).Add(-p.forecast(j))
 }
 
-// nextTimeOfDay returns the next time after t at which the clock, UTC, shows hhmm.
+// nextTimeOfDay returns the first time after t with the UTC time of day hhmm, or t if
+// hhmm is not a valid time of day.
 func nextTimeOfDay(t time.Time, hhmm string) time.Time {
-	at, err := time.Parse("15:04", hhmm)
+	clock, err := time.Parse("15:04", hhmm)
 	if err != nil {
 		return t
 	}
 	t = t.UTC()
-	out := time.Date(t.Year(), t.Month(), t.Day(), at.Hour(), at.Minute(), 0, 0, time.UTC)
+	out := time.Date(t.Year(), t.Month(), t.Day(), clock.Hour(), clock.Minute(), 0, 0, time.UTC)
 	if !out.After(t) {
 		out = out.AddDate(0, 0, 1)
 	}
@@ -236,10 +249,12 @@
 	return out
 }
 
+// commit places a pending task on a worker and charges its resources, but takes no unit
+// of the team's limit.
 func (p *Planner) commit(j *job, i int, n *node, now time.Time) *placed {
 	t := &placed{id: winch.TaskID{Job: j.rec.ID, Index: i}, job: j, node: n, started: now, ends: now.Add(p.forecast(j))}
 	if j.running[i] != nil {
-		panic(fmt.Sprintf("place: task %s has two live placements", t.id))
+		panic(fmt.Sprintf("place: task %s is already running and cannot be placed twice", t.id))
 	}
 	p.index.charge(n, j.need)
 	n.tasks[t.id] = t
@@ -252,7 +267,7 @@
 	return t
 }
 
-// free takes a task off its worker and gives its unit back.
+// release removes a task from its worker and returns its unit of the team's limit.
 func (p *Planner) free(t *placed) {
 	j := t.job
 	p.roomVersion++
@@ -273,8 +288,8 @@
 	return j.running[id.Index]
 }
 
-// attempt returns the placement that one start belongs to, or nil if the task
-// has been given up or placed again since.
+// findAttempt returns the placement of an attempt, or nil if the task has since been
+// released or placed again.
 func (p *Planner) attempt(a winch.Attempt) *placed {
 	if t := p.find(a.Task); t != nil && t.attempt == a.Number {
 		return t
@@ -282,13 +297,14 @@
 	return nil
 }
 
-// Stands reports whether a decided start is still wanted: its worker may have
-// been taken for lost in the meantime, and its room and unit given to others.
+// StillPlaced reports whether a decided start is still valid. Its worker may have been
+// considered lost since, and its capacity and unit may be used by other tasks.
 func (p *Planner) Stands(a winch.Attempt) bool {
 	return p.attempt(a) != nil
 }
 
-// Forget drops an ended job once its end is recorded and its tasks are gone.
+// Forget removes a job that has ended and has no running tasks, and reports whether it
+// did. The caller must have recorded the job's end before.
 func (p *Planner) Forget(id string) bool {
 	j := p.jobs[id]
 	if j == nil || !j.rec.State.Final() || len(j.running) > 0 {
@@ -298,7 +314,8 @@
 	return true
 }
 
-// Cancel stops a job. It reports false if the job is not known or has ended.
+// Cancel cancels a job and returns the decisions that stop its tasks. It reports false if
+// the job is unknown or has ended.
 func (p *Planner) Cancel(id string) ([]Decision, bool) {
 	j := p.jobs[id]
 	if j == nil || j.rec.State.Final() {
@@ -312,8 +329,8 @@
 	return out, true
 }
 
-// Withdraw ends the jobs of keys that are no longer valid and of which nothing
-// runs yet. The rest of a job that runs is left to its end.
+// CancelWithdrawnKeys ends the jobs of which no task runs and whose key is no longer
+// valid. A job that is already running continues.
 func (p *Planner) Withdraw(valid func(keyID string) bool) {
 	for _, j := range p.sortedJobs() {
 		if j.rec.State.Final() || valid(j.rec.KeyID) || len(j.running) > 0 || j.held {
@@ -332,7 +349,7 @@
 	}
 }
 
-// Record returns a job's record as the planner knows it.
+// Record returns a job's record with the planner's current state of the job.
 func (p *Planner) Record(id string) (winch.Job, bool) {
 	j := p.jobs[id]
 	if j == nil {
--- a/coord/place/queue.go
+++ b/coord/place/queue.go
@@ -8,30 +8,31 @@
 	"plantainwinch/winch"
 )
 
-// job is a job that the planner knows.
+// job is a job with its scheduling state.
 type job struct {
 	rec   winch.Job
 	class winch.Class
-	// need is one task's need; it is the same for all tasks.
+	// need is the resources that each task needs.
 	need winch.Resources
-	// pending holds the indexes of tasks that wait for a start.
+	// pending holds the sorted indexes of the tasks that wait to be started.
 	pending []int
 	running map[int]*placed
-	// ended holds the tasks that ended well.
+	// ended holds the tasks that succeeded.
 	ended map[int]bool
-	// attempts counts the failures of each task, tries its starts.
+	// failures counts the failures of each task, starts its starts.
 	attempts, tries map[int]int
-	// held keeps the job back until every worker has answered under this epoch.
+	// held is set while the job waits for the barrier, see OpenBarrier.
 	held bool
-	// latest is the time by which it should have started.
+	// latestStart is the time by which the job must start to meet its target.
 	latest time.Time
-	// shape is where it is queued, nil if it has nothing to start.
+	// shape is the queue that holds the job, or nil if the job is not queued.
 	shape *shape
 	index int
 	seq   uint64
-	// badOn lists the workers that its tasks failed on.
+	// failedWorkers holds the workers that its tasks failed on.
 	badOn map[string]bool
-	// backoff is the last pause after a failed start, notBefore its end.
+	// backoff is the latest delay after a failed start, notBefore the time when the delay
+	// is over.
 	backoff   time.Duration
 	notBefore time.Time
 	delayed   bool
@@ -42,28 +43,31 @@
 // gang reports whether all tasks must start together.
 func (j *job) gang() bool { return j.rec.Spec.Kind == winch.Gang }
 
-// urgent reports whether a caller waits for the start.
+// urgent reports whether a caller is waiting for the job to start.
 func (j *job) urgent() bool { return j.class.Wait > 0 }
 
-// shape is a queue of jobs of one team that are alike to the placement: if the
-// first of them fits nowhere, none does.
+// shape is a queue of jobs of one team that are equivalent for placement: if the first
+// of them fits on no worker, none does.
 type shape struct {
 	shapeKey
 	jobs shapeHeap
-	// failed is the planner's roomVersion at which the first job fitted nowhere.
+	// failedVersion is the planner's capacityVersion at which the first job last failed to
+	// fit on any worker.
 	failed uint64
 }
 
+// shapeKey holds the properties that decide where a job's tasks fit.
 type shapeKey struct {
 	team    string
 	need    winch.Resources
 	urgent  bool
-	preempt bool // preempt says that the jobs may be checkpointed for others.
-	gang    int  // gang is the number of tasks that must start together, or zero.
-	// span is the order of magnitude of the run time, since a short job may go
-	// where a reservation keeps a long one out.
+	preempt bool // preemptible is set if the tasks may be checkpointed to free capacity.
+	gang    int  // gangSize is the number of tasks that must start together, or zero.
+	// runTimeBits is the order of magnitude of the run time, since a short job may be
+	// backfilled on a reserved worker where a long one may not.
 	span int
-	// alone is set for a job that failed on some workers and avoids them.
+	// separateJob is the ID of a job that avoids the workers on which it failed. Such a job
+	// has a shape of its own.
 	alone string
 }
 
@@ -101,10 +105,10 @@
 	return j
 }
 
-// queue holds the jobs that have tasks to start, by shape.
+// queue holds the jobs that have tasks to start, grouped by shape.
 type queue struct {
 	shapes map[shapeKey]*shape
-	order  []*shape // order is the shapes in the order they were made, for repeatable runs.
+	order  []*shape // order holds the shapes in order of creation, so that runs are reproducible.
 	tasks  int
 }
 
@@ -144,8 +148,7 @@
 	j.shape = nil
 }
 
-// tidy drops shapes without jobs, so that their number stays that of the
-// shapes in use.
+// removeEmpty removes the shapes without jobs, so that unused shapes do not accumulate.
 func (q *queue) tidy() {
 	kept := q.order[:0]
 	for _, s := range q.order {
--- a/coord/place/random_test.go
+++ b/coord/place/random_test.go
@@ -10,10 +10,11 @@
 	"plantainwinch/winch"
 )
 
-// Arrivals, ends, failures, cancellations, wrong run times, lost and returning
-// workers, refused starts and changing limits come in any order. The planner's
-// own checks hold, and so do these: no worker beyond its size, no team over its
-// limit, gangs whole, one placement a task, billed tasks once.
+// Random sequences of submissions, completions, failures, cancellations, wrong run times,
+// lost and returning workers, refused starts and changing limits must violate neither the
+// planner's own checks nor these invariants: no worker is overcommitted, no start exceeds
+// a team's limit, units match running tasks, a task has at most one placement, jobs with
+// waiting tasks are queued, and non-repeatable tasks start at most once.
 func TestPlannerHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(rapid.IntRange(1, 8).Draw(t, "workers"), eight)
@@ -26,6 +27,7 @@
 	})
 }
 
+// randomOps holds the random operations and the invariant check for rapid.
 type chaos struct {
 	*rig
 	n       int
@@ -49,7 +51,7 @@
 	for _, d := range m.Plan(m.now, rapid.IntRange(1, 20).Draw(t, "most")) {
 		m.do(d)
 		if m.purse.used[d.Task.Team] > m.purse.limit[d.Task.Team] && d.Action == Start {
-			t.Fatalf("team %s uses %d of %d", d.Task.Team, m.purse.used[d.Task.Team], m.purse.limit[d.Task.Team])
+			t.Fatalf("team %s uses %d units of its limit of %d after a start", d.Task.Team, m.purse.used[d.Task.Team], m.purse.limit[d.Task.Team])
 		}
 	}
 	m.collect()
@@ -84,13 +86,13 @@
 }
 
 func (m *chaos) loseOne(t *rapid.T) {
-	ids := sorted(m.nodes)
-	if len(ids) == 0 {
+	nodes := sorted(m.nodes)
+	if len(nodes) == 0 {
 		return
 	}
-	vm := rapid.SampledFrom(ids).Draw(t, "worker").vm.ID
-	for id, at := range m.running {
-		if at == vm {
+	vm := rapid.SampledFrom(nodes).Draw(t, "worker").vm.ID
+	for id, worker := range m.running {
+		if worker == vm {
 			delete(m.running, id)
 		}
 	}
@@ -113,8 +115,8 @@
 			m.do(d)
 			continue
 		}
-		for _, back := range m.Refused(d.Task.Ref(), m.now) {
-			m.do(back)
+		for _, stop := range m.Refused(d.Task.Ref(), m.now) {
+			m.do(stop)
 		}
 	}
 	m.collect()
@@ -124,7 +126,7 @@
 	for id, j := range m.jobs {
 		idle := len(j.pending) > 0 && len(j.running) == 0 && j.shape == nil && !j.delayed && !j.held
 		if idle && !j.rec.State.Final() {
-			t.Fatalf("job %s has tasks to start and is not queued", id)
+			t.Fatalf("job %s has waiting tasks but is not queued", id)
 		}
 	}
 	used := make(map[string]int)
@@ -138,16 +140,16 @@
 			sum = sum.Add(p.job.need)
 			used[p.job.rec.Team]++
 			if p.job.running[id.Index] != p {
-				t.Fatalf("task %s is not where its job says", id)
+				t.Fatalf("task %s: worker and job refer to different placements", id)
 			}
 		}
 		if sum.Add(n.free) != n.vm.Size {
-			t.Fatalf("worker %s: %+v used and %+v free do not make %+v", n.vm.ID, sum, n.free, n.vm.Size)
+			t.Fatalf("worker %s: used %+v and free %+v do not add up to size %+v", n.vm.ID, sum, n.free, n.vm.Size)
 		}
 	}
 	for team, n := range m.purse.used {
 		if used[team] != n {
-			t.Fatalf("team %s: %d units taken for %d tasks", team, n, used[team])
+			t.Fatalf("team %s: %d units taken for %d running tasks", team, n, used[team])
 		}
 	}
 	for id, n := range m.starts {
--- a/coord/place/why.go
+++ b/coord/place/why.go
@@ -7,40 +7,42 @@
 	"plantainwinch/winch"
 )
 
-// Status is what the planner can tell about a job.
+// Status is the scheduling status of a job.
 type Status struct {
-	Why      string
-	Running  int
-	Ended    int
-	Started  time.Time
+	// Why is the reason why tasks of the job wait, if there are any.
+	Why     string
+	Running int
+	Ended   int
+	Started time.Time
+	// Forecast is the expected time until the start of a job with a reservation.
 	Forecast time.Duration
 }
 
-// explain says why a job that could not be placed waits.
+// explainWait returns the reason why a job that could not be placed waits.
 func (p *Planner) explain(j *job) string {
-	fit, largest := 0, 0
+	fitsNow, largeEnough := 0, 0
 	for _, n := range p.nodes {
 		if !j.need.Fits(n.vm.Size) {
 			continue
 		}
-		largest++
+		largeEnough++
 		if n.known && !n.vm.Leaving && j.need.Fits(n.free) {
-			fit++
+			fitsNow++
 		}
 	}
 	switch {
-	case largest == 0:
+	case largeEnough == 0:
 		return "no worker of the domain is large enough for a task"
 	case j.gang():
-		return fmt.Sprintf("gang of %d tasks, %d workers have room for one now", len(j.pending), fit)
-	case fit > 0:
-		return fmt.Sprintf("%d workers with room are reserved, set aside, or have failed it", fit)
+		return fmt.Sprintf("gang of %d tasks, %d workers have room for one now", len(j.pending), fitsNow)
+	case fitsNow > 0:
+		return fmt.Sprintf("%d workers with room are reserved, set aside, or have failed it", fitsNow)
 	default:
-		return fmt.Sprintf("none of the %d workers that are large enough has room", largest)
+		return fmt.Sprintf("none of the %d workers that are large enough has room", largeEnough)
 	}
 }
 
-// Status explains a job; ok is false if the planner does not know it.
+// Status returns the status of a job. The result ok is false if the job is unknown.
 func (p *Planner) Status(id string, now time.Time) (s Status, ok bool) {
 	j := p.jobs[id]
 	if j == nil {
@@ -67,7 +69,8 @@
 	return s, true
 }
 
-// Load returns the domain's size, what is committed, and the tasks that wait.
+// Load returns the total and the committed resources of the domain and the number of
+// waiting tasks.
 func (p *Planner) Load() (size, used winch.Resources, waiting int) {
 	for _, n := range p.nodes {
 		used = used.Add(n.vm.Size.Sub(n.free))
@@ -78,35 +81,38 @@
 	return p.size, used, waiting
 }
 
-// Dump describes all that the planner holds of a job, for reports of faults.
+// Dump describes the planner's state of a job, for debugging.
 func (p *Planner) Dump(id string) string {
 	j := p.jobs[id]
 	if j == nil {
-		return "job " + id + " is not known"
+		return "job " + id + " is unknown to the planner"
 	}
 	out := fmt.Sprintf("job %s: state %s, pending %v, ended %v, held %v, delayed %v, queued %v, barrier %v", id, j.rec.State, j.pending,
 		j.rec.EndedTasks, j.held, j.delayed, j.shape != nil, p.barrier)
 	for i, t := range j.running {
-		out += fmt.Sprintf("; task %d on %s since %s, confirmed %v, doubt %v, stopping %v", i, t.node.vm.ID, t.started.Format(time.TimeOnly), t.confirmed, t.doubt, t.stopping)
+		out += fmt.Sprintf("; task %d on %s since %s, confirmed %v, uncertain %v, stopping %v", i, t.node.vm.ID, t.started.Format(time.TimeOnly), t.confirmed, t.doubt, t.stopping)
 	}
 	return out
 }
 
-// Occupancy is one look at the domain.
+// Occupancy describes how the domain is used at one moment.
 type Occupancy struct {
-	// All, InUse and Used count processors: of all workers, of those with a task,
-	// and committed. Stranded are those free on workers without memory to use them.
+	// Total, OnBusyWorkers and Committed count processors: those of all workers, those of
+	// workers with a task, and those committed to tasks. Stranded counts free processors
+	// that cannot be used for lack of free memory on their worker.
 	All, InUse, Used, Stranded int
-	Waiting                    int
-	Teams                      map[string]TeamPart
+	// Waiting is the number of waiting tasks.
+	Waiting int
+	Teams   map[string]TeamPart
 }
 
-// TeamPart is a team's dominant part of the domain, and what waits beyond it.
+// TeamUsage holds a team's dominant fractions of the domain's resources: Used for its
+// running tasks, Wanted for its waiting ones.
 type TeamPart struct {
 	Part, Wanted float64
 }
 
-// Occupancy looks at the domain.
+// Occupancy returns the current use of the domain.
 func (p *Planner) Occupancy() Occupancy {
 	out := Occupancy{Teams: make(map[string]TeamPart)}
 	for _, n := range p.nodes {
@@ -115,8 +121,8 @@
 		if len(n.tasks) > 0 {
 			out.InUse += n.vm.Size.Processors
 		}
-		perCPU := n.vm.Size.Memory / winch.Bytes(max(1, n.vm.Size.Processors))
-		if usable := int(n.free.Memory / max(1, perCPU/2)); usable < n.free.Processors {
+		memoryPerCPU := n.vm.Size.Memory / winch.Bytes(max(1, n.vm.Size.Processors))
+		if usable := int(n.free.Memory / max(1, memoryPerCPU/2)); usable < n.free.Processors {
 			out.Stranded += n.free.Processors - usable
 		}
 	}
