--- a/coord/slots/home.go
+++ b/coord/slots/home.go
@@ -8,19 +8,19 @@
 	"plantainwinch/winch"
 )
 
-// SetExecutors tells the table which executors have their home here. For an
-// executor that is new here, open says how many slots to hand out at first;
-// the slots in use of one that has left are returned, for its next home.
+// SetExecutors sets the executors whose home is this entry. For an executor that is
+// new here, open returns how many of its slots may be granted at first. For each
+// executor that has left, SetExecutors returns the slots in use, for its next home.
 func (t *Table) SetExecutors(ctx context.Context, list []winch.VM, open func(winch.VM) int) ([]proto.Handoff, error) {
 	var out []proto.Handoff
 	err := t.Duty.Do(ctx, func() {
-		keep := make(map[string]bool, len(list))
+		listed := make(map[string]bool, len(list))
 		for _, vm := range list {
-			keep[vm.ID] = true
+			listed[vm.ID] = true
 			t.setExecutor(vm, open)
 		}
 		for id := range t.execs {
-			if !keep[id] {
+			if !listed[id] {
 				out = append(out, t.drop(id))
 			}
 		}
@@ -39,13 +39,14 @@
 	}
 	e := &executor{vm: vm, open: min(vm.Slots, open(vm))}
 	t.execs[vm.ID] = e
-	if hand, ok := t.early[vm.ID]; ok {
+	if handoff, ok := t.early[vm.ID]; ok {
 		delete(t.early, vm.ID)
 		e.open = vm.Slots
-		t.hold(e, "", hand.Held)
+		t.hold(e, "", handoff.Held)
 	}
 }
 
+// removeExecutor removes an executor and returns its slots in use.
 func (t *Table) drop(id string) proto.Handoff {
 	out := proto.Handoff{Executor: id, Held: t.held(id)}
 	for _, g := range t.grants {
@@ -57,6 +58,7 @@
 	return out
 }
 
+// slotsInUse lists the slots in use of an executor.
 func (t *Table) held(id string) []proto.Held {
 	var out []proto.Held
 	for _, g := range t.grants {
@@ -67,8 +69,8 @@
 	return out
 }
 
-// refuseOrphans answers waiters whose service has no executor here any more:
-// keeping them until their deadline would only make their callers wait.
+// refuseUnserved refuses the waiters whose service no longer has an executor here,
+// rather than let their callers wait until the deadline.
 func (t *Table) refuseOrphans() {
 	for _, s := range t.services {
 		if s.queued == 0 || t.count(s.name) > 0 {
@@ -79,22 +81,23 @@
 	}
 }
 
+// refuseMatching refuses the service's waiters for which match returns true.
 func (t *Table) refuseAll(s *service, why winch.Result, match func(*waiter) bool) {
-	var hit []*waiter
+	var matching []*waiter
 	for _, q := range s.teams {
 		for _, w := range *q {
 			if match(w) {
-				hit = append(hit, w)
+				matching = append(matching, w)
 			}
 		}
 	}
-	for _, w := range hit {
+	for _, w := range matching {
 		s.remove(w)
 		w.reply <- proto.SlotGive{Refused: why}
 	}
 }
 
-// Withdraw refuses the waiters whose key is no longer valid.
+// RefuseWithdrawnKeys refuses the waiters whose key is no longer valid.
 func (t *Table) Withdraw(ctx context.Context, valid func(keyID string) bool) error {
 	return t.Duty.Do(ctx, func() {
 		why := winch.Refuse(winch.KeyWithdrawn, "the key was withdrawn while the request waited")
@@ -104,7 +107,8 @@
 	})
 }
 
-// Close refuses all waiters, for a planned stop; the asker tries another home.
+// Close refuses all waiters before a planned stop, so that the requesting entries try
+// another home.
 func (t *Table) Close(ctx context.Context, why winch.Result) error {
 	return t.Duty.Do(ctx, func() {
 		for _, s := range t.services {
@@ -113,26 +117,28 @@
 	})
 }
 
-// Adopt takes over slots in use that an old home handed on. All of the
-// executor's other slots are known to be free, so it opens fully.
-func (t *Table) Adopt(hand proto.Handoff) error {
+// Adopt takes over the slots in use that the previous home of an executor handed over.
+// All other slots of the executor are known to be free, so all of them may be granted.
+func (t *Table) Adopt(handoff proto.Handoff) error {
 	return t.Duty.Post(func() {
-		e := t.execs[hand.Executor]
+		e := t.execs[handoff.Executor]
 		if e == nil {
-			t.early[hand.Executor] = hand // The old home saw the change first.
+			t.early[handoff.Executor] = handoff // The previous home noticed the change first.
 			return
 		}
 		e.open = e.vm.Slots
-		t.hold(e, "", hand.Held)
+		t.hold(e, "", handoff.Held)
 		t.dispatch(t.service(e.vm.Service))
 	})
 }
 
+// addHeld records slots in use that were granted by an earlier home or, for a known
+// grant, updates its holder.
 func (t *Table) hold(e *executor, holder string, held []proto.Held) {
 	now := time.Now()
 	for _, h := range held {
-		if _, ended := t.done[h.Grant]; ended {
-			continue // Its end overtook the list.
+		if _, returned := t.done[h.Grant]; returned {
+			continue // The slot was returned before the list arrived.
 		}
 		g := t.grants[h.Grant]
 		if g != nil {
@@ -145,9 +151,10 @@
 	}
 }
 
-// Reconcile compares the grants to one holder with the list that it sent over a
-// new link. Grants that it does not list were lost on the old link and never
-// used; those that this table does not know were granted by an earlier home.
+// Reconcile compares the grants of one holder with the list of slots in use that it
+// sent over a new link. If the list is complete, grants missing from it were lost with
+// the old link and never used, so their slots are freed. Listed grants that are unknown
+// here were made by an earlier home.
 func (t *Table) Reconcile(holder string, list []proto.Held, complete bool) error {
 	return t.Duty.Post(func() {
 		listed := make(map[string]bool, len(list))
@@ -168,8 +175,8 @@
 	})
 }
 
-// Loads returns how full the executors are, by service. It may be called from
-// any goroutine and lags by at most one sweep.
+// Loads returns the load of the executors for each service. It is safe for concurrent
+// use and lags behind by at most one sweepInterval.
 func (t *Table) Loads() []proto.Load {
 	if p := t.loads.Load(); p != nil {
 		return *p
@@ -177,21 +184,22 @@
 	return nil
 }
 
+// publishLoads updates the result of Loads.
 func (t *Table) publish() {
-	sums := make(map[string]*proto.Load)
+	byService := make(map[string]*proto.Load)
 	for _, e := range t.execs {
-		l := sums[e.vm.Service]
+		l := byService[e.vm.Service]
 		if l == nil {
 			l = &proto.Load{Service: e.vm.Service, Queued: t.service(e.vm.Service).queued}
-			sums[e.vm.Service] = l
+			byService[e.vm.Service] = l
 		}
 		if !e.vm.Leaving {
 			l.Slots += e.open
 			l.Busy += e.busy
 		}
 	}
-	out := make([]proto.Load, 0, len(sums))
-	for _, l := range sums {
+	out := make([]proto.Load, 0, len(byService))
+	for _, l := range byService {
 		out = append(out, *l)
 	}
 	t.loads.Store(&out)
--- a/coord/slots/queue.go
+++ b/coord/slots/queue.go
@@ -7,6 +7,7 @@
 	"plantainwinch/proto"
 )
 
+// waiter is a request that waits for a slot.
 type waiter struct {
 	ask      proto.SlotAsk
 	holder   string
@@ -16,7 +17,7 @@
 	index    int
 }
 
-// teamQueue is a heap of one team's waiters, the earliest deadline first.
+// teamQueue is a heap of one team's waiters, ordered by deadline.
 type teamQueue []*waiter
 
 // Len implements heap.Interface.
@@ -46,7 +47,7 @@
 	return w
 }
 
-// service holds the waiters for one service's executors.
+// service holds the queues and the run time statistics of one service.
 type service struct {
 	name    string
 	teams   map[string]*teamQueue
@@ -78,16 +79,16 @@
 	s.classes[w.ask.Class]--
 }
 
-// next returns the waiter to serve: the earliest deadline of the team that uses
-// the smallest part of its share.
+// next returns the waiter to serve next: the one with the earliest deadline of the team
+// that uses the fewest slots relative to its share.
 func (s *service) next(running map[string]int, share func(string) int) *waiter {
 	var best *waiter
-	var bestUse float64
+	var bestUsage float64
 	for team, q := range s.teams {
-		use := float64(running[team]) / float64(max(1, share(team)))
+		usage := float64(running[team]) / float64(max(1, share(team)))
 		w := (*q)[0]
-		if best == nil || use < bestUse || use == bestUse && w.deadline.Before(best.deadline) {
-			best, bestUse = w, use
+		if best == nil || usage < bestUsage || usage == bestUsage && w.deadline.Before(best.deadline) {
+			best, bestUsage = w, usage
 		}
 	}
 	return best
@@ -104,8 +105,8 @@
 	return nil
 }
 
-// estimate returns how long a call that queues now will wait, by the mean run
-// time so far; zero while none is known.
+// estimateWait returns how long a call that is queued now is expected to wait, based on
+// the mean run time. It returns zero if no run time is known yet.
 func (s *service) estimate(slots int) time.Duration {
 	if slots == 0 {
 		return 0
@@ -113,6 +114,7 @@
 	return s.mean * time.Duration(s.queued+1) / time.Duration(slots)
 }
 
+// recordRunTime adds a run time to the moving average.
 func (s *service) sample(took time.Duration) {
 	if s.mean == 0 {
 		s.mean = took
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -16,7 +16,7 @@
 	"plantainwinch/winch"
 )
 
-// bench runs a table with executors in a bubble.
+// withTable runs f on a table with executors in a synctest bubble.
 func bench(t *testing.T, execs, slots int, f func(b *rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,6 +32,7 @@
 	})
 }
 
+// rig is a table under test.
 type rig struct {
 	*testing.T
 	*Table
@@ -54,12 +55,12 @@
 	return out
 }
 
-func ask(id, team string, left time.Duration) proto.SlotAsk {
-	return proto.SlotAsk{Grant: id, Service: "render", Class: "preview", Team: team, KeyID: "K-" + team, Remaining: left, MaxRun: 30 * time.Second}
+func ask(id, team string, remaining time.Duration) proto.SlotAsk {
+	return proto.SlotAsk{Grant: id, Service: "render", Class: "preview", Team: team, KeyID: "K-" + team, Remaining: remaining, MaxRun: 30 * time.Second}
 }
 
-func (b *rig) get(id, team string, left time.Duration) proto.SlotGive {
-	return b.Ask(context.Background(), "a", ask(id, team, left))
+func (b *rig) get(id, team string, remaining time.Duration) proto.SlotGive {
+	return b.Ask(context.Background(), "a", ask(id, team, remaining))
 }
 
 func (b *rig) done(id string, v proto.Verdict, after time.Duration) {
@@ -76,19 +77,19 @@
 	return n
 }
 
-// Calls wait for slots. They are served by deadline, and one whose deadline
-// passes is answered at that instant, not later.
+// Calls wait for a slot. They must be served in the order of their deadlines, and a call
+// whose deadline passes must be refused at that instant.
 func TestDeadlineOrder(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
 		is.True(b.get("first", "choir", time.Second).Refused.OK())
 		var mu sync.Mutex
 		var order []string
-		for i, left := range []time.Duration{9 * time.Second, 3 * time.Second, 6 * time.Second, time.Second} {
+		for i, remaining := range []time.Duration{9 * time.Second, 3 * time.Second, 6 * time.Second, time.Second} {
 			id := fmt.Sprint("w", i)
 			b.group.Go(func() {
-				begin := time.Now()
-				r := b.get(id, "choir", left)
+				started := time.Now()
+				r := b.get(id, "choir", remaining)
 				mu.Lock()
 				defer mu.Unlock()
 				if r.Refused.OK() {
@@ -98,7 +99,7 @@
 				is.Equal(id, "w3")
 				is.Equal(r.Refused.Reason, winch.DeadlinePassed)
 				is.True(r.Refused.RetryAfter > 0)
-				is.Equal(time.Since(begin), left)
+				is.Equal(time.Since(started), remaining)
 			})
 		}
 		time.Sleep(2 * time.Second)
@@ -112,8 +113,8 @@
 	})
 }
 
-// The queue is so long that a call cannot be served before its deadline. It is
-// told at once, with a time to come back, instead of at its deadline.
+// The queue is so long that a call cannot be served before its deadline. It must be
+// refused at once, with a retry time, instead of at its deadline.
 func TestHopeless(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
@@ -124,17 +125,17 @@
 			b.group.Go(func() { b.get(fmt.Sprint("w", i), "choir", 10*time.Second) })
 		}
 		synctest.Wait()
-		begin := time.Now()
+		started := time.Now()
 		r := b.get("late", "choir", 3*time.Second)
 		is.Equal(r.Refused.Reason, winch.DeadlineHopeless)
 		is.Equal(r.Refused.RetryAfter, 6*time.Second)
-		is.Equal(time.Since(begin), time.Duration(0))
+		is.Equal(time.Since(started), time.Duration(0))
 		b.group.Wait()
 	})
 }
 
-// One team floods the queue and is first there. The other team still gets every
-// second slot, as both have the same share.
+// One team floods the queue before another team queues its calls. As both have the same
+// share, the next freed slots must go to the team that uses fewer.
 func TestShareInQueue(t *testing.T) {
 	bench(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
@@ -163,7 +164,8 @@
 	})
 }
 
-// A class's queue is full. The next call is refused at once.
+// The queue of a class is full. The next call of the class must be refused at once, and
+// other classes must not be affected.
 func TestQueueFull(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
@@ -175,29 +177,29 @@
 		is.Equal(b.get("more", "choir", 10*time.Second).Refused.Reason, winch.QueueFull)
 		other := ask("other", "choir", 10*time.Second)
 		other.Class = "invoice"
-		b.group.Go(func() { b.Ask(context.Background(), "a", other) }) // each class has its own
+		b.group.Go(func() { b.Ask(context.Background(), "a", other) }) // each class has its own queue
 		synctest.Wait()
 		is.Equal(b.Loads()[0].Queued, 21)
 		b.group.Wait()
 	})
 }
 
-// A request times out, so its work may still run. Its slot is not given to
-// anyone else until the longest run time has passed.
+// A request times out, so its work may still run. Its slot must not be granted again
+// before the work is guaranteed to have ended.
 func TestSlotKeptWhileWorkMayRun(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
 		is.True(b.get("x", "choir", time.Second).Refused.OK())
 		b.done("x", proto.Failed, 20*time.Second)
-		begin := time.Now()
+		started := time.Now()
 		is.True(b.get("y", "choir", time.Minute).Refused.OK())
-		waited := time.Since(begin)
+		waited := time.Since(started)
 		is.True(waited >= 20*time.Second && waited < 21*time.Second)
 	})
 }
 
-// The asker of a slot is never heard of again. The slot comes back after the
-// longest run time.
+// The entry that requested a slot crashes and never returns it. The slot must become free
+// after the maximum run time.
 func TestAskerVanishes(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
@@ -209,8 +211,8 @@
 	})
 }
 
-// A slot is given back before its grant arrives, since the asker gave up. The
-// message that overtook the question must not leave the slot taken for ever.
+// An entry cancels a request for a slot, and the cancellation overtakes the request. The
+// request must then be refused, or the slot would stay in use until it expires.
 func TestDoneBeforeAsk(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
@@ -220,20 +222,20 @@
 	})
 }
 
-// Executors move to another home as planned. The new home gets the slots in use
-// with them and grants only the rest.
+// Executors move to another home as planned. The new home takes over the slots in use and
+// must grant only the others.
 func TestHandoff(t *testing.T) {
 	bench(t, 2, 3, func(b *rig) {
 		is := is.New(b.T)
 		for i := range 4 {
 			is.True(b.get(fmt.Sprint("x", i), "choir", time.Second).Refused.OK())
 		}
-		hands := b.place(0, 3, 3)
-		is.Equal(len(hands), 2)
-		is.Equal(len(hands[0].Held)+len(hands[1].Held), 4)
-		is.NoErr(b.Adopt(hands[0])) // it comes before this home knows of the executor
+		handoffs := b.place(0, 3, 3)
+		is.Equal(len(handoffs), 2)
+		is.Equal(len(handoffs[0].Held)+len(handoffs[1].Held), 4)
+		is.NoErr(b.Adopt(handoffs[0])) // arrives before this home knows of the executor
 		b.place(2, 3, 1)
-		is.NoErr(b.Adopt(hands[1]))
+		is.NoErr(b.Adopt(handoffs[1]))
 		synctest.Wait()
 		is.Equal(b.busy(), 4)
 		is.Equal(b.Loads()[0].Slots, 6)
@@ -243,8 +245,8 @@
 	})
 }
 
-// A call ends while its executor changes its home, and the end overtakes the list
-// of slots in use. The new home must not keep the slot for a call that is over.
+// A call ends while its executor moves to another home, and the return of the slot
+// overtakes the handoff. The new home must not keep the slot in use for the ended call.
 func TestEndOvertakesHandoff(t *testing.T) {
 	bench(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
@@ -257,8 +259,9 @@
 	})
 }
 
-// An executor's home has crashed. Its new home does not know what still runs
-// there, so it opens one slot at first and one more with each answer.
+// The home of an executor has crashed, and the new home does not know which calls still
+// run there. To avoid overload, it must open one slot at first and one more with each
+// answered call.
 func TestSlotsOpenStepByStep(t *testing.T) {
 	bench(t, 0, 0, func(b *rig) {
 		is := is.New(b.T)
@@ -270,15 +273,15 @@
 		}
 		is.NoErr(b.Reconcile("b", []proto.Held{{Grant: "old", Executor: "e0", Left: 5 * time.Second}}, false))
 		synctest.Wait()
-		is.Equal(b.busy(), 1) // another entry reports a call from before
+		is.Equal(b.busy(), 1) // another entry reports a call that the previous home granted
 		is.Equal(b.get("z", "choir", time.Second).Executor.ID, "e0")
 		b.done("z", proto.Rejected, 0)
-		is.Equal(b.Loads()[0].Slots, 2) // the executor had no room after all
+		is.Equal(b.Loads()[0].Slots, 2) // the executor had no free slot after all
 	})
 }
 
-// A link breaks between grant and answer. Over the new link the asker lists what
-// it uses; the grant that it never received comes free at once.
+// A link breaks before a grant reaches the requesting entry. Over the new link the entry
+// lists the slots that it uses. The slot of the lost grant must become free at once.
 func TestReconcile(t *testing.T) {
 	bench(t, 1, 3, func(b *rig) {
 		is := is.New(b.T)
@@ -289,13 +292,13 @@
 		is.True(r.Refused.OK())
 		is.NoErr(b.Reconcile("a", []proto.Held{{Grant: "used", Executor: "e0", Left: time.Second}}, true))
 		synctest.Wait()
-		is.Equal(b.busy(), 2) // a's used one and b's
+		is.Equal(b.busy(), 2) // the one that entry a uses and the one of entry b
 	})
 }
 
-// An executor fails everything at once and is therefore always free. It is set
-// aside after a few failures and tried again later, so that calls go to the
-// others; not more than half of the executors are ever set aside.
+// An executor fails every call at once and therefore always has free slots, so it would
+// attract all calls. It must be quarantined after a few failures and tried again later.
+// At most half of the executors may be quarantined, even if all of them fail.
 func TestExecutorFailsEverything(t *testing.T) {
 	bench(t, 4, 2, func(b *rig) {
 		is := is.New(b.T)
@@ -320,17 +323,17 @@
 			}
 			b.done(id, proto.Answered, 0)
 		}
-		is.True(failed > failuresToSuspend) // it is back
+		is.True(failed > failuresToSuspend) // its quarantine is over
 		for i := range 400 {
 			id := fmt.Sprint("z", i)
 			r := b.get(id, "choir", time.Second)
-			is.True(r.Refused.OK()) // all fail, yet half stay open
+			is.True(r.Refused.OK()) // all executors fail, yet half of them stay available
 			b.done(id, proto.Failed, 0)
 		}
 	})
 }
 
-// The last executor of a service leaves while calls wait for it. They are told
+// The last executor of a service leaves while calls wait for a slot. They must be refused
 // at once, not at their deadline.
 func TestLastExecutorLeaves(t *testing.T) {
 	bench(t, 1, 1, func(b *rig) {
@@ -338,16 +341,16 @@
 		is.True(b.get("x", "choir", time.Second).Refused.OK())
 		b.group.Go(func() { is.Equal(b.get("w", "choir", time.Hour).Refused.Reason, winch.NoExecutor) })
 		synctest.Wait()
-		begin := time.Now()
+		started := time.Now()
 		b.place(0, 1, 1)
 		b.group.Wait()
-		is.Equal(time.Since(begin), time.Duration(0))
+		is.Equal(time.Since(started), time.Duration(0))
 		is.Equal(b.get("y", "choir", time.Second).Refused.Reason, winch.NoExecutor)
 	})
 }
 
-// Grants, ends, give-ups and changes of home come in a random order. No executor
-// is ever granted beyond its slots, and in the end all slots are free.
+// Requests, returns and cancellations come in random order. No executor may ever have more
+// calls than slots, and in the end all slots must be free, so that none is leaked.
 func TestRandomOrder(t *testing.T) {
 	for seed := range uint64(30) {
 		bench(t, 3, 4, func(b *rig) { randomOrder(b, seed) })
@@ -357,39 +360,39 @@
 func randomOrder(b *rig, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	var mu sync.Mutex
-	use := make(map[string]int)
+	inUse := make(map[string]int)
 	for i := range 300 {
 		id := fmt.Sprint("x", i)
-		left := time.Duration(1+rnd.IntN(2000)) * time.Millisecond
-		hold := time.Duration(rnd.IntN(1500)) * time.Millisecond
+		remaining := time.Duration(1+rnd.IntN(2000)) * time.Millisecond
+		runTime := time.Duration(rnd.IntN(1500)) * time.Millisecond
 		giveUp := rnd.IntN(4) == 0
 		b.group.Go(func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if giveUp {
-				time.AfterFunc(left/2, cancel)
+				time.AfterFunc(remaining/2, cancel)
 			}
-			r := b.Ask(ctx, "a", ask(id, fmt.Sprint("team", i%3), left))
+			r := b.Ask(ctx, "a", ask(id, fmt.Sprint("team", i%3), remaining))
 			if !r.Refused.OK() {
 				return
 			}
 			mu.Lock()
-			use[r.Executor.ID]++
-			if use[r.Executor.ID] > 4 {
-				b.Errorf("seed %d: executor %s has %d calls in 4 slots", seed, r.Executor.ID, use[r.Executor.ID])
+			inUse[r.Executor.ID]++
+			if inUse[r.Executor.ID] > 4 {
+				b.Errorf("seed %d: executor %s has %d calls in 4 slots", seed, r.Executor.ID, inUse[r.Executor.ID])
 			}
 			mu.Unlock()
-			time.Sleep(hold)
+			time.Sleep(runTime)
 			mu.Lock()
-			use[r.Executor.ID]--
+			inUse[r.Executor.ID]--
 			mu.Unlock()
-			_ = b.Done(proto.SlotDone{Grant: id, Verdict: proto.Answered, Took: hold})
+			_ = b.Done(proto.SlotDone{Grant: id, Verdict: proto.Answered, Took: runTime})
 		})
 		time.Sleep(time.Duration(rnd.IntN(60)) * time.Millisecond)
 	}
 	b.group.Wait()
 	synctest.Wait()
 	if b.busy() != 0 {
-		b.Errorf("seed %d: %d slots are lost", seed, b.busy())
+		b.Errorf("seed %d: %d slots are still in use after all calls ended", seed, b.busy())
 	}
 }
--- a/coord/slots/table.go
+++ b/coord/slots/table.go
@@ -1,6 +1,6 @@
-// Package slots hands out the slots of executors. Each executor has one home
-// entry, whose table alone grants its slots; other entries ask it over their
-// peer link. A slot comes back only when the work in it has surely ended.
+// Package slots grants the slots of executors. Each executor has one home, the entry
+// whose table alone grants its slots; other entries request them over their peer link.
+// A slot becomes free only when the work in it is guaranteed to have ended.
 package slots
 
 import (
@@ -17,33 +17,37 @@
 )
 
 const (
-	// sweepEvery is how often grants that ran out are collected.
+	// sweepInterval is the interval at which the slots of expired grants are freed.
 	sweepEvery = 100 * time.Millisecond
-	// DefaultQueue bounds the calls of one class that wait at one home.
+	// DefaultQueueLimit is the default of Table.QueueLimit.
 	DefaultQueue = 1000
-	// failuresToSuspend is how many failures in a row set an executor aside.
+	// failuresToQuarantine is the number of failures in a row after which an executor is
+	// quarantined.
 	failuresToSuspend = 5
-	// suspendFirst and suspendMost bound the time for which it is set aside.
+	// minQuarantine and maxQuarantine bound the duration of a quarantine.
 	suspendFirst = time.Second
 	suspendMost  = 30 * time.Second
-	// smoothing is the part of a new sample in the mean run time.
+	// runTimeWeight is the weight of a new sample in the moving average of run times.
 	smoothing = 0.1
 )
 
+// grant is a slot in use.
 type grant struct {
 	id     string
 	holder string
 	team   string
 	exec   *executor
-	// until is when the work has surely ended, whatever is heard of it.
+	// expires is when the work is guaranteed to have ended, even if no report of it
+	// arrives.
 	until time.Time
 }
 
+// executor is an executor whose home is this entry.
 type executor struct {
 	vm winch.VM
-	// open is how many of its slots are handed out at most. After a change of
-	// home it starts at one and grows with each answer, since calls granted by
-	// the old home may still occupy the rest.
+	// openSlots bounds the slots in use. If the previous home crashed, it starts at one and
+	// grows with each answered call, since calls that the previous home granted may still
+	// occupy the other slots.
 	open     int
 	busy     int
 	failures int
@@ -51,6 +55,7 @@
 	backoff  time.Duration
 }
 
+// free returns the number of slots that may be granted now.
 func (e *executor) free(now time.Time) int {
 	if e.vm.Leaving || now.Before(e.aside) {
 		return 0
@@ -58,11 +63,12 @@
 	return e.open - e.busy
 }
 
-// Table owns the slots of the executors whose home is this entry. Set the
-// fields before Run.
+// Table manages the slots of the executors whose home is this entry. Set the exported
+// fields before calling Prepare.
 type Table struct {
 	Duty *duty.Duty
-	// QueueLimit bounds the waiting calls of one class and service.
+	// QueueLimit bounds the waiting calls of one class and service. Zero means
+	// DefaultQueueLimit.
 	QueueLimit int
 	// Share returns a team's share.
 	Share   func(team string) int
@@ -72,13 +78,14 @@
 	execs    map[string]*executor
 	services map[string]*service
 	grants   map[string]*grant
-	done     map[string]time.Time // done holds grants given back before they were asked for.
-	running  map[string]int       // running counts slots in use by team.
-	early    map[string]proto.Handoff
-	loads    atomic.Pointer[[]proto.Load]
+	done     map[string]time.Time // returnedEarly holds when the slots of unknown grants were returned.
+	running  map[string]int       // inUse counts the slots in use by team.
+	// earlyHandoffs holds handoffs of executors that are not known here yet.
+	early map[string]proto.Handoff
+	loads atomic.Pointer[[]proto.Load]
 }
 
-// Prepare makes the table ready for Run.
+// Prepare sets defaults for the fields that are not set and makes the table ready for Run.
 func (t *Table) Prepare() {
 	if t.QueueLimit == 0 {
 		t.QueueLimit = DefaultQueue
@@ -103,35 +110,35 @@
 	t.early = make(map[string]proto.Handoff)
 }
 
-// Run owns the table until ctx ends.
+// Run processes the table's requests and sweeps it until ctx is done.
 func (t *Table) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepEvery)
 	defer ticker.Stop()
 	t.Duty.Every(ctx, ticker.C, t.sweep)
 }
 
-// Ask waits for a slot and grants it, or refuses. The result is final and comes
-// as soon as it is known.
-func (t *Table) Ask(ctx context.Context, holder string, ask proto.SlotAsk) proto.SlotGive {
-	w := &waiter{ask: ask, holder: holder, reply: make(chan proto.SlotGive, 1)}
-	w.deadline = time.Now().Add(ask.Remaining)
+// Acquire waits for a slot and grants it, or refuses the request. The result is final and
+// is returned as soon as it is known.
+func (t *Table) Ask(ctx context.Context, holder string, request proto.SlotAsk) proto.SlotGive {
+	w := &waiter{ask: request, holder: holder, reply: make(chan proto.SlotGive, 1)}
+	w.deadline = time.Now().Add(request.Remaining)
 	if err := t.Duty.Do(ctx, func() { t.enter(w) }); err != nil {
 		return proto.SlotGive{Refused: winch.RefuseFor(winch.QueueFull, "the entry is overloaded", time.Second)}
 	}
-	timer := time.NewTimer(ask.Remaining)
+	timer := time.NewTimer(request.Remaining)
 	defer timer.Stop()
 	select {
-	case give := <-w.reply:
-		return give
+	case response := <-w.reply:
+		return response
 	case <-timer.C:
-		t.abandon(w, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", t.retryAfter(ctx, ask.Service)))
+		t.abandon(w, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", t.retryAfter(ctx, request.Service)))
 	case <-ctx.Done():
 		t.abandon(w, winch.Refuse(winch.CallerGone, "the caller went away"))
 	}
 	return <-w.reply
 }
 
-// abandon refuses a waiter unless it was granted in the meantime.
+// refuseWaiting refuses a waiter unless it has been answered in the meantime.
 func (t *Table) abandon(w *waiter, why winch.Result) {
 	err := t.Duty.Do(context.Background(), func() {
 		if t.unqueue(w) {
@@ -143,10 +150,11 @@
 	}
 	select {
 	case w.reply <- proto.SlotGive{Refused: why}:
-	default: // It was answered before the table stopped.
+	default: // The waiter was answered before the table stopped.
 	}
 }
 
+// retryAfter returns how long a refused caller of a service should wait before a retry.
 func (t *Table) retryAfter(ctx context.Context, name string) (wait time.Duration) {
 	_ = t.Duty.Do(ctx, func() {
 		if s := t.services[name]; s != nil {
@@ -156,9 +164,9 @@
 	return max(wait, time.Second)
 }
 
-// enter grants at once, queues or refuses.
+// admit grants a slot at once, queues the waiter or refuses it.
 func (t *Table) enter(w *waiter) {
-	if _, gone := t.done[w.ask.Grant]; gone {
+	if _, returned := t.done[w.ask.Grant]; returned {
 		w.reply <- proto.SlotGive{Refused: winch.Refuse(winch.CallerGone, "the slot was given back before it was granted")}
 		return
 	}
@@ -195,11 +203,11 @@
 	return s
 }
 
-// usable lists the executors that the request may go to, busy ones included.
-func (t *Table) usable(ask proto.SlotAsk) []*executor {
+// eligible lists the executors that the request may be sent to, including busy ones.
+func (t *Table) usable(request proto.SlotAsk) []*executor {
 	var out []*executor
 	for _, e := range t.execs {
-		if e.vm.Service == ask.Service && !e.vm.Leaving && !contains(ask.Avoid, e.vm.ID) {
+		if e.vm.Service == request.Service && !e.vm.Leaving && !contains(request.Avoid, e.vm.ID) {
 			out = append(out, e)
 		}
 	}
@@ -215,14 +223,14 @@
 	return false
 }
 
-// pick returns the less loaded of two random executors with a free slot, or
-// nil. Two random choices spread the load nearly as well as a full comparison
-// and do not send everyone to the same executor at once.
-func (t *Table) pick(ask proto.SlotAsk) *executor {
+// pick returns the less loaded of two random executors with a free slot, or nil. Two
+// random choices spread the load nearly as well as a full comparison and do not direct
+// all concurrent requests to the same executor.
+func (t *Table) pick(request proto.SlotAsk) *executor {
 	now := time.Now()
 	var free []*executor
 	for _, e := range t.execs {
-		if e.vm.Service == ask.Service && e.free(now) > 0 && !contains(ask.Avoid, e.vm.ID) {
+		if e.vm.Service == request.Service && e.free(now) > 0 && !contains(request.Avoid, e.vm.ID) {
 			free = append(free, e)
 		}
 	}
@@ -236,6 +244,7 @@
 	return a
 }
 
+// grantTo grants a slot of the executor to the waiter.
 func (t *Table) give(w *waiter, e *executor) {
 	g := &grant{id: w.ask.Grant, holder: w.holder, team: w.ask.Team, exec: e}
 	g.until = time.Now().Add(w.ask.MaxRun)
@@ -243,6 +252,7 @@
 	w.reply <- proto.SlotGive{Executor: e.vm}
 }
 
+// addGrant records a slot as in use.
 func (t *Table) take(g *grant) {
 	t.grants[g.id] = g
 	g.exec.busy++
@@ -250,6 +260,7 @@
 	t.publish()
 }
 
+// release frees the slot of a grant.
 func (t *Table) release(g *grant) {
 	delete(t.grants, g.id)
 	g.exec.busy--
@@ -257,7 +268,7 @@
 	t.publish()
 }
 
-// dispatch grants free slots to waiters until one of both runs out.
+// dispatch grants free slots to waiters until either runs out.
 func (t *Table) dispatch(s *service) {
 	for s.queued > 0 {
 		w := s.next(t.running, t.Share)
@@ -270,6 +281,7 @@
 	}
 }
 
+// dequeue removes a waiter from its queue and reports whether it was queued.
 func (t *Table) unqueue(w *waiter) bool {
 	s := t.services[w.ask.Service]
 	if s == nil || !w.queued {
@@ -279,18 +291,19 @@
 	return true
 }
 
+// openSlots returns how many slots of a service may be in use at most.
 func (t *Table) slots(name string) int {
-	n := 0
+	total := 0
 	for _, e := range t.execs {
 		if e.vm.Service == name && !e.vm.Leaving {
-			n += e.open
+			total += e.open
 		}
 	}
-	return n
+	return total
 }
 
-// Done gives a slot back. One that was not granted yet is refused when the ask
-// arrives, so that a give-up that overtakes its ask leaks nothing.
+// Return gives a slot back. If the slot was not granted yet, its request is refused, also
+// if it has yet to arrive, so that a return that overtakes its request leaks no slot.
 func (t *Table) Done(done proto.SlotDone) error {
 	return t.Duty.Post(func() {
 		g := t.grants[done.Grant]
@@ -309,6 +322,7 @@
 	})
 }
 
+// cancelRequest refuses the waiter for a grant, if there is one.
 func (t *Table) cancel(id string) {
 	for _, s := range t.services {
 		if w := s.find(id); w != nil {
@@ -318,7 +332,8 @@
 	}
 }
 
-// judge learns from the end of one use what the executor takes and how long.
+// applyVerdict updates the failure count, open slots and run time statistics with the
+// result of one call.
 func (t *Table) judge(e *executor, done proto.SlotDone) {
 	switch done.Verdict {
 	case proto.Answered:
@@ -334,10 +349,10 @@
 	}
 }
 
-// fail counts a failure and sets the executor aside after several in a row. An
-// executor that fails everything at once always has free slots and would draw
-// in all calls; at most half of a service's executors are set aside, so that a
-// request that fails everywhere cannot close the service.
+// recordFailure counts a failure and quarantines the executor after several in a row. An
+// executor that fails every call at once always has free slots and would attract all
+// calls. At most half of a service's executors are quarantined, so that requests that
+// fail on every executor cannot make the service unavailable.
 func (t *Table) fail(e *executor) {
 	e.failures++
 	if e.failures < failuresToSuspend || t.asideCount(e.vm.Service)*2 >= t.count(e.vm.Service) {
@@ -367,8 +382,8 @@
 	return n
 }
 
-// sweep frees the slots whose work has surely ended, although nothing was heard
-// of its end, and serves waiters whose executor is back from being set aside.
+// sweep frees the slots of expired grants, whose work is guaranteed to have ended although
+// no report arrived, and serves waiters whose executor has left quarantine.
 func (t *Table) sweep() {
 	now := time.Now()
 	for _, g := range t.grants {
@@ -377,8 +392,8 @@
 			metrics.GetOrRegisterCounter("Slots.RanOut", t.Metrics).Inc(1)
 		}
 	}
-	for id, at := range t.done {
-		if now.Sub(at) > time.Minute {
+	for id, returnedAt := range t.done {
+		if now.Sub(returnedAt) > time.Minute {
 			delete(t.done, id)
 		}
 	}
