--- a/coord/place/ended.go
+++ b/coord/place/ended.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// finish ends a job. Its tasks that still run are being stopped and keep their
-// capacity until they have ended.
+// finish ends a job. Its tasks that still run keep their capacity until they have ended;
+// the caller stops them.
 func (p *Planner) finish(j *job, state winch.JobState, reason winch.Reason, detail string) {
 	if j.rec.State.Final() {
 		return
--- a/coord/place/planner.go
+++ b/coord/place/planner.go
@@ -100,7 +100,8 @@
 	barrier bool
 	ends    []Final
 	// LostRunTime is the total run time that evictions discarded.
-	Lost      time.Duration
+	Lost time.Duration
+	// Evictions is the number of evicted tasks.
 	Evictions int
 }
 
--- a/coord/slots/queue.go
+++ b/coord/slots/queue.go
@@ -81,11 +81,11 @@
 
 // next returns the waiter to serve next: the one with the earliest deadline of the team
 // that uses the fewest slots relative to its share.
-func (s *service) next(running map[string]int, share func(string) int) *waiter {
+func (s *service) next(inUse map[string]int, share func(string) int) *waiter {
 	var best *waiter
 	var bestUsage float64
 	for team, q := range s.teams {
-		usage := float64(running[team]) / float64(max(1, share(team)))
+		usage := float64(inUse[team]) / float64(max(1, share(team)))
 		w := (*q)[0]
 		if best == nil || usage < bestUsage || usage == bestUsage && w.deadline.Before(best.deadline) {
 			best, bestUsage = w, usage
--- a/coord/slots/table.go
+++ b/coord/slots/table.go
@@ -45,9 +45,9 @@
 // executor is an executor whose home is this entry.
 type executor struct {
 	vm winch.VM
-	// openSlots bounds the slots in use. If the previous home crashed, it starts at one and
-	// grows with each answered call, since calls that the previous home granted may still
-	// occupy the other slots.
+	// openSlots bounds the slots in use. After a change of home without a handoff it starts
+	// at one and grows with each answered call, since calls that the previous home granted
+	// may still occupy the other slots.
 	open     int
 	busy     int
 	failures int
