--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -10,39 +10,42 @@
 )
 
 const (
-	// firstShare is the share of workers that is taken to be allowed before a
-	// queue's first answer.
+	// initialAllowedShare is the share of workers assumed to be allowed before a queue's first
+	// response from the advice service.
 	firstShare = 0.4
-	// shareStep is how much one answer moves what is known of a queue's share.
+	// allowedShareWeight is the weight of one response in a queue's moving average of the share of
+	// workers allowed.
 	shareStep = 0.2
-	// turnStep is how much one answer moves what is known of a queue's turnaround.
+	// turnaroundWeight is the weight of one response in a queue's moving average of the
+	// turnaround.
 	turnStep = 0.2
-	// askLeast and askMost bound the workers of one question; the service takes
-	// 100 at most.
+	// minRequestWorkers and maxRequestWorkers bound the number of workers in one request; the
+	// service takes at most 100.
 	askLeast = 8
 	askMost  = 100
-	// askSpare is how many times the room that a step needs is asked for, since
-	// other work takes some of it before the answer comes.
+	// capacityFactor is the ratio of the capacity that a request covers to the capacity that the
+	// step needs, since other work takes some of it before the response arrives.
 	askSpare = 2.0
-	// adviceWorkers is the number of workers in the question that objectives allow for.
+	// objectiveWorkers is the number of workers in the request that objectives allow for.
 	adviceWorkers = 30
-	// askAgain is the pause after a question that failed.
+	// adviceRetryDelay is the delay after a failed request.
 	askAgain = 100 * time.Millisecond
-	// starvingAfter is after how long without a question a step counts as waiting long for
-	// one. One in starvingShare of the openings is left to such steps.
+	// starvationThreshold is the time without a request after which a step counts as starving. One
+	// in starvingDivisor of the allowed requests is reserved for such steps.
 	starvingAfter = 3 * time.Second
 	starvingShare = 8
 )
 
-// Openings is how many questions may be asked, urgent and others.
+// RequestQuota is the number of requests that may be sent to the advice service now, for urgent
+// and for other work.
 type Openings struct {
 	Urgent, Usual int
 }
 
-// unbounded lets everything be asked at once.
+// unlimitedQuota sets no limit on requests.
 var unbounded = Openings{math.MaxInt, math.MaxInt}
 
-// of returns the openings for a step's questions.
+// forStep returns the quota that a step's requests count against.
 func (o *Openings) of(s *step) *int {
 	if s.job.quick() {
 		return &o.Urgent
@@ -50,8 +53,8 @@
 	return &o.Usual
 }
 
-// advise asks which workers may run a step, if it has tasks that wait, or some more
-// that are to move, and no worker with room and a good ticket for them.
+// requestAdvice asks the advice service which workers may run a step if the step has waiting
+// tasks, or some more that are to move, and too few workers with free capacity and a valid ticket.
 func (p *Planner) advise(s *step, now time.Time, r rank, moving int) {
 	if !p.wantsAdvice(s, now, moving) {
 		return
@@ -63,17 +66,16 @@
 	}
 }
 
-// wantsAdvice reports whether a question about a step is due.
+// needsAdvice reports whether a request about a step is due.
 func (p *Planner) wantsAdvice(s *step, now time.Time, moving int) bool {
 	if s.job.queue.Advice == nil || s.waiting+moving == 0 || s.known.asking || now.Before(s.known.retry) {
 		return false
 	}
-	// What moves takes no more of its team's limit than it has.
+	// Tasks that move are charged to their team already.
 	return (moving > 0 || s.job.team.allows(s.spec.Need)) && p.spare(s)
 }
 
-// starvingPart is how many of the openings are left to steps that have waited long for
-// a question.
+// starvingQuota returns how much of the quota is reserved for starving steps.
 func (p *Planner) starvingPart(s *step) int {
 	if *p.asOpened.of(s) == math.MaxInt {
 		return 0
@@ -81,8 +83,8 @@
 	return *p.asOpened.of(s) / starvingShare
 }
 
-// askStarving asks for steps that have waited long for a question, the longest first:
-// by rank alone those with the lowest would never be asked about while lanes are few.
+// requestForStarving sends requests for starving steps, the longest waiting first. With few lanes,
+// ordering by rank alone would never reach those with the lowest rank.
 func (p *Planner) askStarving(now time.Time) {
 	slices.SortFunc(p.starving, func(a, b waiting) int {
 		return cmp.Or(later(a.step.since, a.step.known.asked).Compare(later(b.step.since, b.step.known.asked)), compareWaiting(a, b))
@@ -96,7 +98,8 @@
 	p.starving = p.starving[:0]
 }
 
-// askFor asks about a step, unless workers with room and good tickets suffice.
+// sendRequest queues a request about a step, unless workers with free capacity and valid tickets
+// suffice.
 func (p *Planner) askFor(s *step, now time.Time, r rank, moving int) {
 	cost := s.job.queue.Advice
 	wanted := s.waiting + moving
@@ -117,7 +120,7 @@
 	})
 }
 
-// covered counts the tasks that fit into workers with good tickets.
+// ticketedTasks counts the tasks that fit into workers with valid tickets.
 func (p *Planner) covered(s *step, now time.Time) int {
 	n := 0
 	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most) {
@@ -130,56 +133,58 @@
 	return n
 }
 
-// fitInto returns how many tasks of a step fit into some room of a worker, at most some.
-func (s *step) fitInto(left winch.Room, most int) int {
+// fitInto returns how many tasks of a step fit into some capacity of a worker, at most the given
+// number.
+func (s *step) fitInto(capacity winch.Room, limit int) int {
 	charge := s.spec.Charge()
-	n := min(len(s.tasks), most)
+	n := min(len(s.tasks), limit)
 	if charge.Milli > 0 {
-		n = min(n, int(left.Milli/charge.Milli))
+		n = min(n, int(capacity.Milli/charge.Milli))
 	}
 	if charge.Memory > 0 {
-		n = min(n, int(left.Memory/charge.Memory))
+		n = min(n, int(capacity.Memory/charge.Memory))
 	}
 	if charge.Accelerators > 0 {
-		n = min(n, left.Accelerators/charge.Accelerators)
+		n = min(n, capacity.Accelerators/charge.Accelerators)
 	}
 	return max(0, n)
 }
 
-// option is a worker that could be asked about.
+// candidate is a worker that a request may name.
 type option struct {
 	w     *worker
 	fit   int
-	known bool // known says that the step is allowed there and only needs a ticket.
+	known bool // allowed says that the step is known to be allowed there and only needs a ticket.
 	score float64
 }
 
-// toAsk chooses the workers to ask about for some tasks: those with room, or with room by
-// the time of the answer where the step is known to be allowed, as many as probably
-// suffice. A first question names as many as cost no more than the question itself.
+// workersToRequest chooses the workers to name in a request for the given number of tasks: those
+// with free capacity and, where the step is known to be allowed, those expected to have some when
+// the response arrives, as many as probably suffice. A first request names as many workers as can
+// be added before they cost more than the request itself.
 func (p *Planner) toAsk(s *step, now time.Time, wanted int) []string {
 	first := p.Policy.AskAll && s.known.asked.IsZero()
 	full := !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most)
 	if full && len(s.slots) == 0 && !first {
 		return nil
 	}
-	options := p.options(s, now, first)
+	candidates := p.options(s, now, first)
 	var out []string
-	room := 0.0
+	covered := 0.0
 	need := askSpare * float64(wanted)
-	for _, o := range options {
-		if o.fit == 0 || len(out) == askMost || len(out) >= askLeast && room >= need {
+	for _, o := range candidates {
+		if o.fit == 0 || len(out) == askMost || len(out) >= askLeast && covered >= need {
 			break
 		}
 		out = append(out, o.w.vm.ID)
 		if o.known {
-			room += float64(o.fit)
+			covered += float64(o.fit)
 		} else {
-			room += float64(o.fit) * max(0.1, s.job.queue.share)
+			covered += float64(o.fit) * max(0.1, s.job.queue.share)
 		}
 	}
 	if first {
-		for _, o := range options[len(out):] {
+		for _, o := range candidates[len(out):] {
 			if len(out) >= askMost || time.Duration(len(out))*s.job.queue.Advice.Worker >= s.job.queue.Advice.Call {
 				break
 			}
@@ -189,17 +194,17 @@
 	return out
 }
 
-// What a search marks workers as.
+// Marks that a search puts on workers.
 const (
 	markDenied = iota + 1
 	markGood
 	markKnown
 )
 
-// markAsked marks the workers that are known to be allowed or not.
+// markByAdvice marks the workers that the advice service is known to allow or to deny.
 func (p *Planner) markAsked(s *step, now time.Time) {
 	p.marks++
-	mark := func(w *worker, as int) { w.mark, w.markedAs = p.marks, as }
+	mark := func(w *worker, value int) { w.mark, w.markedAs = p.marks, value }
 	for _, w := range s.known.denied {
 		mark(w, markDenied)
 	}
@@ -213,26 +218,26 @@
 	}
 }
 
-// options returns the workers that could be asked about, the best first: those with
-// room, and if all are wanted, those without.
+// candidates returns the workers that a request may name, the best first: those with free capacity
+// and, if all is set, those without.
 func (p *Planner) options(s *step, now time.Time, all bool) []option {
-	answer := now.Add(s.job.queue.turnaround)
+	response := now.Add(s.job.queue.turnaround)
 	p.markAsked(s, now)
 	counts := s.perWorker()
 	workers := p.pool(s.job.queue.Service).workers
 	p.looks += len(workers)
 	out := topK[option]{most: askMost, before: better}
 	for _, w := range workers {
-		as := 0
+		mark := 0
 		if w.mark == p.marks {
-			as = w.markedAs
+			mark = w.markedAs
 		}
-		if as == markDenied || as == markGood || !p.suits(s, w, now) {
+		if mark == markDenied || mark == markGood || !p.suits(s, w, now) {
 			continue
 		}
-		o := option{w: w, known: as == markKnown, fit: s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))}
+		o := option{w: w, known: mark == markKnown, fit: s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))}
 		if o.known && p.Policy.Reserve && len(s.slots) > 0 {
-			o.fit = max(o.fit, s.slotsBy(w, answer))
+			o.fit = max(o.fit, s.slotsBy(w, response))
 		}
 		if o.fit == 0 && !all {
 			continue
@@ -246,7 +251,7 @@
 	return out.list
 }
 
-// better reports whether a worker is better asked about than another.
+// betterCandidate reports whether a should be named in a request before b.
 func better(a, b option) bool {
 	switch {
 	case (a.fit > 0) != (b.fit > 0):
@@ -257,13 +262,13 @@
 	return a.w.order < b.w.order
 }
 
-// outlasts reports whether a place kept for the step at a worker comes free only after
-// its ticket has run out.
+// ticketExpiresFirst reports whether a slot planned for the step at a worker becomes free only
+// after the ticket has expired.
 func (s *step) outlasts(w *worker, t permit) bool {
 	return slices.ContainsFunc(s.slots, func(x slot) bool { return x.w == w && !t.good(x.at) })
 }
 
-// slotsBy counts the places kept for the step at a worker by some time.
+// slotsBy counts the slots planned for the step at a worker that become free by the given time.
 func (s *step) slotsBy(w *worker, by time.Time) int {
 	n := 0
 	for _, x := range s.slots {
@@ -274,8 +279,9 @@
 	return n
 }
 
-// Advice takes the answer to an Ask.
-func (p *Planner) Advice(a Ask, tickets []winch.Ticket, valid time.Duration, sent time.Time) {
+// AdviceReceived handles the response to an advice request: the tickets, how long they are valid,
+// and when the request was sent.
+func (p *Planner) Advice(a Ask, tickets []winch.Ticket, valid time.Duration, requested time.Time) {
 	s := p.asked(a)
 	if s == nil {
 		return
@@ -284,52 +290,54 @@
 		valid = s.job.queue.Advice.Valid
 	}
 	p.markAsked(s, p.now())
-	const named = -1
-	fresh, allowed := 0, 0
-	var asked []*worker
+	const markNamed = -1
+	answered, allowed := 0, 0
+	var named []*worker
 	for _, id := range a.Workers {
 		w := p.workers[id]
 		if w == nil {
 			continue
 		}
 		if w.mark != p.marks || w.markedAs == markDenied {
-			w.mark, w.markedAs = p.marks, named
-			asked = append(asked, w)
+			w.mark, w.markedAs = p.marks, markNamed
+			named = append(named, w)
 		}
 	}
-	fresh = len(asked)
+	answered = len(named)
 	for _, t := range tickets {
 		w := p.workers[t.Worker]
 		if w == nil {
 			continue
 		}
-		if w.mark == p.marks && w.markedAs == named {
+		if w.mark == p.marks && w.markedAs == markNamed {
 			allowed++
 			w.markedAs = markKnown
 		}
-		s.known.allow(permit{w, t.Value, sent.Add(valid)})
+		s.known.allow(permit{w, t.Value, requested.Add(valid)})
 	}
-	for _, w := range asked {
-		if w.markedAs == named && !s.known.isDenied(w) {
+	for _, w := range named {
+		if w.markedAs == markNamed && !s.known.isDenied(w) {
 			s.known.denied = append(s.known.denied, w)
 		}
 	}
 	if q := s.job.queue; q != nil {
 		q.turnaround += time.Duration(turnStep * float64(p.now().Sub(a.Asked)-q.turnaround))
 	}
-	if fresh > 0 && s.job.queue != nil {
+	if answered > 0 && s.job.queue != nil {
 		q := s.job.queue
-		q.share += shareStep * (float64(allowed)/float64(fresh) - q.share)
+		q.share += shareStep * (float64(allowed)/float64(answered) - q.share)
 	}
 }
 
-// AdviceFailed notes that a question got no answer.
+// AdviceFailed schedules a retry of a request that failed.
 func (p *Planner) AdviceFailed(a Ask) {
 	if s := p.asked(a); s != nil {
 		s.known.retry = p.now().Add(askAgain)
 	}
 }
 
+// takeRequest returns the step that a request is about, if it still exists, and marks the request
+// as no longer pending.
 func (p *Planner) asked(a Ask) *step {
 	j := p.jobs[a.Phase.Job]
 	if j == nil {
--- a/coord/fleet/ahead.go
+++ b/coord/fleet/ahead.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// aheadPart is the part of a ticket's time that may pass until the step that it is asked for
-// is expected to start.
+// aheadFraction is the largest fraction of a ticket's validity that may pass before the step it is
+// requested for is expected to start.
 const aheadPart = 0.5
 
-// anticipate lists the steps of urgent work that come after a step all of whose tasks run
-// or have ended. Questions about other work take lanes for longer than they save it time.
+// anticipate lists the urgent steps that follow a step whose tasks all run or have ended. For
+// other work, such requests would occupy lanes for longer than the time they save.
 func (s *step) anticipate() {
 	if !s.job.quick() || s.job.queue.Advice == nil {
 		return
@@ -20,8 +20,8 @@
 	}
 }
 
-// askAhead asks about steps that will start soon, with what openings are left: their
-// tickets are there when the steps before have ended, and still good then.
+// requestAhead sends requests about steps that will start soon, within what is left of the quota,
+// so that their tickets have arrived when the preceding steps end and are still valid then.
 func (p *Planner) askAhead(now time.Time) {
 	kept := p.ahead[:0]
 	for _, s := range p.ahead {
@@ -42,8 +42,8 @@
 	p.ahead = kept
 }
 
-// startsIn returns after how long the steps before are expected to have ended, and whether
-// all their tasks run or have ended.
+// startsIn returns how long the preceding steps are expected to take from now, and whether that is
+// known: all their tasks must run or have ended.
 func (s *step) startsIn(now time.Time) (time.Duration, bool) {
 	left := time.Duration(0)
 	for _, a := range s.after {
--- a/coord/fleet/ahead_test.go
+++ b/coord/fleet/ahead_test.go
@@ -10,8 +10,8 @@
 	"plantainwinch/winch"
 )
 
-// A job's second phase asks the advice service only when the first has ended, and its caller
-// waits for the answer. The tickets could have been there.
+// Guards against a job's second phase requesting advice only when the first has ended, so that the
+// job's caller waits for a response that could have been there by then.
 func TestNextPhaseIsAskedAboutWhileTheFirstRuns(t *testing.T) {
 	for _, ahead := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// answerWith allows all workers that are asked about for a phase.
+// answerPhase allows all workers named in the requests about a phase.
 func answerWith(c *cell, phase int) {
 	for _, a := range c.planner.Asks() {
 		if a.Phase.Phase != phase {
@@ -52,8 +52,8 @@
 	}
 }
 
-// A phase that takes long is not asked about until its end is near: the tickets would be
-// over.
+// Advice about the phase after a long one must be requested only when the end of the long one is
+// near, as the tickets would expire before.
 func TestNextPhaseIsNotAskedAboutTooSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/bench_test.go
+++ b/coord/fleet/bench_test.go
@@ -9,8 +9,8 @@
 	"plantainwinch/winch"
 )
 
-// BenchmarkSchedule measures one decision at several sizes, while few and while many tasks
-// wait in jobs of several kinds, and questions to the advice service are out.
+// BenchmarkSchedule measures one decision at several sizes, while few and while many tasks of
+// several kinds of jobs wait and advice requests are pending.
 func BenchmarkSchedule(b *testing.B) {
 	for _, workers := range []int{48, 350, 1100, 3000} {
 		for _, waiting := range []int{2000, 20_000} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// answerAll allows every fourth worker that was asked about.
+// answerAll allows every fourth worker named in the pending requests.
 func answerAll(p *Planner) {
 	for _, a := range p.Asks() {
 		var tickets []winch.Ticket
@@ -47,7 +47,7 @@
 	}
 }
 
-// waitingPlanner returns a planner whose workers are full, with tasks that wait.
+// waitingPlanner returns a planner with full workers and waiting tasks.
 func waitingPlanner(workers, waiting int, advised bool) *Planner {
 	p := New(1)
 	queues := []winch.Queue{urgentQueue(), usualQueue()}
--- a/coord/fleet/demand.go
+++ b/coord/fleet/demand.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// peakHalf is how long it takes until half of a past peak of urgent demand is
-	// not kept free any more. Urgent jobs run for seconds and come in waves of some
-	// ten seconds; room kept free for much longer than that would stand idle.
+	// peakHalfLife is the half-life of a past peak of urgent demand. Urgent jobs run for seconds
+	// and come in waves of some ten seconds; capacity reserved for much longer than that would
+	// stay idle.
 	peakHalf = 6 * time.Second
-	// poolPart is the most of the room of a service's workers that is kept free for
-	// urgent work: one team that sends many times its usual would else keep all other work
-	// waiting beside idle machines. Of its own limit a team's urgent work may have
-	// all kept free: long work started there delays the next burst by seconds.
+	// maxPoolReserve is the largest fraction of the capacity of a service's workers that is
+	// reserved for urgent work; otherwise one team that sends many times its usual load would keep
+	// all other work waiting beside idle machines. Of its own limit, a team's urgent work may have
+	// everything reserved (maxTeamReserve): long work started there would delay the next burst by
+	// seconds.
 	poolPart = 0.5
 	teamPart = 1.0
 )
 
-// pool is the workers of one service.
+// pool is the set of workers of one service.
 type pool struct {
-	// room is that of all usable workers, free what of it was free at the last
+	// capacity is the total of all usable workers; free is what was free of it at the last
 	// Schedule, less what has been started since.
 	room, free winch.Room
 	urgent     demand
 	// workers are those that may be given work, by ID, as of the last Schedule.
 	workers []*worker
-	// most is the largest free room of each kind at any of them as of the last Schedule:
-	// what does not fit into it fits nowhere.
+	// maxFree is the largest free capacity of each kind at any one worker as of the last Schedule:
+	// a task that exceeds it fits nowhere.
 	most winch.Room
-	// misses are the shapes that no worker had room for in the last Schedule.
+	// misses are the shapes that no worker had capacity for in the last Schedule.
 	misses []shape
 }
 
@@ -47,62 +48,63 @@
 	return x
 }
 
-// demand is how much urgent work a team, or a service, has lately wanted to
-// run at once. Work that is not urgent leaves that much free: it runs for long,
-// and an urgent task that finds the limit reached by it would wait for its end.
+// demand is how much urgent work of a team or a service has recently wanted to run at once. Other
+// work leaves that much capacity free: it runs for long, and an urgent task that found the limit
+// reached because of it would have to wait for its end.
 type demand struct {
-	used winch.Room // used is what runs of it now.
-	want winch.Room // want adds what waits.
+	used winch.Room // used is what runs now.
+	want winch.Room // wanted is used plus what waits.
 	peak winch.Room
 	at   time.Time
 }
 
-// begin starts a new count of what is wanted.
+// beginCount starts a new count of the wanted capacity.
 func (d *demand) begin() {
 	d.want = d.used
 }
 
-// end takes the count over into the peak.
+// endCount updates the decaying peak with the new count.
 func (d *demand) end(now time.Time) {
-	keep := 1.0
+	decay := 1.0
 	if !d.at.IsZero() {
-		keep = math.Exp2(-now.Sub(d.at).Seconds() / peakHalf.Seconds())
+		decay = math.Exp2(-now.Sub(d.at).Seconds() / peakHalf.Seconds())
 	}
 	d.at = now
 	d.peak = winch.Room{
-		Milli:        max(d.want.Milli, int64(keep*float64(d.peak.Milli))),
-		Memory:       max(d.want.Memory, winch.Bytes(keep*float64(d.peak.Memory))),
-		Accelerators: max(d.want.Accelerators, int(keep*float64(d.peak.Accelerators))),
+		Milli:        max(d.want.Milli, int64(decay*float64(d.peak.Milli))),
+		Memory:       max(d.want.Memory, winch.Bytes(decay*float64(d.peak.Memory))),
+		Accelerators: max(d.want.Accelerators, int(decay*float64(d.peak.Accelerators))),
 	}
 }
 
-// reserve is what is to be left free of a limit or of all room, at most a part.
-func (d *demand) reserve(whole winch.Room, part float64) winch.Room {
+// reserve returns how much of the whole, a limit or a capacity, to leave free for urgent work, at
+// most the given fraction of it.
+func (d *demand) reserve(whole winch.Room, fraction float64) winch.Room {
 	return winch.Room{
-		Milli:        max(0, min(d.peak.Milli, share(whole.Milli, part))-d.used.Milli),
-		Memory:       max(0, min(d.peak.Memory, share(whole.Memory, part))-d.used.Memory),
-		Accelerators: max(0, min(d.peak.Accelerators, share(whole.Accelerators, part))-d.used.Accelerators),
+		Milli:        max(0, min(d.peak.Milli, share(whole.Milli, fraction))-d.used.Milli),
+		Memory:       max(0, min(d.peak.Memory, share(whole.Memory, fraction))-d.used.Memory),
+		Accelerators: max(0, min(d.peak.Accelerators, share(whole.Accelerators, fraction))-d.used.Accelerators),
 	}
 }
 
-func share[T ~int | ~int64](whole T, part float64) T {
-	return T(part * float64(whole))
+func share[T ~int | ~int64](whole T, fraction float64) T {
+	return T(fraction * float64(whole))
 }
 
-// quick reports whether the job is of a queue whose work is urgent. It runs for
-// seconds at most, so it need not leave room free for others of its kind.
+// inUrgentQueue reports whether the job's queue is for urgent work. Such a job runs for seconds at
+// most, so it need not leave capacity free for other urgent work.
 func (j *job) quick() bool {
 	return j.queue != nil && j.queue.Priority == 0
 }
 
-// urgent reports whether the job comes before others. What a team hands in beyond
-// its share does not: the others would wait behind it.
+// urgent reports whether the job takes precedence over others. Jobs that a team submits beyond its
+// share do not, since the others would wait behind them.
 func (j *job) urgent() bool {
 	return j.quick() && !j.excess
 }
 
-// measure takes the room of all workers, puts the ready steps into their order, and counts
-// the urgent work of all teams.
+// measure updates the capacity of all pools, sorts the ready steps, and counts the urgent demand
+// of all services and teams.
 func (p *Planner) measure(now time.Time, adopting bool) {
 	for _, x := range p.pools {
 		x.urgent.begin()
@@ -123,7 +125,7 @@
 	}
 }
 
-// measureRoom takes the room of the workers that may be given work.
+// measurePools updates the capacity of the workers that may be given work.
 func (p *Planner) measureRoom() {
 	if p.unsorted {
 		p.unsorted = false
@@ -142,16 +144,16 @@
 			service = w.vm.Service
 			x = p.pool(service)
 		}
-		left := w.free()
-		x.room, x.free = x.room.Add(w.vm.Room), x.free.Add(left)
+		free := w.free()
+		x.room, x.free = x.room.Add(w.vm.Room), x.free.Add(free)
 		x.workers = append(x.workers, w)
 		x.most = winch.Room{
-			Milli: max(x.most.Milli, left.Milli), Memory: max(x.most.Memory, left.Memory), Accelerators: max(x.most.Accelerators, left.Accelerators),
+			Milli: max(x.most.Milli, free.Milli), Memory: max(x.most.Memory, free.Memory), Accelerators: max(x.most.Accelerators, free.Accelerators),
 		}
 	}
 }
 
-// countWaiting adds what waits of a step to the demand of urgent work.
+// countWaiting adds the waiting tasks of a step to the demand of urgent work.
 func (p *Planner) countWaiting(s *step) {
 	if !s.job.urgent() {
 		return
@@ -162,12 +164,13 @@
 	}
 }
 
-// demands returns the demands that the job's work counts to.
+// demands returns the demands that the job's work counts towards.
 func (j *job) demands() [2]*demand {
 	return [2]*demand{&j.planner.pool(j.queue.Service).urgent, &j.team.urgent}
 }
 
-// countUrgent counts a run while it is one of urgent work, and takes it back else.
+// countUrgent adds a run to the used urgent capacity if on is set and the run is urgent, and
+// otherwise removes it.
 func (r *run) countUrgent(on bool) {
 	on = on && r.task != nil && !r.stopping && r.task.step.job.urgent()
 	if on == r.urgent {
@@ -183,7 +186,7 @@
 	}
 }
 
-// recountUrgent counts all runs anew: a configuration may have changed what is urgent.
+// recountUrgent recounts all runs, as a new configuration may have changed which work is urgent.
 func (p *Planner) recountUrgent() {
 	for _, x := range p.pools {
 		x.urgent.used = winch.Room{}
--- a/coord/fleet/gang.go
+++ b/coord/fleet/gang.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// gangWait bounds how long a gang may be incomplete before its members are
-// taken back; workers end a lone member after three seconds or more.
+// gangStartTimeout bounds how long a gang may be incomplete before its members are stopped.
+// Workers end a member that is alone after three seconds or more.
 const gangWait = 1500 * time.Millisecond
 
-// gangRun is the run that the members of a gang share. All members of a run
-// carry one number and one checkpoint.
+// gangRun is the run that the members of a gang share, with one number and one checkpoint.
 type gangRun struct {
 	number     uint64
 	checkpoint string
@@ -15,13 +14,13 @@
 	ending     bool
 }
 
-// fits reports whether a run found at a worker can belong to the step: members
-// of a gang share one run, other tasks have runs of their own.
+// acceptsRun reports whether a run found at a worker can belong to the step: members of a gang
+// share one run, other tasks have runs of their own.
 func (s *step) fits(number uint64) bool {
 	return !s.spec.Gang || s.gang.number == 0 || s.gang.number == number && !s.gang.ending
 }
 
-// adopt takes the run of a gang's member over.
+// adoptRun takes over the run of a gang member that an earlier planner started.
 func (s *step) adopt(number uint64) {
 	if s.spec.Gang && s.gang.number == 0 {
 		s.gang.number = number
@@ -29,8 +28,8 @@
 	}
 }
 
-// gangBroken takes note that a member's run ended otherwise than well: the
-// gang's run is over, and what is left of it is stopped.
+// gangMemberFailed handles a member's run that did not end successfully: the gang's run is over,
+// and the remaining members are stopped.
 func (p *Planner) gangBroken(r *run) {
 	if r == nil || r.task == nil || !r.task.step.spec.Gang {
 		return
@@ -50,8 +49,8 @@
 	}
 }
 
-// placeGang starts all members or none, and completes a run some of whose
-// members were refused.
+// placeGang starts all members of a gang or none, and retries members of the current run that were
+// refused.
 func (p *Planner) placeGang(s *step, now time.Time) {
 	if s.done > 0 {
 		return
@@ -75,7 +74,7 @@
 	}
 }
 
-// endGang takes a run back that cannot be completed.
+// stopGang stops a run that cannot be completed.
 func (p *Planner) endGang(s *step) {
 	s.gang.ending = true
 	for _, t := range s.tasks {
@@ -88,7 +87,7 @@
 func (p *Planner) startGang(s *step, now time.Time) {
 	for _, t := range s.tasks {
 		if !t.free() {
-			return // A member of the last run has not surely ended.
+			return // A member of the last run is not known to have ended.
 		}
 	}
 	x := s.tasks[0].suspicion()
@@ -115,7 +114,7 @@
 	}
 }
 
-// pickGang chooses a worker for each member, or returns nil if not all fit.
+// pickGang chooses a worker for each member, or returns nil if not all members fit.
 func (p *Planner) pickGang(s *step, now time.Time) []*worker {
 	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most) || !s.job.team.allows(s.wantsAtOnce()) {
 		return nil
--- a/coord/fleet/move.go
+++ b/coord/fleet/move.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// move stops tasks that last at workers that are about to leave, so that they start
-// elsewhere. Left there they would end with the worker, and as far as anybody knows
-// they could run on until its lease had lapsed: nobody would serve their users for
-// seconds, though the leave was announced. A task is stopped only once other workers
-// have room for it, and permits where they need them.
+// moveLasting stops lasting tasks at workers that are about to leave, so that they start
+// elsewhere. Otherwise they would end with the worker and, as the planner cannot know that, would
+// be restarted only after the worker's lease had expired: their users would get no service for
+// seconds although the leave was announced. A task is stopped only once other workers have
+// capacity for it, and the advice service's permission where it is needed.
 func (p *Planner) move(now time.Time) {
-	leaving := p.leaving()
-	steps := make([]*step, 0, len(leaving))
-	for s := range leaving {
+	leavingRuns := p.leaving()
+	steps := make([]*step, 0, len(leavingRuns))
+	for s := range leavingRuns {
 		steps = append(steps, s)
 	}
 	slices.SortFunc(steps, func(a, b *step) int {
 		return cmp.Or(cmp.Compare(a.job.rec.ID, b.job.rec.ID), cmp.Compare(a.phase, b.phase), cmp.Compare(a.k, b.k))
 	})
 	for _, s := range steps {
-		runs := leaving[s]
-		places := max(0, p.covered(s, now)-s.waiting)
-		for _, r := range runs[:min(places, len(runs))] {
+		runs := leavingRuns[s]
+		slots := max(0, p.covered(s, now)-s.waiting)
+		for _, r := range runs[:min(slots, len(runs))] {
 			p.stop(r)
 		}
-		if places < len(runs) {
-			p.advise(s, now, p.rank(s, now), len(runs)-places)
+		if slots < len(runs) {
+			p.advise(s, now, p.rank(s, now), len(runs)-slots)
 		}
 	}
 }
 
-// leaving returns the runs of tasks that last at workers that are about to leave.
+// runsToMove returns the runs of lasting tasks at workers that are about to leave.
 func (p *Planner) leaving() map[*step][]*run {
 	out := make(map[*step][]*run)
 	for _, w := range p.workers {
@@ -51,8 +51,8 @@
 	return out
 }
 
-// moves reports whether a run is to go on at another worker. The members of a gang
-// would all have to move.
+// movable reports whether a run is to continue at another worker. Gangs are not moved, since all
+// members would have to move.
 func (r *run) moves() bool {
 	if r.task == nil || r.stopping || !r.started {
 		return false
--- a/coord/fleet/move_test.go
+++ b/coord/fleet/move_test.go
@@ -11,14 +11,14 @@
 	"plantainwinch/winch"
 )
 
-// lasting returns a phase of tasks that last.
+// lastingPhase returns a phase with Lasting set.
 func lasting(count int, milli int64) winch.Phase {
 	phase := tasks(count, milli)
 	phase.Lasting = true
 	return phase
 }
 
-// list sets the platform's list, in which some workers drain.
+// setDraining makes the platform name the given workers, and no others, as draining.
 func (c *cell) list(draining ...string) {
 	var list []winch.WorkerVM
 	for id, w := range c.planner.workers {
@@ -32,7 +32,7 @@
 	c.planner.SetWorkers(list)
 }
 
-// at counts the runs at a worker.
+// runsAt counts the runs of a worker.
 func (c *cell) at(id string) int {
 	n := 0
 	for _, o := range c.running {
@@ -43,9 +43,9 @@
 	return n
 }
 
-// A worker is about to leave. The tasks that last there are moved while it still
-// runs, so that nobody has to wait until its lease has lapsed; other tasks may end
-// before it leaves and are left.
+// Guards against users of a lasting task waiting until the lease of a drained worker has expired.
+// The lasting tasks must move while the worker still runs; other tasks may end before it leaves
+// and must stay.
 func TestLastingTasksMoveFromADrainingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -64,8 +64,8 @@
 	})
 }
 
-// All workers but a full one are about to leave. A task that was stopped there would
-// run nowhere, so it stays for as long as the worker does.
+// All workers except one that is nearly full are about to leave. A task stopped there without
+// capacity elsewhere would run nowhere, so it must stay for as long as the worker does.
 func TestLastingTasksStayWhereNoOtherWorkerHasRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -78,15 +78,15 @@
 		c.list("w0", "w1")
 		c.step()
 		c.step()
-		is.Equal(len(c.running), 30) // Six of them fit into the third.
+		is.Equal(len(c.running), 30) // Six of them fit into the third worker.
 		is.Equal(c.at("w2"), 16)
 		c.step()
 		is.Equal(len(c.running), 30)
 	})
 }
 
-// A planner that may not start a task yet, since an earlier one may have, stops none
-// to move it: it would run nowhere until then.
+// A planner that may not start a task yet, because an earlier planner may have started it, must
+// not stop one to move it: the task would run nowhere until then.
 func TestNothingMovesWhileTheEarlierPlannersWorkIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,8 +107,8 @@
 	})
 }
 
-// Where the advice service says who may run a task, a permit is got before the task
-// is stopped: the answer takes longer than the move.
+// Where the advice service decides who may run a task, the planner must get permission before it
+// stops the task, since the response takes longer than the move.
 func TestAPermitIsGotBeforeATaskMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,7 +116,7 @@
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: 2 * time.Second}
 		c := newCell(t, 3, queue)
 		c.add("a", "preview", "choir", lasting(1, 1000))
-		answer := func() {
+		respond := func() {
 			for _, a := range c.planner.Asks() {
 				var tickets []winch.Ticket
 				for _, id := range a.Workers {
@@ -126,15 +126,15 @@
 			}
 		}
 		c.step()
-		answer()
+		respond()
 		c.step()
 		is.Equal(len(c.running), 1)
 		from := c.running[0].Worker
-		time.Sleep(5 * time.Second) // The tickets have run out.
+		time.Sleep(5 * time.Second) // The tickets have expired.
 		c.list(from)
 		c.step()
 		is.Equal(c.at(from), 1)
-		answer()
+		respond()
 		c.step()
 		is.Equal(len(c.running), 0)
 		c.step()
@@ -143,9 +143,9 @@
 	})
 }
 
-// A start was confirmed to a keeper that is gone; the planner hears of the run only
-// from the first lists to the next keeper. The run counts as one that has begun: it
-// is no task that waits, and it moves if its worker is about to leave.
+// A start was confirmed to a keeper that has ended, and the planner learns of the run only from
+// the first lists that the next keeper gets. The run must count as begun: its task does not wait,
+// and it moves if its worker is about to leave.
 func TestRunThatTheListsConfirmMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/permit.go
+++ b/coord/fleet/permit.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// advice is what is known of the workers that may run a step. Who may does not
-// change; a ticket ages, and ends with the worker's boot.
+// advice is what is known about which workers may run a step. Permission does not change; a ticket
+// expires, and ends with the worker's boot.
 type advice struct {
-	allowed []permit // allowed is in the order of the workers' IDs.
+	allowed []permit // allowed is sorted by worker ID.
 	denied  []*worker
 	asking  bool
-	asked   time.Time // asked is when the service was last asked.
+	asked   time.Time // requested is when the last request was sent.
 	retry   time.Time
 }
 
-// permit says that a step may run at a worker, with the ticket for a start there, which is
-// good until a time.
+// permit is the permission to run a step at a worker, with a ticket for a start there.
 type permit struct {
 	worker *worker
 	value  string
@@ -28,7 +27,7 @@
 	return now.Add(ticketMargin).Before(t.until)
 }
 
-// permit returns the permit for a worker; the zero one if there is none.
+// permitFor returns the element of allowed for a worker, or the zero value if there is none.
 func (a *advice) permit(w *worker) permit {
 	for i := range a.allowed {
 		if a.allowed[i].worker == w {
@@ -50,7 +49,7 @@
 	}
 }
 
-// allow takes a permit.
+// addPermit adds a permit or replaces the worker's previous one.
 func (a *advice) allow(t permit) {
 	for i := range a.allowed {
 		if a.allowed[i].worker == t.worker {
--- a/coord/fleet/pick.go
+++ b/coord/fleet/pick.go
@@ -7,33 +7,33 @@
 	"plantainwinch/winch"
 )
 
-// picker chooses workers for tasks of one step, the best first. It is made and used
-// within one Schedule.
+// picker chooses workers for tasks of one step, the best first. It is only valid within one
+// Schedule.
 type picker struct {
 	planner *Planner
 	step    *step
 	charge  winch.Room
-	// choices is a heap by score of the workers with room for a task.
+	// choices is a heap by score of the workers with free capacity for a task.
 	choices []choice
 }
 
 // choice is a worker that a task may be started at.
 type choice struct {
 	w     *worker
-	left  winch.Room // left is the room there that the step may use.
-	tasks int        // tasks is how many more of the step may run there.
+	left  winch.Room // free is the capacity there that the step may use.
+	tasks int        // maxTasks is the number of further tasks of the step that may run there.
 	score float64
 }
 
-// shape is what decides which workers have room for a task, where no advice is needed.
+// shape is what determines which workers have capacity for a task that needs no advice.
 type shape struct {
 	charge   winch.Room
 	label    string
 	estimate time.Duration
 }
 
-// covers reports whether no worker has room for a task of another shape if none has for
-// one of this.
+// covers reports whether a miss for shape x implies a miss for the other shape: a task of that
+// shape needs at least as much, on a worker with the same label, for at least as long.
 func (x shape) covers(other shape) bool {
 	return x.charge.Fits(other.charge) && (x.label == "" || x.label == other.label) && x.estimate <= other.estimate
 }
@@ -42,10 +42,10 @@
 	return shape{s.spec.Charge(), s.spec.Label, s.spec.Estimate}
 }
 
-// mostMisses bounds the shapes that are remembered as without room.
+// maxMisses bounds the number of shapes remembered per service as misses.
 const mostMisses = 16
 
-// missed reports whether it is known that no worker has room for a task of the step.
+// knownMiss reports whether it is known that no worker has capacity for a task of the step.
 func (p *Planner) missed(s *step) bool {
 	if s.job.queue.Advice != nil {
 		return false
@@ -59,8 +59,7 @@
 	return false
 }
 
-// noteMiss remembers until the next Schedule that no worker has room for a task of the
-// step.
+// recordMiss records until the next Schedule that no worker has capacity for a task of the step.
 func (p *Planner) noteMiss(s *step) {
 	x := p.pool(s.job.queue.Service)
 	if s.job.queue.Advice == nil && s.spec.MostPerVM == 0 && len(x.misses) < mostMisses {
@@ -75,12 +74,12 @@
 	}
 	counts := s.perWorker()
 	p.eachCandidate(s, now, func(w *worker) {
-		left := p.openRoom(s, w, now)
-		tasks := roomFor(s.spec.MostPerVM, counts[w])
-		if !k.charge.Fits(left) || tasks <= 0 {
+		free := p.openRoom(s, w, now)
+		maxTasks := roomFor(s.spec.MostPerVM, counts[w])
+		if !k.charge.Fits(free) || maxTasks <= 0 {
 			return
 		}
-		k.choices = append(k.choices, choice{w: w, left: left, tasks: tasks, score: p.score(s, w, left)})
+		k.choices = append(k.choices, choice{w: w, left: free, tasks: maxTasks, score: p.score(s, w, free)})
 	})
 	k.heapify()
 	if len(k.choices) == 0 {
@@ -89,8 +88,8 @@
 	return k
 }
 
-// eachCandidate calls f for the workers that may run the step now, whatever their room, in
-// the order of their IDs.
+// eachEligible calls f for the workers that may run the step now, regardless of their free
+// capacity, in the order of their IDs.
 func (p *Planner) eachCandidate(s *step, now time.Time, f func(*worker)) {
 	if s.job.queue.Advice == nil {
 		workers := p.pool(s.job.queue.Service).workers
@@ -111,8 +110,8 @@
 	}
 }
 
-// perWorker counts the runs of a step at each worker, stopping ones included, if that
-// matters.
+// runsPerWorker counts the runs of the step at each worker, including those being stopped. It
+// returns nil if the step has no limit per worker.
 func (s *step) perWorker() map[*worker]int {
 	if s.spec.MostPerVM == 0 {
 		return nil
@@ -126,8 +125,8 @@
 	return out
 }
 
-// best returns the index of the best choice for a task that is better not started at one
-// worker, or -1 if there is none.
+// best returns the index of the best choice for a task, or -1 if there is none. It skips the
+// worker to avoid if another one scores high enough.
 func (k *picker) best(avoid string) int {
 	n := len(k.choices)
 	if n == 0 {
@@ -146,7 +145,7 @@
 	return 0
 }
 
-// took notes that a task has been given to a choice.
+// assigned updates the choices after a task has been given to choice i.
 func (k *picker) took(i int) {
 	c := &k.choices[i]
 	c.left = c.left.Sub(k.charge)
@@ -211,10 +210,11 @@
 	}
 }
 
-// roomFor returns how many more tasks of a step may run at a worker that has some.
-func roomFor(most, running int) int {
-	if most == 0 {
+// remainingPerVM returns how many more tasks of a step may run at a worker, given the limit per
+// worker (0 is no limit) and the number of tasks that run there.
+func roomFor(limit, running int) int {
+	if limit == 0 {
 		return math.MaxInt
 	}
-	return most - running
+	return limit - running
 }
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// runsPerTerm is the room for run numbers in the term of one planner.
+	// runsPerTerm is the number of run numbers reserved for the term of one planner.
 	runsPerTerm = 10_000_000
-	// ticketMargin is how long a ticket must still be good when a start is
-	// ordered: the way to the worker takes a few milliseconds, more under load.
+	// ticketMargin is how long a ticket must still be valid when a start is ordered: the order
+	// takes a few milliseconds to reach the worker, more under load.
 	ticketMargin = 60 * time.Millisecond
 )
 
@@ -28,22 +28,22 @@
 	key   float64
 }
 
-// classes of waiting steps.
+// Classes of waiting steps.
 const (
 	rankUrgent = iota
 	rankLasting
-	rankUrgentLate // rankUrgentLate: urgent, but it will not be on time.
+	rankUrgentLate // rankUrgentLate is urgent work that will miss its objective.
 	rankUsual
-	rankExcess // rankExcess: beyond its team's share.
-	rankLate   // rankLate: so late that nobody waits for it any more; it still runs.
-	rankHeld   // rankHeld: it must not start yet.
+	rankExcess // rankExcess is work beyond its team's share.
+	rankLate   // rankAbandoned is work so late that its caller no longer waits for it; it still runs.
+	rankHeld   // rankHeld is work that must not start yet.
 )
 
-// The parts of a step's remaining chain of estimates that must still fit before
-// the objective, for the step to count as one that can be on time. Estimates and
-// workers are a fifth too slow or too fast. In an overload the work at the edge is
-// what is served, so what has not begun needs that much to spare; what has begun
-// is given up only when it can hardly be on time.
+// A step counts as able to meet its objective if its remaining chain of estimates, multiplied by
+// one of these factors, fits into the time left. Estimates and workers are off by a fifth in
+// either direction. In an overload, the steps that are served are those that barely meet their
+// objective, so work that has not begun needs that much spare time, while work that has begun is
+// given up only when it can hardly meet its objective.
 const (
 	chanceFresh = 1.2
 	chanceBegun = 0.8
@@ -54,35 +54,36 @@
 	objective := s.objective()
 	left := objective.Sub(now).Seconds()
 	slack := left - s.tail.Seconds()
-	limit := s.limit(objective)
+	deadline := s.limit(objective)
 	switch {
 	case s.spec.Lasting:
 		return rank{rankLasting, j.rec.Accepted.Sub(now).Seconds()}
-	case p.Policy.LateLast && now.After(limit):
+	case p.Policy.LateLast && now.After(deadline):
 		return rank{rankLate, slack}
 	case j.excess:
 		return rank{rankExcess, slack}
 	case p.Policy.Chance && j.urgent() && left < s.chance()*s.tail.Seconds():
-		// When more comes than fits, serving the latest first makes all late.
+		// In an overload, serving the work closest to its objective first makes all of it late.
 		return rank{rankUrgentLate, slack}
 	case j.urgent():
 		return rank{rankUrgent, slack}
 	case left < s.tail.Seconds()/2 && p.Policy.LastCall:
-		// It cannot be on time any more, but its caller still waits.
-		return rank{rankUsual, limit.Sub(now).Seconds() - s.tail.Seconds()}
+		// It can no longer meet its objective, but its caller still waits.
+		return rank{rankUsual, deadline.Sub(now).Seconds() - s.tail.Seconds()}
 	case left < s.tail.Seconds()/2:
 		return rank{rankUsual, 1e4 + slack}
 	}
 	return rank{rankUsual, slack}
 }
 
-// limit is when nobody waits for the job any more, for an objective of the step's run.
+// callerDeadline returns when the caller stops waiting for the job, given the objective of the
+// step's run.
 func (s *step) limit(objective time.Time) time.Time {
 	begin := s.begin()
 	return begin.Add(winch.LateFactor * objective.Sub(begin))
 }
 
-// chance returns the part of the remaining chain that must fit.
+// chainFactor returns the factor by which the remaining chain is multiplied.
 func (s *step) chance() float64 {
 	if s.job.begun {
 		return chanceBegun
@@ -90,21 +91,21 @@
 	return chanceFresh
 }
 
-// mostLooks bounds the workers that one Schedule looks at for steps that wait, so that a
-// decision takes some milliseconds however much waits. What is left is looked at first in
-// the next one; an eighth of the looks is for it.
+// maxLooks bounds the workers that one Schedule examines for waiting steps, so that a decision
+// takes a few milliseconds however many steps wait. The next Schedule resumes where the last one
+// stopped; one in resumeDivisor of its looks is reserved for the remaining steps.
 const (
 	mostLooks  = 100_000
 	resumePart = 8
 )
 
-// waiting is a step whose tasks may wait, with its rank as of the last Schedule.
+// waitingStep is a step that may have tasks to start, with its rank as of the last Schedule.
 type waiting struct {
 	step *step
 	rank rank
 }
 
-// Schedule starts what can start. It is called after events, at most every few
+// Schedule starts all tasks that can start. It is called after events, at most every few
 // milliseconds.
 func (p *Planner) Schedule() {
 	now := p.now()
@@ -124,20 +125,20 @@
 	p.counts.Looks += int64(p.looks)
 }
 
-// tryAll starts tasks of the ready steps, in their order, and asks and keeps room for
-// those that cannot start yet.
+// startReady starts tasks of the ready steps in order of rank. For those that cannot start yet it
+// requests advice and reserves capacity.
 func (p *Planner) tryAll(now time.Time) {
 	resume := p.resume
 	p.resume = nil
-	most := mostLooks - mostLooks/resumePart
+	limit := mostLooks - mostLooks/resumePart
 	for _, e := range p.ready {
 		if e.rank.class == rankHeld {
 			break
 		}
 		if e.step == resume {
-			most, resume = mostLooks, nil
+			limit, resume = mostLooks, nil
 		}
-		if p.looks >= most {
+		if p.looks >= limit {
 			if resume == nil {
 				p.resume = e.step
 				break
@@ -145,7 +146,7 @@
 			if p.resume == nil {
 				p.resume = e.step
 			}
-			continue // The step at which the last Schedule ended comes later.
+			continue // The step at which the last Schedule stopped comes later.
 		}
 		p.place(e.step, now)
 		p.reserve(e.step, now, e.rank)
@@ -154,8 +155,8 @@
 	}
 }
 
-// order brings the ready steps into their order, drops those that are not ready any
-// more, and adds what waits to the demand of urgent work.
+// sortReady sorts the ready steps by rank, drops those that are no longer ready, and adds waiting
+// tasks to the demand of urgent work.
 func (p *Planner) order(now time.Time, adopting bool) {
 	kept := p.ready[:0]
 	for _, e := range p.ready {
@@ -218,13 +219,13 @@
 	}
 }
 
-// hopeless reports whether no task of a step can start now, as far as is known without
-// looking at workers.
+// cannotStart reports whether it is known without examining workers that no task of the step can
+// start now.
 func (p *Planner) hopeless(s *step) bool {
 	return !s.job.team.allows(s.spec.Need) || !p.spare(s) || !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most)
 }
 
-// allows reports whether the team may have more running.
+// allows reports whether the team's limit allows it more running work.
 func (t *team) allows(more winch.Room) bool {
 	after := t.used.Add(more)
 	limit := t.Cap
@@ -233,7 +234,7 @@
 		(limit.Accelerators == 0 || after.Accelerators <= limit.Accelerators)
 }
 
-// placeTask starts a task at the best of some workers and reports whether there was one.
+// placeTask starts a task at the picker's best worker and reports whether there was one.
 func (p *Planner) placeTask(t *task, pick *picker, number uint64, checkpoint string) bool {
 	s := t.step
 	if !s.job.team.allows(s.spec.Need) || !p.spare(s) {
@@ -264,9 +265,9 @@
 	})
 }
 
-// spare reports whether a step may take what it needs: urgent and lasting work
-// may always, the rest leaves the reserve for urgent work free, of its team's
-// limit and of the room of its service's workers.
+// sparesUrgent reports whether the step may take what it needs without using capacity reserved for
+// urgent work. Urgent and lasting work always may; other work must leave the reserve free, both of
+// its team's limit and of the capacity of its service's workers.
 func (p *Planner) spare(s *step) bool {
 	if !p.Policy.UrgentRoom || s.job.quick() || s.spec.Lasting {
 		return true
@@ -276,12 +277,11 @@
 		return false
 	}
 	x := p.pool(s.job.queue.Service)
-	kept := x.urgent.reserve(x.room, poolPart)
-	return s.spec.Fills || kept == (winch.Room{}) || s.spec.Need.Add(kept).Fits(x.free)
+	reserved := x.urgent.reserve(x.room, poolPart)
+	return s.spec.Fills || reserved == (winch.Room{}) || s.spec.Need.Add(reserved).Fits(x.free)
 }
 
-// suits reports whether a worker may be given work and is of the kind that the
-// step needs.
+// suits reports whether a worker may be given work and is of the kind that the step needs.
 func (p *Planner) suits(s *step, w *worker, now time.Time) bool {
 	return w.usable() && !w.health.resting(now) && s.ofKind(w) && w.apart(s)
 }
@@ -291,26 +291,26 @@
 	return w.vm.Service == s.job.queue.Service && (s.spec.Label == "" || slices.Contains(w.vm.Labels, s.spec.Label))
 }
 
-// Weights of a worker's score; the share of free processors, 0 to 1, is the unit.
+// Penalties in a worker's score, in units of the worker's share of free processors (0 to 1).
 const (
-	// avoidCost keeps a task from the worker at which it failed last, if there is another.
+	// retryPenalty keeps a task away from the worker at which it last failed, if there is another.
 	avoidCost = 2.0
-	// farCost keeps a task near its data: elsewhere it takes several times as long.
+	// remotePenalty keeps a task near its data: elsewhere it takes several times as long.
 	farCost = 4.0
-	// besideCost keeps filling tasks from workers that serve, and the other way
-	// round: they disturb each other.
+	// interferencePenalty keeps filling tasks off workers with serving tasks and vice versa,
+	// because they slow each other down.
 	besideCost = 3.0
 )
 
 // score rates a worker for a task; the highest is best.
-func (p *Planner) score(s *step, w *worker, left winch.Room) float64 {
-	free := float64(left.Milli)
+func (p *Planner) score(s *step, w *worker, capacity winch.Room) float64 {
+	free := float64(capacity.Milli)
 	if s.spec.Fills {
 		free -= float64(w.fills)
 	}
 	score := free / float64(max(1, w.vm.Room.Milli))
 	if p.Policy.PackAccelerators && s.spec.Need.Accelerators > 0 {
-		score = -float64(left.Accelerators) / float64(max(1, w.vm.Room.Accelerators))
+		score = -float64(capacity.Accelerators) / float64(max(1, w.vm.Room.Accelerators))
 	}
 	if s.spec.Rack != "" && s.spec.Rack != w.vm.Rack {
 		score -= farCost
@@ -324,7 +324,7 @@
 	return score
 }
 
-// rackElsewhere reports whether the step already runs on another rack.
+// usesOtherRack reports whether the step already runs on a rack other than the given one.
 func (s *step) rackElsewhere(rack string) bool {
 	for _, t := range s.tasks {
 		if r := t.wanted(); r != nil && r.worker.vm.Rack != rack {
--- a/coord/fleet/policy.go
+++ b/coord/fleet/policy.go
@@ -7,41 +7,41 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Policy names the mechanisms by which the planner chooses who goes first and
-// where. Each can be switched off by itself, to see what it is worth.
+// Policy selects the mechanisms by which the planner decides in which order and where tasks run.
+// Each can be switched off separately to measure its effect.
 type Policy struct {
-	// LastCall ranks a job that has missed its objective by the time that is left
-	// until nobody waits for it any more.
+	// LastCall ranks a job that has missed its objective by the time left until its caller stops
+	// waiting.
 	LastCall bool
-	// PackAccelerators gives accelerators out where the fewest are free, so that
-	// whole workers stay free for tasks that need all of one.
+	// PackAccelerators places tasks that need accelerators where the fewest are free, so that
+	// whole workers stay free for tasks that need all accelerators of one.
 	PackAccelerators bool
-	// Reserve keeps room for gangs and large tasks that wait for it.
+	// Reserve reserves capacity for gangs and large tasks that wait for it.
 	Reserve bool
-	// AskAll asks about all workers at once where that costs little more than asking
-	// about some: who may run a step does not change.
+	// AskAll requests advice about all workers at once where that costs little more than about
+	// some, since the answer to which workers may run a step does not change.
 	AskAll bool
-	// Restart starts tasks elsewhere that stand still or are much slower than others.
+	// Restart restarts tasks elsewhere that are stuck or much slower than others.
 	Restart bool
-	// UrgentRoom keeps room free for urgent work.
+	// UrgentRoom reserves capacity for urgent work.
 	UrgentRoom bool
-	// Shares ranks what a team hands in beyond its share behind the rest.
+	// Shares ranks jobs that a team submits beyond its share behind other work.
 	Shares bool
-	// Chance ranks urgent work that cannot be on time behind what can.
+	// Chance ranks urgent work that cannot meet its objective behind work that can.
 	Chance bool
-	// LateLast ranks jobs that nobody waits for any more behind all others.
+	// LateLast ranks jobs whose callers no longer wait behind all others.
 	LateLast bool
-	// Ahead asks about a step while the steps before it run.
+	// Ahead requests advice about a step while the preceding steps run.
 	Ahead bool
-	// Moves moves lasting tasks from workers that are about to leave.
+	// Moves moves lasting tasks away from workers that are about to leave.
 	Moves bool
-	// Isolate starts tasks under which a worker crashed apart from others, and gives up
-	// those that crash another then. Without it, each task counts the crashes of all workers
-	// that it ran on.
+	// Isolate starts tasks under which a worker crashed separately from others, and gives up those
+	// that then crash another worker. Without it, each task counts the crashes of all workers that
+	// it ran on.
 	Isolate bool
 }
 
-// DefaultPolicy returns the policy that serves: all mechanisms.
+// DefaultPolicy returns the policy used in production: all mechanisms enabled.
 func DefaultPolicy() Policy {
 	return Policy{
 		LastCall: true, PackAccelerators: true, Reserve: true, AskAll: true, Restart: true,
@@ -59,8 +59,8 @@
 	return out
 }
 
-// Without returns the policy with a mechanism switched off, or an error that names
-// those there are.
+// Without returns the policy with a mechanism switched off, or an error that lists the mechanisms
+// if the name is unknown.
 func (p Policy) Without(name string) (Policy, error) {
 	field := reflect.ValueOf(&p).Elem().FieldByName(name)
 	if !field.IsValid() {
--- a/coord/fleet/policy_test.go
+++ b/coord/fleet/policy_test.go
@@ -12,7 +12,7 @@
 	"plantainwinch/winch"
 )
 
-// accelerated returns a cell of alike workers with eight accelerators each.
+// acceleratorCell returns a cell of identical workers with eight accelerators each.
 func accelerated(t *testing.T, workers int, queues ...winch.Queue) *cell {
 	c := newCell(t, workers, queues...)
 	for _, w := range c.planner.workers {
@@ -21,13 +21,13 @@
 	return c
 }
 
-// accelerators returns a phase of tasks that need accelerators, for a time.
+// acceleratorPhase returns a phase of tasks with the given accelerator need and estimate.
 func accelerators(count, each int, estimate time.Duration) winch.Phase {
 	return winch.Phase{Count: count, Need: winch.Room{Milli: 11_000, Memory: gigabyte, Accelerators: each}, Estimate: estimate}
 }
 
-// playUntil ends runs as their estimates say and decides every 50 ms, until a time or
-// until done holds. It calls each before each decision.
+// runUntil ends runs according to their estimates and schedules every 50 ms, until the time limit
+// or until done returns true. It calls each before each decision.
 func (c *cell) playUntil(limit time.Duration, each func(at time.Duration), done func() bool) time.Duration {
 	begin := time.Now()
 	for time.Since(begin) < limit && !done() {
@@ -46,39 +46,40 @@
 
 func never() bool { return false }
 
-// begun returns whether a job has begun.
+// begun returns a function that reports whether a job has begun.
 func (c *cell) begun(id string) func() bool {
 	return func() bool { return c.planner.jobs[id].begun }
 }
 
-// A job that missed its objective is put behind all that can still be on time, and its
-// caller waits in vain. The pattern: a quarter more comes than the worker can do.
+// Guards against a job that has missed its objective being ranked behind all jobs that can still
+// meet theirs, so that its caller waits in vain. It happens when a quarter more work arrives than
+// the worker can do.
 func TestJobBeyondItsObjectiveRunsWhileItsCallerWaits(t *testing.T) {
 	for _, lastCall := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			queue := usualQueue() // on time: 1.2 s and 2.2 times the work of 1 s.
+			queue := usualQueue() // Objective: 1.2 s plus 2.2 times the work of 1 s.
 			c := newCell(t, 1, queue)
 			c.planner.Policy.LastCall = lastCall
 			c.planner.Policy.UrgentRoom = false
 			n, begin := 0, time.Now()
-			come := func(time.Duration) {
-				for ; time.Duration(n)*400*time.Millisecond <= time.Since(begin); n++ { // 2.5 a second, 2 fit.
+			arrive := func(time.Duration) {
+				for ; time.Duration(n)*400*time.Millisecond <= time.Since(begin); n++ { // 2.5 jobs per second arrive, 2 fit.
 					c.add(fmt.Sprintf("j%03d", n), "mix", "duct", tasks(1, 8000))
 				}
 			}
-			c.playUntil(5*time.Second, come, never)
+			c.playUntil(5*time.Second, arrive, never)
 			c.add("held", "mix", "choir", tasks(1, 8000))
 			c.planner.jobs["held"].rec.Accepted = time.Now().Add(-3100 * time.Millisecond)
 			objective := 3400 * time.Millisecond
-			took := c.playUntil(20*time.Second, come, c.begun("held"))
+			took := c.playUntil(20*time.Second, arrive, c.begun("held"))
 			is.Equal(took+3100*time.Millisecond < winch.LateFactor*objective-time.Second, lastCall)
 		})
 	}
 }
 
-// Small tasks are spread over all workers, and none is whole for a gang that needs all
-// accelerators of two.
+// Guards against small tasks being spread over all workers, which leaves no whole worker for a
+// gang that needs all accelerators of two.
 func TestSmallTasksLeaveWholeWorkersToGangs(t *testing.T) {
 	for _, pack := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -95,8 +96,8 @@
 	}
 }
 
-// A gang that needs a whole worker is overtaken for ever by small tasks, each of which
-// takes an accelerator that has just come free.
+// Guards against starvation of a gang that needs a whole worker: small tasks overtake it, each
+// taking an accelerator that has just become free.
 func TestSmallTasksDoNotOvertakeAGangForEver(t *testing.T) {
 	for _, reserve := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -106,7 +107,7 @@
 			n := 0
 			begin := time.Now()
 			small := func(time.Duration) {
-				for ; time.Duration(n)*150*time.Millisecond <= time.Since(begin); n++ { // 13 of 16 accelerators
+				for ; time.Duration(n)*150*time.Millisecond <= time.Since(begin); n++ { // 13 of 16 accelerators.
 					c.add(fmt.Sprintf("s%03d", n), "mix", "choir", accelerators(1, 1, 2*time.Second))
 				}
 			}
@@ -116,13 +117,13 @@
 			gang.Gang = true
 			c.add("g", "mix", "choir", gang)
 			took := c.playUntil(30*time.Second, small, c.begun("g"))
-			is.Equal(took <= 1200*time.Millisecond+8800*time.Millisecond, reserve) // its objective
+			is.Equal(took <= 1200*time.Millisecond+8800*time.Millisecond, reserve) // The gang's objective.
 		})
 	}
 }
 
-// Room that is kept for a gang stands idle until the gang's last worker comes free,
-// though short tasks could use it meanwhile.
+// Guards against capacity reserved for a gang staying idle until the gang's last worker is free,
+// although short tasks could use it in the meantime.
 func TestShortTasksUseRoomThatIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -140,9 +141,9 @@
 	})
 }
 
-// Questions name only the few workers with room, and each time another few: a step that
-// is allowed at three workers of thirteen asks again and again. The cost of a question
-// is mostly the question itself.
+// Guards against requests that name only the few workers with free capacity, each time other ones:
+// a step that is allowed at three workers of thirteen would send request after request, although
+// most of a request's cost does not depend on the number of workers.
 func TestFirstQuestionNamesAllWorkersOfASmallService(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -156,15 +157,15 @@
 			c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{queue}, Teams: []winch.RegionTeam{{Name: "choir"}}})
 			c.add("b", "mix", "choir", accelerators(1, 8, time.Second))
 			c.step()
-			asks := c.planner.Asks()
-			is.Equal(len(asks), 1)
-			is.Equal(len(asks[0].Workers) == 13, all)
+			requests := c.planner.Asks()
+			is.Equal(len(requests), 1)
+			is.Equal(len(requests[0].Workers) == 13, all)
 		})
 	}
 }
 
-// Workers that are not allowed, or of which the question is dear, are not all asked
-// about: a question that costs more per worker than by itself stays short.
+// Guards against long requests where each worker adds much to the cost: a first request must then
+// name only the minimum number of workers.
 func TestDearQuestionNamesFewWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -173,14 +174,15 @@
 		c := newCell(t, 40, queue)
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		c.step()
-		asks := c.planner.Asks()
-		is.Equal(len(asks), 1)
-		is.Equal(len(asks[0].Workers), askLeast)
+		requests := c.planner.Asks()
+		is.Equal(len(requests), 1)
+		is.Equal(len(requests[0].Workers), askLeast)
 	})
 }
 
-// A ticket ages while a gang waits for room. The next question goes out in time for the
-// answer to come as the room does, and names only workers that allow the gang.
+// A ticket ages while a gang waits for capacity. The next request must be sent in time for the
+// response to arrive when the capacity becomes free, and must name only workers that allow the
+// gang.
 func TestTicketIsRenewedForTheTimeOfTheRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -193,7 +195,7 @@
 		gang := accelerators(1, 8, time.Second)
 		gang.Gang = true
 		c.add("g", "mix", "choir", gang)
-		var asked []time.Duration
+		var requested []time.Duration
 		var pending []Ask
 		took := c.playUntil(8*time.Second, func(at time.Duration) {
 			for _, a := range pending {
@@ -201,17 +203,17 @@
 			}
 			pending = c.planner.Asks()
 			for range pending {
-				asked = append(asked, at)
+				requested = append(requested, at)
 			}
 		}, c.begun("g"))
-		t.Log(asked, took)
-		is.True(took < 5200*time.Millisecond) // The room comes after 5 s.
-		is.True(len(asked) <= 4)
+		t.Log(requested, took)
+		is.True(took < 5200*time.Millisecond) // The capacity becomes free after 5 s.
+		is.True(len(requested) <= 4)
 	})
 }
 
-// A burst of urgent work at one service keeps the room of another service free, which
-// it cannot use.
+// Guards against a burst of urgent work at one service reserving capacity of another service,
+// which it cannot use.
 func TestUrgentWorkOfAnotherServiceKeepsNoRoomFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -226,7 +228,7 @@
 	})
 }
 
-// The record of a job's end tells what its time went into.
+// The record of a job's completion must say for how long its tasks waited for which reason.
 func TestEndingTellsWhatTheTimeWentInto(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/reserve.go
+++ b/coord/fleet/reserve.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// largePart is the part of a worker's room from which on a task counts as large:
-	// at most one more of its kind fits beside it.
+	// largeFraction is the fraction of a worker's capacity from which a task counts as large: at
+	// most one more task of its kind fits beside it.
 	largePart = 0.5
-	// replanTime is how long the places that were found for a step are kept.
+	// slotsTTL is how long computed slots and expected releases are reused.
 	replanTime = 20 * time.Millisecond
-	// mostPlanned bounds the steps that places are kept for in one Schedule, mostSearched
-	// those that places are looked for anew.
+	// maxPlannedSteps bounds the steps with reserved slots in one Schedule, maxSearchedSteps those
+	// whose slots are computed anew.
 	mostPlanned  = 64
 	mostSearched = 6
-	// stopSoon is how long a stopped run is expected to hold its room.
+	// expectedStopTime is how long a run that is being stopped is expected to hold its capacity.
 	stopSoon = 300 * time.Millisecond
-	// leastLeft is the least that a run is expected to take yet.
+	// minRemainingTime is the minimum time that a run is expected to take from now.
 	leastLeft = 50 * time.Millisecond
 )
 
-// reservation is room of a worker that is kept for a step which waits for it.
+// reservation is capacity of a worker that is reserved for waiting steps.
 type reservation struct {
 	room winch.Room
-	from time.Time // from is when the step is expected to use it.
+	from time.Time // from is when the first of the steps is expected to use it.
 }
 
-// slot is a place for one task of a step.
+// slot is space for one task of a step at a worker.
 type slot struct {
 	w  *worker
-	at time.Time // at is when there is expected to be room.
+	at time.Time // at is when the slot is expected to be free.
 }
 
-// reserve keeps room for a step that waits for several places at once, or for a large
-// part of a worker: as small tasks end, others would take their room one by one, and the
-// step would wait as long as any of them come. What ends before the step is expected to
-// start may still use the room.
+// reserve reserves capacity for a step that waits for several slots at once or for a large part of
+// a worker. Otherwise small tasks would take the capacity piece by piece as it becomes free, and
+// the step would wait for as long as small tasks keep arriving. Tasks that end before the step is
+// expected to start may still use the capacity.
 func (p *Planner) reserve(s *step, now time.Time, r rank) {
 	if !p.Policy.Reserve || p.planned >= mostPlanned || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.wantsAtOnce()) || !p.spare(s) {
 		s.slots = nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// findSlots looks for places for all tasks of a step that wait; a gang takes all or none.
+// findSlots finds slots for all waiting tasks of a step; a gang takes all or none.
 func (p *Planner) findSlots(s *step, now time.Time) {
 	wants := s.waiting
 	if s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
@@ -71,26 +71,26 @@
 	s.slots = s.slots[:min(wants, len(s.slots))]
 }
 
-// keepRoom keeps the room at a step's places from the steps that come after it, from
-// when the last place is expected to come free and the step to have its tickets.
+// reserveSlots reserves the capacity of a step's slots against the steps ranked after it, from
+// when the last slot is expected to be free and the step to have its tickets.
 func (p *Planner) keepRoom(s *step, now time.Time) {
 	from := s.slots[len(s.slots)-1].at
-	if until := s.known.answerBy(s.job.queue, now); from.Before(until) {
-		from = until
+	if response := s.known.answerBy(s.job.queue, now); from.Before(response) {
+		from = response
 	}
 	for _, x := range s.slots {
-		h := &x.w.kept
-		if h.from.IsZero() {
+		reserved := &x.w.kept
+		if reserved.from.IsZero() {
 			p.kept = append(p.kept, x.w)
 		}
-		if h.from.IsZero() || from.Before(h.from) {
-			h.from = from
+		if reserved.from.IsZero() || from.Before(reserved.from) {
+			reserved.from = from
 		}
-		h.room = h.room.Add(s.spec.Charge())
+		reserved.room = reserved.room.Add(s.spec.Charge())
 	}
 }
 
-// clearKept drops the room that was kept in the last Schedule.
+// clearReservations drops the reservations of the last Schedule.
 func (p *Planner) clearKept() {
 	for _, w := range p.kept {
 		w.kept = reservation{}
@@ -101,18 +101,18 @@
 
 // large reports whether a task of the step takes a large part of a worker.
 func (s *step) large(w *worker) bool {
-	need, room := s.spec.Charge(), w.vm.Room
-	return float64(need.Milli) >= largePart*float64(room.Milli) ||
-		float64(need.Memory) >= largePart*float64(room.Memory) ||
-		need.Accelerators > 0 && float64(need.Accelerators) >= largePart*float64(room.Accelerators)
+	need, capacity := s.spec.Charge(), w.vm.Room
+	return float64(need.Milli) >= largePart*float64(capacity.Milli) ||
+		float64(need.Memory) >= largePart*float64(capacity.Memory) ||
+		need.Accelerators > 0 && float64(need.Accelerators) >= largePart*float64(capacity.Accelerators)
 }
 
-// slots returns places for up to some tasks of a step at workers that it is known to be
-// allowed at, those that come free first first.
-func (p *Planner) slots(s *step, now time.Time, most int) []slot {
-	out := topK[slot]{most: most, before: earlier}
+// earliestSlots returns a slot for each of at most limit tasks of the step, at workers where it is
+// known to be allowed, those that become free earliest first.
+func (p *Planner) slots(s *step, now time.Time, limit int) []slot {
+	out := topK[slot]{most: limit, before: earlier}
 	counts := s.perWorker()
-	look := func(w *worker) {
+	add := func(w *worker) {
 		if p.suits(s, w, now) {
 			s.slotsAt(&out, w, now, roomFor(s.spec.MostPerVM, counts[w]))
 		}
@@ -121,46 +121,47 @@
 		workers := p.pool(s.job.queue.Service).workers
 		p.looks += len(workers)
 		for _, w := range workers {
-			look(w)
+			add(w)
 		}
 	} else {
 		p.looks += len(s.known.allowed)
 		for i := range s.known.allowed {
-			look(s.known.allowed[i].worker)
+			add(s.known.allowed[i].worker)
 		}
 	}
 	return out.list
 }
 
-// earlier reports whether a place comes free before another.
+// earlierSlot reports whether slot a becomes free before slot b.
 func earlier(a, b slot) bool {
 	return a.at.Before(b.at) || a.at.Equal(b.at) && a.w.order < b.w.order
 }
 
-// slotsAt adds the places at one worker, at most some.
-func (s *step) slotsAt(out *topK[slot], w *worker, now time.Time, most int) {
-	left := w.free().Sub(w.kept.room)
+// addSlots adds the slots at one worker, at most the given number.
+func (s *step) slotsAt(out *topK[slot], w *worker, now time.Time, limit int) {
+	free := w.free().Sub(w.kept.room)
 	n := 0
 	add := func(at time.Time) {
-		for fits := s.fitInto(left, most); n < fits; n++ {
+		for fits := s.fitInto(free, limit); n < fits; n++ {
 			out.add(slot{w, at})
 		}
 	}
 	add(now)
-	for _, e := range w.expected(now) {
-		left = left.Add(e.room)
-		add(later(e.at, now.Add(leastLeft)))
+	for _, release := range w.expected(now) {
+		free = free.Add(release.room)
+		add(later(release.at, now.Add(leastLeft)))
 	}
 }
 
-// expectedEnd is room that is expected to come free.
+// expectedRelease is capacity that is expected to become free.
 type expectedEnd struct {
 	at   time.Time
 	room winch.Room
 }
 
-// expected returns the ends that are expected at a worker, the first first. They are
-// worked out anew when its runs have changed or after a while.
+// expectedReleases returns the capacity that is likely to become free at the worker, with the
+// times, the earliest first. The list is computed anew when the worker's runs have changed or
+// after slotsTTL.
 func (w *worker) expected(now time.Time) []expectedEnd {
 	if w.endsOf == w.changes && now.Sub(w.endsAt) < replanTime {
 		return w.expects
@@ -178,35 +179,35 @@
 	return out
 }
 
-// expectedEnd returns when a run is expected to end: by its progress if it has told
-// one, else by its estimate. Runs that last, and those of unknown jobs, are not
+// expectedCompletion returns when a run is expected to end: extrapolated from its progress if it
+// has reported any, otherwise from its estimate. Runs of lasting tasks and of unknown jobs are not
 // expected to end.
 func (r *run) expectedEnd(now time.Time) (time.Time, bool) {
-	least := now.Add(leastLeft)
+	earliest := now.Add(leastLeft)
 	switch {
 	case r.stopping:
-		return later(r.until.Add(stopSoon), least), true
+		return later(r.until.Add(stopSoon), earliest), true
 	case r.task == nil || r.task.step.spec.Lasting:
 		return time.Time{}, false
 	}
-	took := r.task.step.spec.Estimate
+	duration := r.task.step.spec.Estimate
 	if r.percent > 0 && r.moved.After(r.since) {
-		took = time.Duration(float64(r.moved.Sub(r.since)) * 100 / r.percent)
+		duration = time.Duration(float64(r.moved.Sub(r.since)) * 100 / r.percent)
 	}
-	return later(r.since.Add(took), least), true
+	return later(r.since.Add(duration), earliest), true
 }
 
-// openRoom returns the room of a worker that a step may use now.
+// availableCapacity returns the capacity of a worker that a step may use now.
 func (p *Planner) openRoom(s *step, w *worker, now time.Time) winch.Room {
-	left := w.free()
+	free := w.free()
 	if w.kept.from.IsZero() || now.Add(s.spec.Estimate).Before(w.kept.from) {
-		return left
+		return free
 	}
-	return left.Sub(w.kept.room)
+	return free.Sub(w.kept.room)
 }
 
-// answerBy is when an answer to a question about the step is expected; the zero time
-// if it needs none now.
+// responseExpected returns when the response to an advice request about the step is expected, or
+// the zero time if the step needs none now.
 func (a *advice) answerBy(q *queue, now time.Time) time.Time {
 	if q.Advice == nil {
 		return time.Time{}
--- a/coord/fleet/slow.go
+++ b/coord/fleet/slow.go
@@ -6,45 +6,44 @@
 )
 
 const (
-	// stillTime is how long a run may report no progress until it counts as one that
-	// stands still.
+	// noProgressTimeout is how long a run may report no progress until it counts as stuck.
 	stillTime = time.Second
-	// slowFactor is how many times as long as its siblings a run may take.
+	// slowFactor is how many times slower than its siblings a run may be.
 	slowFactor = 3.0
-	// judgeAfter is the least time over which a run's speed is judged.
+	// minRateTime is the minimum time over which a run's rate of progress is measured.
 	judgeAfter = 700 * time.Millisecond
-	// restartTime is what a restart costs beside the work: the stop, and a new ticket.
+	// restartCost is what a restart costs in addition to the work: the stop and a new ticket.
 	restartTime = time.Second
-	// mostRestarts bounds how often one task is moved since it was slow.
+	// maxRestarts bounds how often one task is restarted because it was slow.
 	mostRestarts = 2
-	// usualTime is how long the usual speed of a step's tasks is taken to hold, leastRates
-	// of how many tasks it has to be known.
+	// medianRateTTL is how long the median rate of a step's tasks is reused; minRates is the
+	// number of tasks whose rates must be known.
 	usualTime  = 200 * time.Millisecond
 	leastRates = 3
-	// slowRest is how long a worker gets no new work that is slower than others or
-	// stands still; what runs there goes on being judged.
+	// slowQuarantine is how long a worker with slow or stuck runs gets no new work; the runs there
+	// are still checked.
 	slowRest = 2 * time.Second
 )
 
-// judgeSpeed looks at the progress of the runs at a worker. Where most are much slower
-// than the other tasks of their steps, or stand still, the worker gets no new work for
-// a while, and what would end sooner elsewhere is started there.
+// checkProgress checks the progress of the runs at a worker. If at least half of those with a
+// known rate are stuck or much slower than the other tasks of their steps, the worker gets no new
+// work for a while, and tasks that would end sooner elsewhere are restarted there.
 func (p *Planner) judgeSpeed(w *worker, now time.Time) {
 	if !p.Policy.Restart {
 		return
 	}
-	judged := 0
+	rated := 0
 	var slow []*run
 	for _, r := range w.runs {
 		known, isSlow := r.slow(now)
 		if known {
-			judged++
+			rated++
 		}
 		if isSlow {
 			slow = append(slow, r)
 		}
 	}
-	if len(slow) == 0 || 2*len(slow) < judged {
+	if len(slow) == 0 || 2*len(slow) < rated {
 		return
 	}
 	w.health.rest(now, slowRest)
@@ -54,8 +53,8 @@
 	}
 }
 
-// slow reports whether a run's speed is known, and whether it is much slower than the
-// other tasks of its step.
+// isSlow reports whether a run's rate of progress is known, and whether it is stuck or much slower
+// than the other tasks of its step.
 func (r *run) slow(now time.Time) (known, slow bool) {
 	if r.task == nil || !r.started || r.stopping || r.task.step.spec.Lasting || r.fills() || now.Sub(r.since) < judgeAfter {
 		return false, false
@@ -64,24 +63,24 @@
 		return true, true
 	}
 	rate, ok := r.rate(now)
-	usual, most := r.task.step.usualRate(now)
-	if !ok || !most {
+	median, enough := r.task.step.usualRate(now)
+	if !ok || !enough {
 		return ok, false
 	}
-	return true, rate*slowFactor < usual
+	return true, rate*slowFactor < median
 }
 
-// rate is the progress of a run in percent a second, and whether it is known.
+// rate returns the progress of a run in percent per second, and whether it is known.
 func (r *run) rate(now time.Time) (float64, bool) {
-	d := now.Sub(r.baseAt)
-	if r.baseAt.IsZero() || d < judgeAfter {
+	elapsed := now.Sub(r.baseAt)
+	if r.baseAt.IsZero() || elapsed < judgeAfter {
 		return 0, false
 	}
-	return (r.percent - r.base) / d.Seconds(), true
+	return (r.percent - r.base) / elapsed.Seconds(), true
 }
 
-// usualRate is the median rate of a step's tasks, those that have ended included, and
-// whether that of enough is known. It is worked out anew after a while.
+// cachedMedianRate returns the median rate of a step's tasks, including those that have ended, and
+// whether enough rates are known. The rate is recomputed after medianRateTTL.
 func (s *step) usualRate(now time.Time) (float64, bool) {
 	if s.usualAt.IsZero() || now.Sub(s.usualAt) >= usualTime {
 		s.usual, s.usualOf = s.medianRate(now)
@@ -90,7 +89,7 @@
 	return s.usual, s.usualOf >= leastRates
 }
 
-// medianRate returns the median rate, and of how many it is.
+// medianRate returns the median rate and the number of rates it is computed from.
 func (s *step) medianRate(now time.Time) (float64, int) {
 	var rates []float64
 	for _, t := range s.tasks {
@@ -110,8 +109,8 @@
 	return rates[len(rates)/2], len(rates)
 }
 
-// restart stops a slow run, so that its task starts elsewhere, if it would end sooner
-// there and another worker has room for it.
+// restart stops a slow run, so that its task starts elsewhere, if it would end sooner there and
+// another worker has capacity for it.
 func (p *Planner) restart(r *run, now time.Time) {
 	t := r.task
 	s := t.step
@@ -121,14 +120,14 @@
 	if s.spec.Gang && len(s.tasks) > 1 || t.restarts >= mostRestarts || s.job.cancelled || s.job.state.Final() || s.job.queue == nil {
 		return
 	}
-	again := s.spec.Estimate
+	rerun := s.spec.Estimate
 	if s.samples > 0 {
-		again = s.took
+		rerun = s.took
 	}
 	if s.spec.Checkpoints {
-		again = time.Duration(float64(again) * (100 - r.percent) / 100)
+		rerun = time.Duration(float64(rerun) * (100 - r.percent) / 100)
 	}
-	if rate, ok := r.rate(now); ok && rate > 0 && (100-r.percent)/rate < (again+restartTime).Seconds() {
+	if rate, ok := r.rate(now); ok && rate > 0 && (100-r.percent)/rate < (rerun+restartTime).Seconds() {
 		return
 	}
 	if !p.elsewhere(s, r.worker, now) {
@@ -140,12 +139,12 @@
 	p.stop(r)
 }
 
-// elsewhere reports whether another worker that a step is known to be allowed at has
-// room for a task of it.
-func (p *Planner) elsewhere(s *step, not *worker, now time.Time) bool {
+// fitsElsewhere reports whether another worker, at which the step is known to be allowed, has
+// capacity for a task of it.
+func (p *Planner) elsewhere(s *step, except *worker, now time.Time) bool {
 	counts := s.perWorker()
 	fits := func(w *worker) bool {
-		return w != not && p.suits(s, w, now) && s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w])) > 0
+		return w != except && p.suits(s, w, now) && s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w])) > 0
 	}
 	if s.job.queue.Advice != nil {
 		return slices.ContainsFunc(s.known.allowed, func(t permit) bool { return fits(t.worker) })
--- a/coord/fleet/slow_test.go
+++ b/coord/fleet/slow_test.go
@@ -11,8 +11,9 @@
 	"plantainwinch/winch"
 )
 
-// report has each worker tell the progress of its runs, as rate says in percent a
-// second, every half a second for some time. It decides and returns the starts.
+// reportProgress makes each worker send the progress of its runs every half a second for the given
+// time, at the given rate in percent per second. It schedules after each update and returns the
+// starts.
 func (c *cell) report(length time.Duration, rate func(worker string) float64) []proto.Order {
 	var starts []proto.Order
 	done := make(map[runKey]float64)
@@ -32,7 +33,7 @@
 	return starts
 }
 
-// startOnTwo starts a job of four tasks on two workers, and returns one of these.
+// startOnTwo starts a job of four tasks on two workers and returns the ID of one of them.
 func startOnTwo(c *cell, estimate time.Duration) string {
 	phase := tasks(4, 1000)
 	phase.Estimate, phase.MostPerVM = estimate, 2
@@ -40,8 +41,8 @@
 	return c.step()[0].Worker
 }
 
-// Tasks on a worker stand still. Its answers are good, so nothing else would ever end
-// them, and the job is never done.
+// Guards against a job that never ends because tasks on one worker are stuck. The worker's
+// responses are fine, so nothing else would end the tasks.
 func TestTaskThatStandsStillIsStartedElsewhere(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// A worker turns slow, and a step waits for it while other workers are idle.
+// Guards against a step waiting for a worker that has become slow while other workers are idle.
 func TestTaskOfASlowWorkerIsStartedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -82,7 +83,8 @@
 	})
 }
 
-// Estimates are wrong by several times; that is no sign of a slow worker.
+// Estimates may be wrong by a factor of several; that alone must not count as a sign of a slow
+// worker.
 func TestTasksThatAreLongerThanTheirEstimateStay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -92,7 +94,7 @@
 	})
 }
 
-// Work that stands still everywhere is stopped and started for ever.
+// Guards against tasks that are stuck at every worker being stopped and restarted forever.
 func TestTaskThatStandsStillEverywhereIsLeftAfterAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -103,7 +105,7 @@
 	})
 }
 
-// No other worker has room: a slow task goes on where it is.
+// If no other worker has free capacity, a slow task must stay where it is.
 func TestSlowTaskStaysWhereNoOtherWorkerHasRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/pace_test.go
+++ b/coord/fleet/throttle_test.go
@@ -11,10 +11,10 @@
 	"plantainwinch/winch"
 )
 
-// A planner stops a task that fills, since one that serves beside it nears its target,
-// and is killed. The next planner takes the task over as one that works at full speed,
-// sees no reason to change that, and never tells the worker: the task stands still for
-// as long as it is there.
+// Guards against a filling task that never continues after a takeover. The planner stops the task
+// because a serving task beside it nears its target, and is then killed. A new planner that
+// assumed full speed would see no reason to change it and never send the worker a throttle
+// percentage.
 func TestFillingTaskThatAnEarlierPlannerSlowedGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/topk.go
+++ b/coord/fleet/topk.go
@@ -2,14 +2,14 @@
 
 import "sort"
 
-// topK keeps the best of what is added, in order, at most so many.
+// topK keeps the best of the values added, sorted, up to a limit.
 type topK[T any] struct {
 	most   int
 	before func(a, b T) bool
 	list   []T
 }
 
-// add takes a value. Of equals the one added first comes first.
+// add adds a value. Among equal values, the one added first comes first.
 func (k *topK[T]) add(x T) {
 	n := len(k.list)
 	if n == k.most {
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -11,49 +11,53 @@
 // Reason says why a task does not run, or is not known to have ended.
 type Reason int
 
-// Reasons, in the order in which they are looked for.
+// Reasons, in the order in which they are checked.
 const (
-	// WaitRun: a run of it, or of its gang, is not known as ended.
+	// WaitRun means that a run of the task, or of its gang, is not known to have ended.
 	WaitRun Reason = iota + 1
-	// WaitStart: a start is ordered and not confirmed yet.
+	// WaitStart means that a start has been ordered but not confirmed.
 	WaitStart
-	// WaitQueue: no configuration names the job's queue.
+	// WaitQueue means that no configuration names the job's queue.
 	WaitQueue
-	// WaitAdopting: workers that an earlier planner used have not been heard.
+	// WaitAdopting means that workers that an earlier planner used have not reported their runs
+	// yet.
 	WaitAdopting
-	// WaitOffice: the job was heard of when the office may have lapsed.
+	// WaitOffice means that the planner learnt of the job at a time when its office (its
+	// leadership lease in the store) may have expired.
 	WaitOffice
-	// WaitLimit: the team may have no more running.
+	// WaitLimit means that the team has reached its limit.
 	WaitLimit
-	// WaitWorker: no worker of its kind may be given work.
+	// WaitWorker means that no worker of the required kind may be given work.
 	WaitWorker
-	// WaitRest: all workers of its kind are set aside for a while.
+	// WaitQuarantine means that all workers of the required kind are in quarantine.
 	WaitRest
-	// WaitDecision: a worker has room, so the next decision should start it.
+	// WaitDecision means that a worker has free capacity, so the next decision should start the
+	// task.
 	WaitDecision
-	// WaitAsked: the advice service has been asked and has not answered.
+	// WaitAdvice means that a request to the advice service is pending.
 	WaitAsked
-	// WaitRetry: the last question got no answer and is asked again later.
+	// WaitAdviceRetry means that the last advice request failed and is retried later.
 	WaitRetry
-	// WaitTicket: there is no good ticket for a worker with room, and no question
-	// about one is under way.
+	// WaitTicket means that there is no valid ticket for a worker with free capacity, and no
+	// advice request about one is pending.
 	WaitTicket
-	// WaitDenied: the advice service allows none of the workers.
+	// WaitDenied means that the advice service allows none of the workers.
 	WaitDenied
-	// WaitRoom: no worker that may run it has room.
+	// WaitCapacity means that no worker that may run the task has free capacity.
 	WaitRoom
-	// WaitUrgentRoom: what is free is kept for urgent work.
+	// WaitUrgentCapacity means that the free capacity is reserved for urgent work.
 	WaitUrgentRoom
-	// WaitRecord: all tasks have ended, and the store does not hold that yet.
+	// WaitRecord means that all tasks have ended, but the store does not hold that yet.
 	WaitRecord
-	// WaitUnheard: the end of a run was listed late, since the worker's answers were lost.
+	// WaitLostResponse means that the completion of a run was listed late because the worker's
+	// responses were lost.
 	WaitUnheard
-	// WaitProbe: a worker crashed under a task of the step, and none may be started beside
-	// others until one has shown that it is not the cause.
+	// WaitProbe means that a worker crashed under a task of the step, and no such task may be
+	// started beside others until a probe has shown that it is not the cause.
 	WaitProbe
 )
 
-// String implements fmt.Stringer.
+// String returns the text of the reason that is written to the log.
 func (r Reason) String() string {
 	names := []string{
 		"", "run not known as ended", "start not confirmed", "queue not configured", "earlier planner's workers not heard",
@@ -67,67 +71,71 @@
 	return names[r]
 }
 
-// Sign is what the planner hears of a worker.
+// WorkerContact is the state of the planner's contact with a worker. The worker counts as
+// unresponsive while it is unlisted, not ready, or does not answer its keeper.
 type Sign struct {
 	Worker string
 	Listed bool // Listed says that the worker is in the platform's list.
-	Ready  bool // Ready says that its lists have come in this session.
-	Quiet  bool // Quiet says that its keeper gets no answer.
-	// Silent is since when this planner has not heard of it; zero while it does.
+	Ready  bool // Ready says that the worker's lists of runs have been received in this session.
+	Quiet  bool // NoResponse says that the worker does not answer its keeper.
+	// UnresponsiveSince is when this planner lost contact with the worker, and zero while it has
+	// contact.
 	Silent time.Time
 }
 
-// Offer counts the workers of a step's kind by what stands against each.
+// Offer counts the workers of the kind that a step needs, by what prevents them from running it.
+// The field names are written to the log.
 type Offer struct {
 	Workers  int // Workers have the service and the label.
-	Usable   int // Usable are those of them that answer and neither drain nor have left.
-	Resting  int // Resting are usable ones that are set aside.
-	Denied   int // Denied are the others that the advice service does not allow.
-	Unasked  int // Unasked have room and no good ticket.
-	Ticketed int // Ticketed may run the step.
-	Fits     int // Fits is how many tasks fit into the ticketed ones.
+	Usable   int // Usable are those of Workers that respond, are listed and are not draining.
+	Resting  int // Resting are those of Usable that are in quarantine.
+	Denied   int // Denied are usable workers that the advice service does not allow.
+	Unasked  int // Unasked have free capacity but no valid ticket.
+	Ticketed int // Ticketed have a valid ticket, or need none.
+	Fits     int // Fits is the number of tasks that fit into the ticketed workers.
 }
 
-// Wait is a lasting task that does not run as far as anybody knows.
+// WaitingTask is a lasting task that, as far as the planner knows, does not run.
 type Wait struct {
 	Task   winch.RunID
 	Reason Reason
-	// Since is when a run of it was last known to do its work, or when its turn
-	// came. It is not before this planner heard of the job.
+	// Since is when a run of the task was last known to do its work, or when the task became ready
+	// to start. It is never earlier than when this planner learnt of the job.
 	Since time.Time
-	// Run is the run that is not known as ended or not confirmed, Ordered since
-	// when it is charged, and Sign what is heard of its worker.
+	// Run is the run that is not confirmed or not known to have ended, Ordered is when it was
+	// charged, and Contact is the state of the contact with its worker.
 	Run      uint64
 	Ordered  time.Time
 	Stopping bool
 	Sign     Sign
-	// Unheard counts the workers of earlier planners that have not been heard;
-	// Until is when their work has surely ended, or when a question is asked again.
+	// Unreported counts the workers of earlier planners that have not reported their runs yet.
+	// Until is when the work there is guaranteed to have ended, or when a failed advice request is
+	// retried.
 	Unheard int
 	Until   time.Time
-	// Revision is the job's. Jobs accepted after Fresh are not held back for
-	// earlier planners; it is the highest number until the planner has learnt it.
+	// Revision is the job's revision. Jobs with a revision above Fresh do not wait for earlier
+	// planners; Fresh is the highest number until the planner knows the revision.
 	Revision, Fresh uint64
-	// Asked is when the advice service was last asked.
+	// AdviceRequested is when the last request went to the advice service.
 	Asked time.Time
-	// Used and Limit are the team's; Doubtful is what of Used stands at workers
-	// that are not heard.
+	// Used and Limit are the team's; UsedAtUnresponsive is the part of Used at unresponsive
+	// workers.
 	Used, Limit, Doubtful winch.Room
 	Offer                 Offer
 }
 
-// Charged is a worker that is not heard and still has runs charged to it.
+// UnresponsiveWorker is an unresponsive worker that still has runs charged to it.
 type Charged struct {
 	Sign Sign
 	Runs int
 }
 
-// noteSilence keeps since when the worker has not been heard. It is called after
-// each change of what that depends on.
+// updateContact updates since when the worker has been unresponsive. It must be called after each
+// change of the fields that this depends on.
 func (w *worker) noteSilence() {
-	heard := w.ready && !w.gone && (!w.quiet || w.answers)
+	responsive := w.ready && !w.gone && (!w.quiet || w.answers)
 	switch {
-	case heard:
+	case responsive:
 		w.silent = time.Time{}
 	case w.silent.IsZero():
 		w.silent = w.planner.now()
@@ -145,7 +153,7 @@
 	return b
 }
 
-// seen returns when the run was last known to do its task's work.
+// lastActive returns when the run was last known to do its task's work.
 func (r *run) seen(now time.Time) time.Time {
 	switch {
 	case !r.started:
@@ -158,13 +166,13 @@
 	return later(r.worker.silent, r.since)
 }
 
-// confirmed reports whether a run does the task's work and its worker is heard.
+// confirmed reports whether a run does the task's work and its worker is responsive.
 func (t *task) confirmed() bool {
 	r := t.wanted()
 	return r != nil && r.started && r.worker.silent.IsZero()
 }
 
-// since returns since when the task has waited.
+// waitingSince returns the time from which the task has waited.
 func (t *task) since(now time.Time) time.Time {
 	s := t.step
 	at := later(later(s.job.heard, s.due), t.seen)
@@ -177,9 +185,9 @@
 	return at
 }
 
-// Waits returns the lasting tasks that have waited longer than a time, and why,
-// those that wait longest first. It changes nothing.
-func (p *Planner) Waits(longer time.Duration) []Wait {
+// WaitingTasks returns the lasting tasks that have waited longer than the given time, with the
+// reasons, those that have waited longest first. It changes nothing.
+func (p *Planner) Waits(minWait time.Duration) []Wait {
 	now := p.now()
 	var out []Wait
 	for _, j := range p.active {
@@ -188,7 +196,7 @@
 		}
 		for _, s := range j.steps {
 			if s.spec.Lasting && s.turn() {
-				out = append(out, p.stepWaits(s, now, longer)...)
+				out = append(out, p.stepWaits(s, now, minWait)...)
 			}
 		}
 	}
@@ -199,9 +207,9 @@
 	return out
 }
 
-// stepWaits returns the tasks of a step that wait. What holds back all of them
-// alike is worked out once.
-func (p *Planner) stepWaits(s *step, now time.Time, longer time.Duration) []Wait {
+// stepWaitingTasks returns the waiting tasks of a step. A reason that applies to all of them is
+// computed once.
+func (p *Planner) stepWaits(s *step, now time.Time, minWait time.Duration) []Wait {
 	var out []Wait
 	var common *Wait
 	for _, t := range s.tasks {
@@ -209,14 +217,14 @@
 			continue
 		}
 		since := t.since(now)
-		if now.Sub(since) <= longer {
+		if now.Sub(since) <= minWait {
 			continue
 		}
-		w, held := t.heldByRun()
-		if !held && t.suspicion().suspected() {
-			w, held = Wait{Reason: WaitProbe}, true
+		w, blocked := t.heldByRun()
+		if !blocked && t.suspicion().suspected() {
+			w, blocked = Wait{Reason: WaitProbe}, true
 		}
-		if !held {
+		if !blocked {
 			if common == nil {
 				x := p.stepWait(s, now)
 				common = &x
@@ -229,8 +237,8 @@
 	return out
 }
 
-// heldByRun returns the run that keeps a task from being started, if there is
-// one. All members of a gang wait for the last run of each.
+// blockedByRun returns the run that prevents a task from being started, if there is one. Members
+// of a gang wait until the previous runs of all members have ended.
 func (t *task) heldByRun() (Wait, bool) {
 	runs := slices.Clone(t.runs)
 	if s := t.step; len(runs) == 0 && s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
@@ -249,7 +257,7 @@
 	return w, true
 }
 
-// stepWait returns why tasks of a step are not started that have no run.
+// explainWait returns why tasks of a step that have no run are not started.
 func (p *Planner) stepWait(s *step, now time.Time) Wait {
 	j := s.job
 	held := p.heldBack(j, p.awaitsEarlier(now))
@@ -266,8 +274,8 @@
 	return s.offerWait(p.offer(s, now), now)
 }
 
-// wantsAtOnce is what the next start of the step needs: one task, or all that a
-// gang lacks.
+// nextStartNeed returns what the next start of the step needs: one task, or all missing members of
+// a gang.
 func (s *step) wantsAtOnce() winch.Room {
 	if !s.spec.Gang {
 		return s.spec.Need
@@ -275,7 +283,7 @@
 	return s.spec.Need.Times(s.waiting)
 }
 
-// adoptingWait names one of the workers that have not been heard.
+// explainAdopting names one of the workers that have not reported their runs.
 func (p *Planner) adoptingWait(j *job) Wait {
 	w := Wait{Reason: WaitAdopting, Unheard: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.Fresh}
 	for id := range p.roster {
@@ -289,7 +297,7 @@
 	return w
 }
 
-// doubtful is what of a team's use stands at workers that are not heard.
+// usedAtUnresponsive returns the part of a team's use at unresponsive workers.
 func (p *Planner) doubtful(t *team) winch.Room {
 	var out winch.Room
 	for _, w := range p.workers {
@@ -305,7 +313,7 @@
 	return out
 }
 
-// offer counts the workers that could run a step.
+// countOffer counts the workers that could run a step.
 func (p *Planner) offer(s *step, now time.Time) Offer {
 	var out Offer
 	counts := s.perWorker()
@@ -318,11 +326,11 @@
 			continue
 		}
 		out.Usable++
-		good := s.job.queue.Advice == nil || s.known.permit(w).good(now)
+		ticketed := s.job.queue.Advice == nil || s.known.permit(w).good(now)
 		switch {
 		case w.health.resting(now):
 			out.Resting++
-		case good:
+		case ticketed:
 			out.Ticketed++
 			out.Fits += s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))
 		case s.known.isDenied(w):
@@ -334,7 +342,8 @@
 	return out
 }
 
-// offerWait returns what of an offer keeps the step from being started.
+// explainOffer returns what prevents the step from being started, given the workers that could run
+// it.
 func (s *step) offerWait(o Offer, now time.Time) Wait {
 	w := Wait{Offer: o, Asked: s.known.asked}
 	wants := 1
@@ -362,13 +371,13 @@
 	return w
 }
 
-// Unheard returns the workers that have not been heard for longer than a time
-// and still have runs charged to them, those silent longest first.
-func (p *Planner) Unheard(longer time.Duration) []Charged {
+// UnresponsiveWorkers returns the workers that have been unresponsive for longer than the given
+// time and still have runs charged to them, the longest first.
+func (p *Planner) Unheard(minPeriod time.Duration) []Charged {
 	now := p.now()
 	var out []Charged
 	for _, w := range p.workers {
-		if len(w.runs) > 0 && !w.silent.IsZero() && now.Sub(w.silent) > longer {
+		if len(w.runs) > 0 && !w.silent.IsZero() && now.Sub(w.silent) > minPeriod {
 			out = append(out, Charged{w.sign(), len(w.runs)})
 		}
 	}
--- a/coord/fleet/waits_test.go
+++ b/coord/fleet/waits_test.go
@@ -11,14 +11,14 @@
 	"plantainwinch/winch"
 )
 
-// service is a phase of tasks that are to last.
+// servicePhase returns a phase of lasting tasks.
 func service(count int, milli int64) winch.Phase {
 	out := tasks(count, milli)
 	out.Lasting = true
 	return out
 }
 
-// onlyWait returns the one task that waits.
+// onlyWaitingTask returns the one task that waits.
 func onlyWait(is *is.I, p *Planner) Wait {
 	is.Helper()
 	waits := p.Waits(time.Second)
@@ -26,10 +26,10 @@
 	return waits[0]
 }
 
-// A worker goes silent, and nobody can say whether the lasting task there still
-// runs. Its users get no answers from that moment on, so it has waited since
-// then, and the run that keeps it from being started elsewhere is named, until
-// that has surely ended.
+// Guards against a lost lasting task going unnoticed. After its worker becomes unresponsive,
+// nobody knows whether the task still runs, and its users get no responses from then on. So it
+// counts as waiting since then, and the run that prevents a restart elsewhere is named until it is
+// guaranteed to have ended.
 func TestTaskAtASilentWorkerWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,7 +38,7 @@
 		start := c.step()[0]
 		time.Sleep(10 * time.Second)
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
-		silent := time.Now()
+		lostContact := time.Now()
 		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
 		w := onlyWait(is, c.planner)
@@ -46,22 +46,22 @@
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, start.Run)
 		is.Equal(w.Stopping, false)
-		is.Equal(w.Since, silent)
-		is.Equal(w.Sign, Sign{Worker: start.Worker, Listed: true, Ready: true, Quiet: true, Silent: silent})
+		is.Equal(w.Since, lostContact)
+		is.Equal(w.Sign, Sign{Worker: start.Worker, Listed: true, Ready: true, Quiet: true, Silent: lostContact})
 		is.Equal(c.planner.Unheard(time.Second), []Charged{{w.Sign, 1}})
 
 		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: start.Worker})
 		w = onlyWait(is, c.planner)
 		is.Equal(w.Reason, WaitDecision)
-		is.Equal(w.Since, silent)
+		is.Equal(w.Since, lostContact)
 		is.Equal(len(c.planner.Unheard(time.Second)), 0)
 		is.Equal(len(c.step()), 1)
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
 	})
 }
 
-// The same worker answers again, and the task has run there all the while. It
-// waits no longer, and its next wait does not count the last one.
+// The worker of the previous test responds again, and the task has kept running. It must no longer
+// count as waiting, and its next wait must not include the previous one.
 func TestTaskAtAWorkerThatAnswersAgainDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,8 +81,8 @@
 	})
 }
 
-// A worker leaves the platform's list with a lasting task on it, and another
-// loses its keeper. Both are told apart from one that does not answer.
+// A worker with a lasting task is removed from the platform's list, and another one loses its
+// keeper. Both cases must be distinguishable from an unresponsive worker.
 func TestWorkersThatAreNotHeardAreToldApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,8 +107,8 @@
 	})
 }
 
-// A planner takes over and is told what ran by the one before. What runs at a
-// worker that has not answered it counts as waiting: nobody has seen it run.
+// After a takeover, a run reported by the earlier planner at a worker that has not responded to
+// the new one must count as waiting: nobody has seen it run.
 func TestWhatAnEarlierPlannerKnewIsNotSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,7 +116,7 @@
 		c.planner.SetRoster([]string{"w0"})
 		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Room{Milli: 1000, Memory: gigabyte}}})
 		c.add("a", "mix", "choir", service(1, 1000))
-		took := time.Now()
+		learnt := time.Now()
 		task := winch.RunID{Job: "a"}
 		run := []winch.Running{{Task: task, Run: 5}}
 		c.planner.Event(proto.KeepEvent{Kind: proto.EventKnown, Worker: "w0", Running: run})
@@ -124,15 +124,15 @@
 		w := onlyWait(is, c.planner)
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, uint64(5))
-		is.Equal(w.Since, took)
+		is.Equal(w.Since, learnt)
 		is.Equal(w.Sign.Ready, false)
 		c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
 	})
 }
 
-// A start is ordered and no answer comes. The task waits, and it is said that
-// this is not a run of before.
+// A start is ordered and not confirmed. The task must count as waiting, with a reason that differs
+// from that for an unfinished earlier run.
 func TestOrderedStartWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,15 +147,15 @@
 	})
 }
 
-// A lasting task is not started, for each of the causes that there are: the line
-// about it has to name the one that holds it, and looking must change nothing.
+// For each cause that prevents the start of a lasting task, the reason reported must be that
+// cause, and looking for it must change nothing.
 func TestReasonsWhyNothingIsStarted(t *testing.T) {
 	advised := usualQueue()
 	advised.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
 	for _, x := range []struct {
 		reason Reason
 		queue  winch.Queue
-		bring  func(c *cell)
+		setup  func(c *cell)
 		check  func(is *is.I, w Wait)
 	}{
 		{WaitQueue, urgentQueue(), func(*cell) {}, nil},
@@ -177,7 +177,7 @@
 		}, func(is *is.I, w Wait) {
 			is.Equal(w.Used.Milli, int64(1000))
 			is.Equal(w.Limit.Milli, int64(1500))
-			is.Equal(w.Doubtful.Milli, int64(1000)) // The limit is held by what may have ended.
+			is.Equal(w.Doubtful.Milli, int64(1000)) // The limit is reached because of runs that may have ended.
 		}},
 		{WaitWorker, usualQueue(), func(c *cell) {
 			c.planner.Unready([]string{"w0", "w1"})
@@ -200,14 +200,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, 2, x.queue)
-				x.bring(c)
+				x.setup(c)
 				c.add("a", "mix", "choir", service(1, 1000))
-				begun := time.Now()
+				added := time.Now()
 				c.step()
 				time.Sleep(2 * time.Second)
 				w := onlyWait(is, c.planner)
 				is.Equal(w.Reason, x.reason)
-				is.Equal(w.Since, begun)
+				is.Equal(w.Since, added)
 				if x.check != nil {
 					x.check(is, w)
 				}
@@ -217,7 +217,7 @@
 	}
 }
 
-// The advice service fails, gives a ticket that runs out, or allows no worker.
+// The advice service fails, grants a ticket that expires, or allows no worker.
 func TestReasonsOfTheAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -227,30 +227,30 @@
 		c.add("a", "mix", "choir", service(1, 1000))
 		time.Sleep(2 * time.Second)
 		is.Equal(onlyWait(is, c.planner).Reason, WaitTicket)
-		ask := func() Ask {
+		request := func() Ask {
 			c.planner.Schedule()
-			asks := c.planner.Asks()
-			is.Equal(len(asks), 1)
-			return asks[0]
+			requests := c.planner.Asks()
+			is.Equal(len(requests), 1)
+			return requests[0]
 		}
-		c.planner.AdviceFailed(ask())
+		c.planner.AdviceFailed(request())
 		is.Equal(onlyWait(is, c.planner).Reason, WaitRetry)
 		time.Sleep(askAgain)
-		c.planner.Advice(ask(), []winch.Ticket{{Worker: "w0", Value: "t"}}, time.Second, time.Now())
+		c.planner.Advice(request(), []winch.Ticket{{Worker: "w0", Value: "t"}}, time.Second, time.Now())
 		is.Equal(onlyWait(is, c.planner).Reason, WaitDecision)
 		time.Sleep(time.Second)
 		is.Equal(onlyWait(is, c.planner).Reason, WaitTicket)
 
 		c = newCell(t, 1, queue)
 		c.add("a", "mix", "choir", service(1, 1000))
-		c.planner.Advice(ask(), nil, time.Second, time.Now())
+		c.planner.Advice(request(), nil, time.Second, time.Now())
 		time.Sleep(2 * time.Second)
 		is.Equal(onlyWait(is, c.planner).Reason, WaitDenied)
 	})
 }
 
-// A gang's members start together. While one member of the last run may still
-// run, the others wait for that run and not for room.
+// Members of a gang start together. While a member of the previous run may still run, the other
+// members must be reported as waiting for that run and not for capacity.
 func TestGangWaitsForItsLastRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -274,8 +274,8 @@
 	})
 }
 
-// Tasks whose turn has not come, jobs that are cancelled and tasks that are not
-// to last are no matter of this.
+// Tasks that are not ready to start, cancelled jobs and tasks that are not lasting must not be
+// reported as waiting.
 func TestOnlyLastingTasksWhoseTurnHasComeWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
