--- a/coord/office/elect.go
+++ b/coord/office/elect.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// retryEvery is the pause between two looks at the office.
+	// electionInterval is the longest time between two reads of the office in the store.
 	retryEvery = 500 * time.Millisecond
-	// deference is how long an entry that is not the named successor waits, so
-	// that the successor gets the office if it lives.
-	deference   = time.Second
+	// successorHeadStart is how long an entry that is not the recorded successor waits
+	// once the office is free, so that a live successor acquires it.
+	deference = time.Second
+	// callTimeout limits one access to the store.
 	callTimeout = 2 * time.Second
 )
 
-// holding is what this entry knows of the office. It is read by other duties.
+// knownHolder is the last known holder of the office and its epoch. Other goroutines read
+// it, so a mutex protects it.
 type holding struct {
 	mu    sync.Mutex
 	name  string
@@ -35,7 +37,7 @@
 	return h.name, h.epoch
 }
 
-// set takes newer knowledge over; the epoch never falls.
+// set stores the holder unless a newer epoch is already known.
 func (h *holding) set(name string, epoch uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,6 +46,7 @@
 	}
 }
 
+// clear removes the holder after this entry's term of the given epoch ended.
 func (h *holding) resign(self string, epoch uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,15 +55,15 @@
 	}
 }
 
-// term is one time in office.
+// term is one period in which this entry holds the office.
 type term struct {
 	epoch uint64
 	lease string
 	mu    sync.Mutex
-	// until is when the lease surely still stands: counted from before the last
-	// confirmed renewal was sent, since the store counts from its receipt.
+	// validUntil is the time until which the lease is guaranteed to be valid. It counts
+	// from before the last confirmed renewal was sent, as the store counts from its receipt.
 	until time.Time
-	// lost is set once the office surely or possibly belongs to another.
+	// lost is set once another entry holds or may hold the office.
 	lost bool
 }
 
@@ -70,12 +73,15 @@
 	t.until = sent.Add(lease)
 }
 
+// leaseValid reports whether the lease is guaranteed to be valid at the given time.
 func (t *term) valid(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.lost && now.Before(t.until)
 }
 
+// active reports whether the term goes on as far as this entry knows. The lease may have
+// expired nevertheless.
 func (t *term) standing() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,8 +94,8 @@
 	t.lost = true
 }
 
-// campaign waits until this entry has the office and returns the term, or nil
-// when ctx ends or the entry is leaving.
+// campaign competes for the office until this entry has acquired it, and returns the term.
+// It returns nil when ctx ends or the entry is leaving.
 func (o *Office) campaign(ctx context.Context) *term {
 	var freeSince time.Time
 	for {
@@ -121,12 +127,14 @@
 	}
 }
 
+// mayAcquire reports whether this entry may acquire the free office. The recorded
+// successor goes first; so does any entry if there was no holder yet.
 func (o *Office) mayTake(record winch.DomainRecord, freeSince time.Time) bool {
 	first := record.Successor == o.Self || record.Successor == "" && record.Placer == ""
 	return first || time.Since(freeSince) >= deference
 }
 
-// look reads whether the office is free, and the record.
+// readOffice reads the office's record from the store and whether the office is free.
 func (o *Office) look(ctx context.Context) (bool, winch.DomainRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -145,8 +153,8 @@
 	return false, rec.Body, err
 }
 
-// take takes the office: first the lease key, which only one can create, then
-// the next epoch in the record.
+// acquire tries to acquire the office and returns nil if it fails. It first creates the
+// lease key, which only one entry can do, and then writes the next epoch to the record.
 func (o *Office) take(ctx context.Context) *term {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
@@ -167,7 +175,7 @@
 		err = o.Quota.Assume(ctx, rec.Body.Epoch)
 	}
 	if err != nil {
-		o.Log.Warn("could not take office", zap.String("Domain", o.Domain), zap.Error(err))
+		o.Log.Warn("acquiring the office lease failed", zap.String("Domain", o.Domain), zap.Error(err))
 		_ = o.Store.Revoke(ctx, lease)
 		return nil
 	}
@@ -177,17 +185,18 @@
 	return t
 }
 
+// successor returns the entry that may acquire the office first after this one, or "".
 func (o *Office) successor() string {
-	if rivals := o.Rivals(); len(rivals) > 0 {
-		return rivals[0]
+	if others := o.Rivals(); len(others) > 0 {
+		return others[0]
 	}
 	return ""
 }
 
-// renew keeps the lease until the office is lost or given up.
+// renewLoop renews the office lease until the office is lost or released.
 func (o *Office) renew(ctx context.Context, t *term) {
-	every := time.NewTicker(o.Lease / 3)
-	defer every.Stop()
+	ticker := time.NewTicker(o.Lease / 3)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -195,7 +204,7 @@
 		case <-o.leaving:
 			o.giveUp(t)
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 		if !o.renewOnce(ctx, t) {
 			return
@@ -203,9 +212,9 @@
 	}
 }
 
-// renewOnce reports whether the office is still held. A store that cannot be
-// reached is no loss where workers compare epochs: a successor's epoch fences
-// this placer off there.
+// renewOnce renews the lease and reports whether the term goes on. An unreachable store
+// does not end the term: where workers compare epochs, they refuse this planner as soon as
+// they know a successor's epoch.
 func (o *Office) renewOnce(ctx context.Context, t *term) bool {
 	ctx, cancel := context.WithTimeout(ctx, o.Lease/3)
 	defer cancel()
@@ -223,8 +232,9 @@
 	}
 }
 
-// reclaim takes a lapsed lease up again if nobody has taken the office
-// meanwhile, as after a long outage of the store or a pause of this process.
+// reacquire creates the lease key again after the lease expired, for example in a long
+// outage of the store or a pause of this process, if no other entry has acquired the office
+// since. It reports whether the term goes on.
 func (o *Office) reclaim(ctx context.Context, t *term) bool {
 	sent := time.Now()
 	rec, err := swap.Read[winch.DomainRecord](ctx, o.Store, RecordPrefix+o.Domain)
@@ -253,7 +263,7 @@
 	return true
 }
 
-// giveUp frees the office for a planned stop.
+// release ends the term and revokes the lease for a planned stop.
 func (o *Office) giveUp(t *term) {
 	t.lose()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/coord/office/ask.go
+++ b/coord/office/events.go
@@ -7,7 +7,7 @@
 	"plantainwinch/proto"
 )
 
-// JobsChanged tells that a partition of the jobs' ledger has changed.
+// JobsChanged reads the jobs of the changed ledger partition that is stored under key.
 func (o *Office) JobsChanged(ctx context.Context, key string) {
 	s := o.current.Load()
 	if s == nil {
@@ -26,12 +26,12 @@
 		}
 	})
 	if err != nil {
-		s.reload() // The process stood still for so long that the time for this was over.
+		s.reload() // The process was paused until ctx expired, so the jobs may not have been applied.
 	}
 	o.Wake()
 }
 
-// Reload has the placer read the whole ledger again.
+// Reload makes the planner read the whole ledger again.
 func (o *Office) Reload() {
 	if s := o.current.Load(); s != nil {
 		s.reload()
@@ -39,20 +39,20 @@
 	}
 }
 
-// reload makes the session read the whole ledger again, since a change of it
-// could not be read.
+// markStale makes the session read the whole ledger again because a change of it could
+// not be read or applied.
 func (s *session) reload() {
 	_ = s.Duty.Do(context.Background(), func() { s.stale = true })
 }
 
-// JobChanged tells that a job was accepted or cancelled.
+// JobChanged reads the ledger partition of a job that was accepted or cancelled.
 func (o *Office) JobChanged(ctx context.Context, id string) {
 	if s := o.current.Load(); s != nil {
 		o.JobsChanged(ctx, o.Ledger.Key(o.Ledger.PartitionOf(id)))
 	}
 }
 
-// KeysChanged cancels the waiting jobs of keys that are no longer valid.
+// KeysChanged cancels the waiting jobs whose access keys have been withdrawn.
 func (o *Office) KeysChanged(ctx context.Context) {
 	s := o.current.Load()
 	if s == nil {
@@ -62,7 +62,7 @@
 	o.Wake()
 }
 
-// Status tells what the placer knows of a job.
+// Status returns what the planner knows of a job.
 func (o *Office) Status(ctx context.Context, id string) (out proto.JobStatus) {
 	if o.current.Load() == nil {
 		return out
@@ -78,7 +78,8 @@
 	return out
 }
 
-// Load returns how full the domain's workers are.
+// Load returns the total and the used capacity of the domain's workers and the number of
+// waiting tasks.
 func (o *Office) Load(ctx context.Context) (out proto.OfficeLoad) {
 	_ = o.Duty.Do(ctx, func() {
 		out.Size, out.Used, out.Waiting = o.Planner.Load()
@@ -86,7 +87,7 @@
 	return out
 }
 
-// Holds reports whether this entry is doing the placer's work.
+// IsHolder reports whether this entry currently serves as the domain's planner.
 func (o *Office) Holds() bool {
 	return o.current.Load() != nil
 }
--- a/coord/office/office.go
+++ b/coord/office/office.go
@@ -1,6 +1,7 @@
-// Package office runs the placer of a failure domain: it elects one entry by a
-// store lease, fences the workers against its predecessor, and carries the
-// planner's decisions out.
+// Package office elects the planner of a failure domain and runs it. The office is the
+// planner's leadership lease in the store: the entry that holds it places the domain's
+// jobs. It fences the workers against earlier planners by the epoch of its term, renews
+// the leases of the tasks, and carries out the decisions of place.Planner.
 package office
 
 import (
@@ -19,30 +20,31 @@
 	"plantainwinch/winch"
 )
 
-// RecordPrefix and LeasePrefix come before a domain's name in the store: the
-// record says who holds the office, the lease key exists while the holder lives.
+// RecordPrefix and LeasePrefix are the prefixes of a domain's keys in the store. The
+// record names the last holder of the office and its epoch. The lease key exists while
+// the holder renews its lease.
 const (
 	RecordPrefix = "Domain/"
 	LeasePrefix  = "Office/"
 )
 
 const (
-	// DefaultLease is the lease on the office.
+	// DefaultLease is the default duration of the office lease.
 	DefaultLease = 3 * time.Second
-	// DefaultTaskLease is the lease on tasks.
+	// DefaultTaskLease is the default duration of a task's lease.
 	DefaultTaskLease = 15 * time.Second
-	// planEvery is the longest time between two plans.
+	// planInterval is the longest time between two planning rounds.
 	planEvery = 100 * time.Millisecond
-	// planSize bounds the decisions of one plan.
+	// maxDecisions limits the decisions of one planning round.
 	planSize = 256
-	// starters bounds the starts under way at once.
+	// maxConcurrentDecisions limits the decisions that are carried out concurrently.
 	starters = 128
-	// driftMargin covers clocks that run at different rates.
+	// clockDriftMargin is added to lease durations because clocks run at different rates.
 	driftMargin = time.Second
 )
 
-// Office competes for, holds and gives up a domain's office. Set the fields
-// before Run.
+// Office competes for a domain's office, does the planner's work while it holds the
+// office, and releases it. The exported fields must be set before Prepare and Run.
 type Office struct {
 	Self      string
 	Domain    string
@@ -56,17 +58,17 @@
 	Metrics   metrics.Registry
 	Lease     time.Duration
 	TaskLease time.Duration
-	// FenceAtVM says that the workers compare epochs. If they do not, work starts
-	// only while the office's lease is surely held.
+	// FenceAtVM is set if the workers refuse requests of older epochs. If they do not,
+	// work starts only while the office lease is guaranteed to be valid.
 	FenceAtVM bool
-	// Document returns the configuration, or nil.
+	// Document returns the configuration, or nil if none was read yet.
 	Document func() *winch.Document
-	// Workers returns the domain's workers on the platform's list; ok is false
-	// while the list was never read.
+	// Workers returns the domain's workers on the platform's list. ok is false until the
+	// list has been read once.
 	Workers func() (list []winch.VM, ok bool)
-	// Rivals returns the domain's other live entries.
+	// OtherEntries returns the domain's other live entries.
 	Rivals func() []string
-	// Taken, if it is set, is called when this entry has taken the office.
+	// OnAcquired is called when this entry has acquired the office. It may be nil.
 	Taken func()
 
 	holds    holding
@@ -76,7 +78,7 @@
 	planning chan struct{}
 }
 
-// Prepare makes the office ready for Run.
+// Prepare sets the defaults and creates the channels. It must be called before Run.
 func (o *Office) Prepare() {
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
@@ -89,12 +91,12 @@
 	o.planning = make(chan struct{}, 1)
 }
 
-// Changed tells that a key of the office may have changed in the store.
+// KeysMayHaveChanged makes a campaigning entry read the keys of the office at once.
 func (o *Office) Changed() {
 	poke(o.signal)
 }
 
-// Wake makes the placer plan soon.
+// PlanSoon starts the next planning round without waiting for planInterval.
 func (o *Office) Wake() {
 	poke(o.planning)
 }
@@ -106,12 +108,14 @@
 	}
 }
 
-// Holder returns who holds the office as far as this entry knows, and the epoch.
+// Holder returns the last known holder of the office, or "" if there is none, and the
+// last known epoch.
 func (o *Office) Holder() (string, uint64) {
 	return o.holds.holder()
 }
 
-// Run competes for the office and holds it, again and again, until ctx ends.
+// Run competes for the office and serves a term whenever it acquires it, until ctx ends
+// or Leave is called.
 func (o *Office) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		term := o.campaign(ctx)
@@ -122,11 +126,11 @@
 	}
 }
 
-// serve does the placer's work for one term of office.
+// serve does the planner's work for one term.
 func (o *Office) serve(ctx context.Context, term *term) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o.Log.Info("took office", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
+	o.Log.Info("acquired the office lease; serving as planner", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
 	metrics.GetOrRegisterCounter("Office.Taken", o.Metrics).Inc(1)
 	s := &session{Office: o, term: term, cancel: cancel, vms: make(map[string]*vmState), closed: make(map[string]bool)}
 	o.current.Store(s)
@@ -145,10 +149,11 @@
 	})
 	group.Wait()
 	o.holds.resign(o.Self, term.epoch)
-	o.Log.Info("left office", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
+	o.Log.Info("term as planner ended", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
 }
 
-// Leave gives the office up for a planned stop and returns once it is free.
+// Leave releases the office for a planned stop and stops competing for it. It returns
+// when the term has ended or ctx ends.
 func (o *Office) Leave(ctx context.Context) {
 	select {
 	case <-o.leaving:
--- a/coord/office/office_test.go
+++ b/coord/office/office_test.go
@@ -18,7 +18,7 @@
 	"plantainwinch/winch"
 )
 
-// placer is a session over a stand-in store, with one accepted job.
+// testPlanner is a session with a simulated store and one accepted job.
 type placer struct {
 	*session
 	doc   *winch.Document
@@ -26,7 +26,7 @@
 	store *slowStore
 }
 
-// slowStore runs a function after a read, as if time passed there.
+// hookStore runs a function after each read, to simulate an event during the read.
 type slowStore struct {
 	*stand.Platform
 	after func()
@@ -41,7 +41,7 @@
 	return v, err
 }
 
-// withPlacer runs a test with a placer whose duty runs.
+// withPlanner runs a test with a planner whose duty and ledger run.
 func withPlacer(t *testing.T, f func(t *testing.T, p *placer)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -67,11 +67,11 @@
 	p.store = store
 	jobs := &ledger.Ledger{Store: store, Prefix: ledger.JobsPrefix, Partitions: 1, Metrics: metrics.NewRegistry()}
 	jobs.Prepare()
-	own := duty.New("Office", 0, nil)
-	units := &quota.Holder{Name: "Office/d1", Office: true, Store: store, Duty: own, Document: func() *winch.Document { return p.doc }}
+	loop := duty.New("Office", 0, nil)
+	units := &quota.Holder{Name: "Office/d1", Office: true, Store: store, Duty: loop, Document: func() *winch.Document { return p.doc }}
 	units.Prepare()
 	o := &Office{
-		Self: "d1-0", Domain: "d1", Store: store, Ledger: jobs, Duty: own, Log: zap.NewNop(), Metrics: metrics.NewRegistry(),
+		Self: "d1-0", Domain: "d1", Store: store, Ledger: jobs, Duty: loop, Log: zap.NewNop(), Metrics: metrics.NewRegistry(),
 		Planner:  place.NewPlanner(units, func(string) winch.Team { return winch.Team{} }),
 		Document: func() *winch.Document { return p.doc },
 	}
@@ -90,11 +90,11 @@
 	return ok
 }
 
-// The placer's process stands still while it takes note of a new job, for longer
-// than that may take. The job must not be forgotten: its caller was told that it
-// is accepted, and would wait for ever.
+// The process is paused while it handles the notification of a new job, until the context
+// of that call expires. The planner must submit the job all the same: the caller has been
+// told that it is accepted and would otherwise wait forever.
 func TestJobIsTakenUpAfterAPause(t *testing.T) {
-	const tries = 20 // Whether a duty takes work whose time is over is left to chance.
+	const tries = 20 // Duty.Do may or may not accept work if the context has expired.
 	for range tries {
 		withPlacer(t, func(t *testing.T, p *placer) {
 			is := is.New(t)
@@ -109,8 +109,8 @@
 	}
 }
 
-// A placer takes office before it has read the configuration. The jobs that it
-// finds in the ledger are taken up once it has.
+// A planner acquires the office before it has read the configuration. It must not lose the
+// jobs in the ledger, whose classes it does not know yet, but submit them once it has read it.
 func TestJobsAreTakenUpOnceTheConfigurationIsThere(t *testing.T) {
 	withPlacer(t, func(t *testing.T, p *placer) {
 		is := is.New(t)
--- a/coord/office/attend.go
+++ b/coord/office/renew.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// silentAfter is how many renewals must fail before a worker counts as silent.
+	// unresponsiveAfterFailures is the number of consecutive failed renewals after which a
+	// worker counts as unresponsive.
 	silentAfter = 3
-	// retryRenewal is the pause after a failed renewal.
+	// renewalRetryDelay is the pause after a failed renewal.
 	retryRenewal = 300 * time.Millisecond
 )
 
-// attendLoop renews the leases of one worker's tasks with one message for all of
-// them, and takes in what ended.
+// renewLoop renews the leases of one worker's tasks, with one message for all of them, and
+// handles the completions that the worker reports.
 func (s *session) attendLoop(ctx context.Context, v *vmState) {
 	full := true
 	for ctx.Err() == nil {
@@ -32,6 +33,7 @@
 	}
 }
 
+// sleep pauses for d or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -39,9 +41,9 @@
 	}
 }
 
-// renewal makes the next message. To a silent worker it carries no lease: each
-// try could arrive although its answer does not, and would put off the time at
-// which the worker's tasks have surely stopped.
+// nextRenewal returns the next message to a worker. The message to an unresponsive worker
+// carries no lease: a message may arrive although its response is lost, and each one would
+// postpone the time at which the worker's leases are guaranteed to have expired.
 func (s *session) renewal(v *vmState, full bool) winch.Renewal {
 	v.forget = s.ends.take(v.vm.ID)
 	v.expect = s.Planner.ConfirmedOn(v.vm.ID)
@@ -56,13 +58,13 @@
 	return call
 }
 
-// answered takes a worker's answer in and says whether the next renewal must
-// ask for all tasks.
+// handleReport applies a worker's response to a renewal, or its failure. It reports
+// whether the next renewal must ask for all tasks.
 func (s *session) answered(v *vmState, call winch.Renewal, report winch.Report, err error) bool {
 	now := time.Now()
 	if call.Lease > 0 {
-		// The process can have been paused between making the message and sending
-		// it, so the leases count from the end of the call, not from its beginning.
+		// The process may have been paused between creating and sending the message, so
+		// the leases count from the end of the call and not from its start.
 		v.contacted = now
 	}
 	if err != nil {
@@ -93,14 +95,16 @@
 	return false
 }
 
-// lapse gives a silent worker's tasks up: their leases have surely lapsed.
+// expireWorker removes an unresponsive worker from the planner. The leases of its tasks are
+// guaranteed to have expired.
 func (s *session) lapse(v *vmState, now time.Time) {
 	v.gone = true
 	s.Planner.Gone(v.vm.ID, now)
 	s.Wake()
 }
 
-// returned takes a worker back that was silent for longer than its leases.
+// restoreWorker adds a worker to the planner again if it had been removed because it was
+// unresponsive for longer than its leases.
 func (s *session) returned(v *vmState) {
 	if v.gone {
 		v.gone = false
@@ -108,9 +112,9 @@
 	}
 }
 
-// ended takes in tasks that ended. The worker keeps them until their end is in
-// the ledger: were this placer to die before, its successor could learn of the
-// end only from the worker, and would else run the task again.
+// handleCompletions applies the completions in a worker's report. The worker keeps them
+// until they are in the ledger: if this planner crashes before that, its successor can
+// learn of a completion only from the worker, and would otherwise run the task again.
 func (s *session) ended(v *vmState, report winch.Report, now time.Time) {
 	for _, t := range report.Tasks {
 		if t.State == winch.TaskRunning || s.ends.has(v.vm.ID, t.Ref()) {
@@ -122,9 +126,9 @@
 	}
 }
 
-// missing finds tasks that were committed to the worker, but that it does not
-// run: their start was lost on the way. Only a full list can tell, and only of
-// starts whose reply was lost, not of those still under way.
+// stopLostStarts finds the tasks whose start request may have been lost: its response was
+// lost, and the worker's full list does not contain the task. Starts that are still in
+// progress are not considered.
 func (s *session) missing(v *vmState, report winch.Report) {
 	listed := make(map[winch.TaskID]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
@@ -137,8 +141,8 @@
 	}
 }
 
-// short reports whether a worker runs fewer tasks than it had acknowledged
-// before the renewal was sent, less those whose end it reports.
+// runsFewer reports whether a worker runs fewer tasks than it had acknowledged before the
+// renewal was sent, not counting those whose completion it reports.
 func (s *session) short(v *vmState, report winch.Report) bool {
 	ended := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
@@ -153,8 +157,8 @@
 	return report.Running < expected
 }
 
-// vanished gives up tasks that a worker's full list does not hold although it
-// had acknowledged them. They would else count as running for ever.
+// handleMissing tells the planner of tasks that the worker had acknowledged but that its
+// full list does not contain. Otherwise they would count as running forever.
 func (s *session) vanished(v *vmState, report winch.Report, now time.Time) {
 	listed := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
@@ -167,19 +171,19 @@
 	}
 }
 
-// bar makes sure that a start which was lost on the way can no longer arrive,
-// before the task is started elsewhere: a worker that was frozen could still
-// find it among its unread requests, and the task would run in two places.
+// blockStart makes the worker refuse a lost start request that may still arrive, before
+// the task is started elsewhere. A worker whose process was paused may still have the
+// request in its receive buffer, and the task would run twice.
 func (s *session) bar(v *vmState, t winch.Task) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.TaskLease/3)
 	defer cancel()
-	had, err := s.Worker.Stop(ctx, v.vm, s.term.epoch, t)
+	found, err := s.Worker.Stop(ctx, v.vm, s.term.epoch, t)
 	s.heard(err)
 	_ = s.Duty.Do(context.Background(), func() {
 		switch {
 		case err != nil:
 			v.doubt = true
-		case had:
+		case found:
 			t.State = winch.TaskStopped
 			s.carryOut(s.Planner.Ended(v.vm.ID, t, time.Now()))
 		default:
--- a/coord/office/session.go
+++ b/coord/office/session.go
@@ -14,8 +14,8 @@
 	"plantainwinch/winch"
 )
 
-// session is the placer's work during one term. Its state is touched only in
-// the office's duty.
+// session does the planner's work during one term. Only functions that run in Duty access
+// its state.
 type session struct {
 	*Office
 	term   *term
@@ -25,31 +25,36 @@
 	group  *conc.WaitGroup
 	room   chan struct{}
 	began  time.Time
-	// loaded says that the ledger was read once, stale that it has to be read again.
+	// loaded is set once the ledger has been read, stale if it must be read again.
 	loaded, stale bool
-	// progressed is when the ends of tasks were last written.
+	// lastRecording is when the completions of tasks were last written.
 	progressed time.Time
-	// closed holds jobs whose end is recorded and whose tasks may still be stopping.
+	// finishedJobs holds the jobs whose end is recorded but whose tasks may still be stopping.
 	closed map[string]bool
 }
 
-// vmState is what the placer knows of its contact with one worker.
+// workerState is the planner's state of its exchange with one worker.
 type vmState struct {
 	vm     winch.VM
 	cancel context.CancelFunc
-	// contacted is when the last message that could extend leases can have arrived.
+	// lastContact is the latest time at which a message that extends leases can have arrived.
 	contacted time.Time
-	known     bool
-	failures  int
-	// doubt says that a start's reply was lost: the next renewal asks for all tasks.
-	doubt  bool
+	// reconciled is set once the worker has listed its tasks in this term.
+	known    bool
+	failures int // The number of consecutive failed renewals.
+	// needsFullList is set if the response to a start was lost or a task is missing: the next
+	// renewal asks for all tasks.
+	doubt bool
+	// forget lists the completions that the current renewal lets the worker forget.
 	forget []winch.Attempt
-	// expect lists the acknowledged starts as of the renewal under way.
+	// acknowledged lists the running tasks that the worker had acknowledged when the current
+	// renewal was created.
 	expect []winch.Attempt
-	gone   bool
+	// expired is set while the worker is removed from the planner because its leases expired.
+	gone bool
 }
 
-// run does the work until ctx ends, and returns once nothing of it is under way.
+// run does the work until ctx ends, and returns once all goroutines it started are done.
 func (s *session) run(ctx context.Context) {
 	var group conc.WaitGroup
 	s.group = &group
@@ -73,7 +78,7 @@
 	}
 }
 
-// reset starts the term with an empty planner.
+// reset empties the planner for the new term.
 func (s *session) reset(ctx context.Context) bool {
 	err := s.Duty.Do(ctx, func() {
 		old := s.Planner
@@ -86,16 +91,16 @@
 	return err == nil
 }
 
-// load reads the domain's unfinished jobs from the ledger, unless that was done
-// and nothing was missed since. A change that comes while the read is under way
-// marks it stale again: the read may have been too early for it.
+// load reads the domain's unfinished jobs from the ledger if they have not been read yet or
+// are stale. A change that is reported during the read marks them stale again, since the
+// read may not include it.
 func (s *session) load(ctx context.Context) {
-	need := false
+	needed := false
 	_ = s.Duty.Do(ctx, func() {
-		need = !s.loaded || s.stale
+		needed = !s.loaded || s.stale
 		s.stale = false
 	})
-	if !need {
+	if !needed {
 		return
 	}
 	jobs, err := s.Ledger.Jobs(ctx)
@@ -112,8 +117,8 @@
 	})
 }
 
-// submit adds a job. It is fresh if it was accepted under this epoch: no
-// earlier placer can have started it.
+// submit adds a job to the planner. Only a job that was accepted under an older epoch can
+// have been started by an earlier planner.
 func (s *session) submit(j winch.Job) {
 	if j.Domain != s.Domain || j.State.Final() {
 		return
@@ -124,7 +129,7 @@
 	}
 	doc := s.Document()
 	if doc == nil {
-		s.stale = true // The job's class is not known yet; the ledger is read again.
+		s.stale = true // The job's class is unknown without the configuration, so read the ledger again.
 		return
 	}
 	class, ok := doc.Classes[j.Class]
@@ -137,10 +142,10 @@
 	}
 }
 
-// take takes in a job that is new or was cancelled.
+// applyJob submits a new job or cancels a known one.
 func (s *session) take(j winch.Job) {
 	if !s.loaded {
-		s.stale = true // The load under way may not bring it.
+		s.stale = true // The load in progress may not include the job.
 		return
 	}
 	if j.Cancel && !j.State.Final() && j.Domain == s.Domain {
@@ -152,8 +157,8 @@
 	s.submit(j)
 }
 
-// withdraw cancels what waits under keys that were withdrawn. Tasks that run
-// already are left to end.
+// cancelWithdrawnKeys cancels the waiting jobs of access keys that are not in the
+// configuration any more. Running tasks continue.
 func (s *session) withdraw() {
 	doc := s.Document()
 	if doc == nil {
@@ -170,18 +175,18 @@
 	s.carryOut(out)
 }
 
+// endTerm ends the term because a planner of a newer epoch exists.
 func (s *session) depose(why string) {
 	if s.term.standing() {
-		s.Log.Warn("deposed", zap.String("Domain", s.Domain), zap.Uint64("Epoch", s.term.epoch), zap.String("Why", why))
+		s.Log.Warn("planner of a later term has taken over; ending this term", zap.String("Domain", s.Domain), zap.Uint64("Epoch", s.term.epoch), zap.String("Why", why))
 		metrics.GetOrRegisterCounter("Office.Deposed", s.Metrics).Inc(1)
 	}
 	s.term.lose()
 	s.cancel()
 }
 
-// mayAct reports whether the placer may still start work. It is asked after
-// every wait and just before every start, since the process can have been
-// paused anywhere.
+// mayStart reports whether the planner may still start work. It is checked after every wait
+// and right before every start, since the process may have been paused at any point.
 func (s *session) mayAct() bool {
 	if s.FenceAtVM {
 		return s.term.standing()
@@ -189,7 +194,8 @@
 	return s.term.valid(time.Now())
 }
 
-// step follows the VM list, plans and hands decisions out. It runs in the duty.
+// step applies the VM list, records completions, plans, and has the decisions carried out.
+// It runs in Duty.
 func (s *session) step(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
@@ -217,15 +223,16 @@
 	}
 }
 
-// planSamples is how many plans the histogram of their times remembers.
+// planSamples is the sample size of the histogram of planning times.
 const planSamples = 1024
 
-// planTime returns the histogram of the time of one plan, in microseconds.
+// planTime returns the histogram of the duration of a planning round, in microseconds.
 func (s *session) planTime() metrics.Histogram {
 	return metrics.GetOrRegisterHistogram("Office.Plan.Microseconds", s.Metrics, metrics.NewUniformSample(planSamples))
 }
 
-// follow starts a loop for each new worker and drops those that are gone.
+// updateWorkers starts a renewal loop for each new worker and removes the workers that are
+// no longer listed, once the leases of their tasks are guaranteed to have expired.
 func (s *session) follow(ctx context.Context) {
 	list, ok := s.Workers()
 	if !ok {
@@ -264,21 +271,23 @@
 	metrics.GetOrRegisterCounter("Office.WorkersLost", s.Metrics).Inc(1)
 }
 
-// checkBarrier opens the barrier once every listed worker has answered under
-// this epoch. Where workers compare epochs, a former placer that cannot reach
-// the store acts on until a worker refuses it, so one that this placer cannot
-// reach may be having its leases renewed by the former one: only the platform's
-// list can tell that it is gone. Where they do not, the former placer has
-// stopped by its own clock, and the leases that it gave lapse.
+// checkBarrier opens the planner's barrier, which holds back the jobs of earlier terms,
+// once every listed worker has responded under this epoch.
+//
+// Where workers compare epochs, an earlier planner that cannot reach the store continues
+// until a worker refuses it. It may still renew the leases of a worker that this planner
+// cannot reach, so such a worker keeps the barrier closed until the platform removes it
+// from its list. Where workers do not compare epochs, the earlier planner has stopped by
+// its own clock, and it is enough to wait until the leases it granted have expired.
 func (s *session) checkBarrier() {
 	if _, ok := s.Workers(); !ok {
 		return
 	}
-	silent := false
+	unresponsive := false
 	for _, v := range s.vms {
-		silent = silent || !v.known
+		unresponsive = unresponsive || !v.known
 	}
-	if silent && (s.FenceAtVM || time.Since(s.began) < s.TaskLease+2*driftMargin) {
+	if unresponsive && (s.FenceAtVM || time.Since(s.began) < s.TaskLease+2*driftMargin) {
 		return
 	}
 	if s.Planner.OpenBarrier() {
@@ -287,7 +296,8 @@
 	}
 }
 
-// carryOut hands decisions to goroutines, at most starters at once.
+// execute carries out the decisions in goroutines of their own, at most
+// maxConcurrentDecisions at a time.
 func (s *session) carryOut(list []place.Decision) {
 	for _, d := range list {
 		s.group.Go(func() {
@@ -310,8 +320,8 @@
 	}
 }
 
-// start commits the intent of a non-repeatable task first, so that a later
-// placer never starts it again, and then starts it.
+// start starts a task. For a non-repeatable task it first records the intent, so that a
+// later planner never starts the task again.
 func (s *session) start(ctx context.Context, d place.Decision) {
 	err := s.intent(ctx, d)
 	if err == nil && !s.mayAct() {
@@ -330,10 +340,10 @@
 	})
 }
 
-// stands reports whether a start is still wanted, and notes that its worker is
-// called. Writing the intent can take as long as the store is away; a worker that
-// was silent as well may have been given up by then. Started there all the same,
-// the task would run beside its next attempt, and beyond its team's limit.
+// stillPlaced reports whether a task is still to be started at its worker, and notes the
+// contact with the worker. Recording the intent can take as long as the store is down. If
+// the worker was unresponsive as well, its tasks may have been given up by then; a start
+// would run the task twice and could exceed its team's limit.
 func (s *session) stands(ctx context.Context, d place.Decision) (ok bool) {
 	_ = s.Duty.Do(ctx, func() {
 		ok = s.Planner.Stands(d.Task.Ref())
@@ -342,6 +352,7 @@
 	return ok
 }
 
+// recordIntent records that a non-repeatable task is about to be started.
 func (s *session) intent(ctx context.Context, d place.Decision) error {
 	if d.Repeatable {
 		return nil
@@ -353,18 +364,22 @@
 	return nil
 }
 
+// noteContact notes that a message that extends leases may just have reached a worker.
 func (s *session) touch(id string) {
 	if v := s.vms[id]; v != nil {
 		v.contacted = time.Now()
 	}
 }
 
+// checkFenced ends the term if a worker refused a call because it knows a newer epoch.
 func (s *session) heard(err error) {
 	if errors.Is(err, winch.ErrFenced) {
 		s.depose("a worker knows a newer epoch")
 	}
 }
 
+// handleStartResult applies the outcome of a start. Any error other than a refusal means
+// that the task may or may not run.
 func (s *session) started(d place.Decision, err error) {
 	switch {
 	case err == nil:
@@ -381,7 +396,7 @@
 	}
 }
 
-// recordFinals writes the ends of jobs to the ledger.
+// recordFinishedJobs starts writing the results of finished jobs to the ledger.
 func (s *session) recordFinals(ctx context.Context) {
 	for _, f := range s.Planner.Finals() {
 		rec, ok := s.Planner.Record(f.Job)
@@ -394,7 +409,8 @@
 	}
 }
 
-// recordProgress writes the ends of tasks whose jobs go on, some at a time.
+// recordCompletions starts writing the completions of tasks whose jobs are unfinished, at
+// most once per recordInterval, and removes finished jobs from the planner.
 func (s *session) recordProgress() {
 	if time.Since(s.progressed) < progressEvery {
 		return
@@ -407,28 +423,30 @@
 	}
 	for id, done := range s.ends.open() {
 		if rec, ok := s.Planner.Record(id); ok && rec.State.Final() {
-			continue // Its end will be recorded as a whole.
+			continue // The result of the whole job will be recorded.
 		}
 		s.group.Go(func() { s.recordTasks(id, done) })
 	}
 }
 
-// progressEvery is how often ends of tasks are written; a task whose end was
-// not written is not run again as long as its worker lives.
+// recordInterval is the shortest time between two writes of task completions. A task whose
+// completion is not written yet does not run again as long as its worker lives.
 const progressEvery = 500 * time.Millisecond
 
+// recordTasks writes the successful ones of a job's ended tasks to the ledger. It then lets
+// the workers forget all of the ended tasks, or has them written again after an error.
 func (s *session) recordTasks(id string, done []winch.Task) {
-	var good []int
+	var succeeded []int
 	for _, t := range done {
 		if t.State == winch.TaskDone {
-			good = append(good, t.ID.Index)
+			succeeded = append(succeeded, t.ID.Index)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.TaskLease)
 	defer cancel()
 	err := error(nil)
-	if len(good) > 0 {
-		err = s.Ledger.Progress(ctx, id, good)
+	if len(succeeded) > 0 {
+		err = s.Ledger.Progress(ctx, id, succeeded)
 	}
 	if err == nil || errors.Is(err, ledger.ErrFinal) || errors.Is(err, winch.ErrMissing) {
 		_ = s.Duty.Do(context.Background(), func() { s.ends.recorded(id, done) })
@@ -437,10 +455,10 @@
 	}
 }
 
-// recordRetry is the pause before the end of a job is written again.
+// recordRetryDelay is the pause before the result of a job is written again.
 const recordRetry = 500 * time.Millisecond
 
-// recordFinal tries until the end of the job is in the ledger or the term ends.
+// recordFinishedJob retries until the result of the job is in the ledger or the term ends.
 func (s *session) recordFinal(ctx context.Context, rec winch.Job) {
 	for s.term.standing() && ctx.Err() == nil {
 		call, cancel := context.WithTimeout(context.Background(), s.TaskLease)
@@ -454,7 +472,7 @@
 	}
 }
 
-// settled lets the workers forget the tasks of a job whose end is recorded.
+// handleJobRecorded lets the workers forget the tasks of a job whose result is recorded.
 func (s *session) settled(rec winch.Job) {
 	s.closed[rec.ID] = true
 	s.ends.recorded(rec.ID, nil)
