--- a/coord/quota/balance.go
+++ b/coord/quota/balance.go
@@ -12,7 +12,8 @@
 	"plantainwinch/winch"
 )
 
-// Run balances the row with the pool until ctx ends.
+// Run exchanges units with the pool until ctx ends: regularly, and soon after a change of
+// the demand.
 func (h *Holder) Run(ctx context.Context) {
 	for {
 		pause := balanceEvery
@@ -39,94 +40,95 @@
 	}
 }
 
-// plan is what one balance asks of the store, by team: units to take if
-// positive, to give back if negative.
+// transferPlan holds the units to move in one exchange with the pool, by team. A positive
+// number takes units from the pool, a negative one returns units to it.
 type plan map[string]int
 
-// Balance takes missing units from the pool and gives idle ones back.
+// Balance takes missing units from the pool and returns idle ones to it.
 func (h *Holder) Balance(ctx context.Context) error {
-	var p plan
+	var plan plan
 	var epoch uint64
 	var force, stale bool
 	err := h.Duty.Do(ctx, func() {
-		p, epoch, force = h.prepare(), h.epoch, h.doubt
+		plan, epoch, force = h.prepare(), h.epoch, h.doubt
 		stale = h.Document() != nil && h.config < h.Document().Version
 	})
 	if err != nil {
 		return err
 	}
-	if len(p) == 0 && !force && !stale {
+	if len(plan) == 0 && !force && !stale {
 		return nil
 	}
-	return h.exchange(ctx, p, epoch, force)
+	return h.exchange(ctx, plan, epoch, force)
 }
 
-// prepare works out the plan and sets units that go back aside first, so that
-// no start can use them while the write is under way.
+// planTransfers returns the units to move. It withholds the units to be returned, so that no
+// start uses them during the write.
 func (h *Holder) prepare() plan {
 	doc := h.Document()
 	if doc == nil {
 		return nil
 	}
-	p := make(plan)
-	short := false
+	plan := make(plan)
+	shortage := false
 	for name, team := range doc.Teams {
-		short = short || len(h.account(name).waiting) > 0
+		shortage = shortage || len(h.account(name).waiting) > 0
 		if n := h.wish(name, team.Limit); n != 0 {
-			p[name] = n
+			plan[name] = n
 		}
 	}
-	h.short.Store(short)
+	h.short.Store(shortage)
 	for name, a := range h.teams {
 		if _, ok := doc.Teams[name]; !ok && a.free() > 0 {
-			p[name] = -a.free()
+			plan[name] = -a.free()
 		}
 	}
-	for name, n := range p {
+	for name, n := range plan {
 		if n < 0 {
 			h.teams[name].spare += -n
 		}
 	}
-	return p
+	return plan
 }
 
-// wish returns how many units to take (positive) or give back (negative).
+// transferFor returns how many units of a team to take (positive) or return (negative).
 func (h *Holder) wish(name string, limit int) int {
 	a := h.account(name)
 	defer a.restart()
-	ahead := limit / h.Part
+	headroom := limit / h.Part
 	need := max(len(a.waiting), a.wanted())
-	short := need - a.free()
+	missing := need - a.free()
 	if a.owed > 0 && a.free() > 0 {
 		return -min(a.owed, a.free())
 	}
-	if short > 0 && h.yield(name, a) {
+	if missing > 0 && h.yield(name, a) {
 		return -a.free()
 	}
-	if short > 0 {
-		return short + ahead
+	if missing > 0 {
+		return missing + headroom
 	}
 	if h.others[name] > 0 && a.free() > need {
 		return -min(h.others[name], a.free()-need)
 	}
-	idle := min(a.low, a.free()) - ahead
+	idle := min(a.low, a.free()) - headroom
 	if idle > 0 && time.Since(a.lowAt) >= idleAfter {
 		return -idle
 	}
-	if a.free() < ahead && a.row < limit && h.others[name] == 0 {
-		return ahead - a.free()
+	if a.free() < headroom && a.row < limit && h.others[name] == 0 {
+		return headroom - a.free()
 	}
 	return 0
 }
 
-// yield decides by chance to give units back that are too few for what waits
-// here, since others want some too. Two holders that each hold half of what a
-// gang needs would else wait for each other for ever.
+// shouldYield decides at random whether to return free units that are too few for the work
+// that waits here, if other holders want units too. Otherwise two holders that each have
+// half of the units that a gang needs would wait for each other forever.
 func (h *Holder) yield(name string, a *account) bool {
 	return h.others[name] > 0 && a.free() > 0 && len(a.waiting) == 0 && rand.IntN(2) == 0
 }
 
-// wanted returns how many units are missing, if that was said lately.
+// currentDemand returns the most units that a recent TryTake failed to take. It returns 0 if
+// a later call succeeded or no call failed within demandLifetime.
 func (a *account) wanted() int {
 	if time.Since(a.wantAt) > wantFor {
 		return 0
@@ -134,14 +136,15 @@
 	return a.want
 }
 
+// restartMinimum starts a new measurement of the fewest free units after idlePeriod.
 func (a *account) restart() {
 	if time.Since(a.lowAt) >= idleAfter {
 		a.low, a.lowAt = a.free(), time.Now()
 	}
 }
 
-// exchange writes the plan and takes the rows over as they then stand.
-func (h *Holder) exchange(ctx context.Context, p plan, epoch uint64, force bool) error {
+// exchange writes the planned transfers to the store and applies the resulting rows.
+func (h *Holder) exchange(ctx context.Context, plan plan, epoch uint64, force bool) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	doc := h.Document()
@@ -151,7 +154,7 @@
 			return ErrFenced
 		}
 		moved := 0
-		for name, n := range p {
+		for name, n := range plan {
 			if t := u.Teams[name]; t != nil {
 				moved += abs(t.move(h.Name, epoch, n))
 			}
@@ -162,23 +165,24 @@
 		}
 		return nil
 	})
-	return h.settle(p, epoch, v.Body, err)
+	return h.settle(plan, epoch, v.Body, err)
 }
 
 func abs(n int) int {
 	return max(n, -n)
 }
 
-// settle takes the outcome of a write over. While it is not known whether units
-// went back to the pool, they stay set aside: using them could run the team
-// over its limit. The next exchange is then made to write: a write based on the
-// value as it was before can no longer take effect after that.
-func (h *Holder) settle(p plan, epoch uint64, u Units, err error) error {
+// handleOutcome applies the outcome of a write. While it is unknown whether units returned
+// to the pool, they stay withheld, since using them could exceed the team's limit. The next
+// exchange then always writes. After that write, the uncertain one can no longer take
+// effect, because it is based on an older version of the value.
+func (h *Holder) settle(plan plan, epoch uint64, u Units, err error) error {
 	_ = h.Duty.Do(context.Background(), func() {
-		// An office that was taken anew meanwhile has read its row since. Undoing
-		// what was set aside before that would make units that do not exist.
+		// If the office has been acquired again in the meantime, its row has been read again.
+		// Making units usable again that were withheld before would create units that do
+		// not exist.
 		if h.epoch == epoch {
-			h.settleHere(p, u, err)
+			h.settleHere(plan, u, err)
 		}
 	})
 	if errors.Is(err, swap.ErrUnchanged) {
@@ -187,25 +191,28 @@
 	return err
 }
 
-func (h *Holder) settleHere(p plan, u Units, err error) {
+// applyOutcome applies the outcome of a write to the accounts.
+func (h *Holder) settleHere(plan plan, u Units, err error) {
 	switch {
 	case err == nil || errors.Is(err, swap.ErrUnchanged):
 		h.adopt(u)
 	case errors.Is(err, winch.ErrUncertain):
 		h.doubt = true
 	default:
-		h.undo(p)
+		h.undo(plan)
 	}
 }
 
-func (h *Holder) undo(p plan) {
-	for name, n := range p {
+// undoReturns makes units usable again whose return to the pool failed.
+func (h *Holder) undo(plan plan) {
+	for name, n := range plan {
 		if n < 0 {
 			h.account(name).spare += n
 		}
 	}
 }
 
+// applyUnits updates the accounts from the value in the store and serves waiting callers.
 func (h *Holder) adopt(u Units) {
 	h.doubt = false
 	h.config = max(h.config, u.Config)
@@ -223,8 +230,8 @@
 	}
 }
 
-// Assume takes an office's row over under a new epoch. After it, no former
-// holder can change the row. It must be called before work starts.
+// TakeOver takes over an office's row under a new epoch. After it returns, no earlier
+// holder of the office can change the row. It must be called before work starts.
 func (h *Holder) Assume(ctx context.Context, epoch uint64) error {
 	doc := h.Document()
 	v, err := swap.Update(ctx, h.Store, Key, func(u *Units) error {
@@ -248,7 +255,8 @@
 	})
 }
 
-// Reclaim returns the rows of holders that are surely gone to the pool.
+// Reclaim returns the rows of holders to the pool. The holders and the work they started
+// must be guaranteed to have ended.
 func Reclaim(ctx context.Context, store winch.Store, holders []string) error {
 	_, err := swap.Update(ctx, store, Key, func(u *Units) error {
 		found := false
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -14,99 +14,108 @@
 )
 
 const (
-	// balanceEvery is the longest time between two looks at the balance.
+	// balanceInterval is the longest time between two exchanges with the pool.
 	balanceEvery = time.Second
-	// shortEvery is the longest while callers wait for units here. Others give
-	// theirs back through the store, which tells nobody: a unit that came free there
-	// would stay unused for the rest of balanceEvery.
+	// shortageInterval replaces balanceInterval while callers wait for units here. Other
+	// holders return units through the store without notifying this one, so a returned unit
+	// would stay unused for the rest of balanceInterval.
 	shortEvery = 200 * time.Millisecond
-	// balanceGap is the shortest, which caps the store calls of one holder.
+	// minBalanceInterval is the shortest pause between two exchanges. It limits the store
+	// calls of one holder.
 	balanceGap = 50 * time.Millisecond
-	// idleAfter is how long units must have been unused to be given back.
+	// idlePeriod is how long units must have been unused before they are returned.
 	idleAfter = 10 * time.Second
-	// wantFor is how long a want counts that was not repeated.
+	// demandLifetime is how long a failed TryTake counts as demand if it is not repeated.
 	wantFor = 3 * time.Second
-	// storeTimeout bounds one change of the rows.
+	// storeTimeout limits one change of the rows in the store.
 	storeTimeout = 3 * time.Second
 )
 
-// ErrFenced is returned by a change of a row whose office has a newer epoch.
-var ErrFenced = errors.New("quota: the office has a newer epoch")
+// ErrFenced is returned for a change of an office's row under an outdated epoch.
+var ErrFenced = errors.New("quota: row belongs to a newer epoch of the office")
 
+// account is a holder's state for one team.
 type account struct {
-	row   int // row is how many units the holder has in the store.
-	used  int
-	spare int // spare is how many units are on their way back to the pool.
-	// base is how many units an office's former holder may be using, adopted how
-	// many of those its work was found for. Zero once all work was found.
+	row   int // The units in the holder's row in the store.
+	used  int // The units in use.
+	spare int // The units being returned to the pool.
+	// inherited is the number of units that an earlier holder of the office may be using.
+	// adopted counts the units of its work that has been found. Both are zero once all of
+	// its work has been found.
 	base, adopted int
-	// waiting holds the takers in the order of their arrival.
+	// waiting holds the waiting calls of Take in the order of their arrival.
 	waiting []*taker
-	low     int // low is the fewest free units since lowSince.
+	low     int // The fewest free units since minFreeSince.
 	lowAt   time.Time
-	// want is how many units were missing at wantAt, beyond those of takers that wait.
+	// demand is the most units that a recent TryTake failed to take, last at demandAt. Waiting
+	// calls of Take are not included.
 	want   int
 	wantAt time.Time
-	owed   int // owed is how many units holders must give back after the limit fell.
-	limit  int // limit is the one that the row was last seen under.
+	owed   int // The units that all holders together must return after the limit was lowered.
+	limit  int // The team's limit when the row was last read.
 }
 
+// free returns the units that are neither in use, nor being returned, nor possibly in use by work
+// of an earlier holder of the office. It is negative if more is in use than the row has.
 func (a *account) free() int {
-	fresh := a.used - a.adopted
-	return a.row - fresh - max(a.base, a.adopted) - a.spare
+	own := a.used - a.adopted
+	return a.row - own - max(a.base, a.adopted) - a.spare
 }
 
-// usable returns how many units may be taken now. While the holders owe units,
-// what comes free goes back first: were it taken again at once, a lowered limit
-// would never come into force under load.
+// usable returns how many units may be taken now. While the holders owe units, released
+// units return to the pool first. If they were taken again at once, a lowered limit would
+// never come into force under load.
 func (h *Holder) usable(team string, a *account) int {
 	if a.owed > 0 {
 		return 0
 	}
 	if doc := h.Document(); doc != nil && doc.Teams[team].Limit < a.limit {
-		return 0 // The limit was lowered and the rows are not settled yet.
+		return 0 // The limit was lowered and the rows do not reflect that yet.
 	}
 	return a.free()
 }
 
+// waiter is a call of Take that waits for n units.
 type taker struct {
 	n     int
 	reply chan winch.Result
 }
 
-// Holder is one holder's side of the units. Set the fields before Run.
+// Holder takes and returns units on behalf of one entry or office. The exported fields must
+// be set before Prepare and Run.
 type Holder struct {
 	Name string
-	// Office is set for the row that goes with an office.
+	// Office is set if the row belongs to an office, the planner's leadership lease, and
+	// passes from one holder of the office to the next.
 	Office bool
 	Store  winch.Store
 	Duty   *duty.Duty
-	// Document returns the current configuration, or nil.
+	// Document returns the current configuration, or nil if none was read yet.
 	Document func() *winch.Document
-	// Valid reports whether the holder may still start work against its units: it
-	// turns false when it has not reached the store for so long that others take
-	// it for gone.
+	// Valid reports whether the holder may still start work against its units. It must
+	// return false once the store has been unreachable for so long that other entries may
+	// reclaim the units.
 	Valid func() bool
-	// Part is the part of a team's limit that is taken ahead, as a divisor.
+	// HeadroomDivisor sets how many units are taken in advance: the team's limit divided by it.
 	Part int
-	// Refill is called in the holder's duty when a team has got units.
+	// OnRefill is called in Duty when a team has more free units than before. It may be nil.
 	Refill  func(team string)
 	Metrics metrics.Registry
 
 	teams map[string]*account
 	epoch uint64
 	wake  chan struct{}
-	// others is what other holders want, by team.
+	// otherDemand is the number of units that other holders want, by team.
 	others  map[string]int
-	covered atomic.Int64 // covered is the longest run time that is recorded.
-	// config is the version of the limits that the rows were last seen under.
+	covered atomic.Int64 // The longest run time that is recorded in the store.
+	// configVersion is the version of the configuration when the rows were last read.
 	config uint64
-	short  atomic.Bool // short says that callers waited for units at the last balance.
-	// doubt is set while a write that gave units back may still take effect.
+	short  atomic.Bool // Set if callers waited for units at the last exchange.
+	// uncertain is set while a write with an unknown outcome may still take effect.
 	doubt bool
 }
 
-// Prepare makes the holder ready for Run.
+// Prepare sets the defaults and creates the maps and channels. It must be called before Run.
 func (h *Holder) Prepare() {
 	if h.Metrics == nil {
 		h.Metrics = metrics.NewRegistry()
@@ -125,6 +134,7 @@
 	h.wake = make(chan struct{}, 1)
 }
 
+// account returns the account of a team and creates it if needed.
 func (h *Holder) account(team string) *account {
 	a := h.teams[team]
 	if a == nil {
@@ -134,8 +144,8 @@
 	return a
 }
 
-// Cover records that work of this run time will be started, before it is: when
-// this holder dies, its units are reclaimed only after its longest run time.
+// RecordRunTime records the longest run time of work before such work starts. If the holder
+// crashes, its units are reclaimed only after the longest recorded run time.
 func (h *Holder) Cover(ctx context.Context, run time.Duration) winch.Result {
 	if time.Duration(h.covered.Load()) >= run {
 		return winch.Result{}
@@ -154,45 +164,48 @@
 	return winch.Result{}
 }
 
-// Take waits for a unit of the team and takes it, or refuses.
+// Take takes a unit of the team. If none is free, it waits for one and refuses after the
+// given time or when ctx ends.
 func (h *Holder) Take(ctx context.Context, team string, wait time.Duration) winch.Result {
-	t := &taker{n: 1, reply: make(chan winch.Result, 1)}
-	if err := h.Duty.Do(ctx, func() { h.enter(team, t) }); err != nil {
+	w := &taker{n: 1, reply: make(chan winch.Result, 1)}
+	if err := h.Duty.Do(ctx, func() { h.enter(team, w) }); err != nil {
 		return winch.RefuseFor(winch.QueueFull, "the entry is overloaded", time.Second)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case r := <-t.reply:
+	case r := <-w.reply:
 		return r
 	case <-timer.C:
-		h.abandon(team, t, winch.RefuseFor(winch.OverLimit, "team "+team+" is at its upper limit", time.Second))
+		h.abandon(team, w, winch.RefuseFor(winch.OverLimit, "team "+team+" is at its upper limit", time.Second))
 	case <-ctx.Done():
-		h.abandon(team, t, winch.Refuse(winch.CallerGone, "the caller went away"))
+		h.abandon(team, w, winch.Refuse(winch.CallerGone, "the caller went away"))
 	}
-	return <-t.reply
+	return <-w.reply
 }
 
-func (h *Holder) enter(team string, t *taker) {
+// admit gives a unit to the call, lets it wait, or refuses it.
+func (h *Holder) enter(team string, w *taker) {
 	doc := h.Document()
 	if doc == nil || doc.Teams[team].Limit <= 0 {
-		t.reply <- winch.RefuseFor(winch.OverLimit, "team "+team+" has no limit to run under", time.Minute)
+		w.reply <- winch.RefuseFor(winch.OverLimit, "team "+team+" has no limit to run under", time.Minute)
 		return
 	}
 	if !h.Valid() {
-		t.reply <- winch.RefuseFor(winch.StoreUnavailable, "this entry has been without the store for too long to use its part of the limit", time.Second)
+		w.reply <- winch.RefuseFor(winch.StoreUnavailable, "this entry has been without the store for too long to use its part of the limit", time.Second)
 		return
 	}
 	a := h.account(team)
 	if len(a.waiting) == 0 && h.usable(team, a) > 0 {
 		h.use(a)
-		t.reply <- winch.Result{}
+		w.reply <- winch.Result{}
 		return
 	}
-	a.waiting = append(a.waiting, t)
+	a.waiting = append(a.waiting, w)
 	h.nudge()
 }
 
+// takeUnit counts one more unit as in use.
 func (h *Holder) use(a *account) {
 	a.used++
 	if f := a.free(); f < a.low {
@@ -200,14 +213,14 @@
 	}
 }
 
-// abandon refuses a taker unless it has got its unit in the meantime.
-func (h *Holder) abandon(team string, t *taker, why winch.Result) {
+// refuseWaiter refuses a waiting call unless it has received its unit in the meantime.
+func (h *Holder) abandon(team string, w *taker, refusal winch.Result) {
 	err := h.Duty.Do(context.Background(), func() {
 		a := h.account(team)
-		for i, w := range a.waiting {
-			if w == t {
+		for i, other := range a.waiting {
+			if other == w {
 				a.waiting = append(a.waiting[:i:i], a.waiting[i+1:]...)
-				t.reply <- why
+				w.reply <- refusal
 				return
 			}
 		}
@@ -216,25 +229,25 @@
 		return
 	}
 	select {
-	case t.reply <- why:
+	case w.reply <- refusal:
 	default:
 	}
 }
 
-// Release gives a unit back once the work has surely ended.
+// Release releases a unit. The work that used it must be guaranteed to have ended.
 func (h *Holder) Release(team string) {
 	_ = h.Duty.Do(context.Background(), func() {
 		a := h.account(team)
 		a.used--
 		if a.used < 0 {
-			panic("quota: team " + team + " gave back more units than it took")
+			panic("quota: team " + team + " returned more units than it took")
 		}
 		h.serve(team, a)
 	})
 }
 
-// TryTake takes n units at once or none. It must be called in the holder's duty
-// or before Run.
+// TryTake takes n units at once or none, and reports whether it did. It must be called in
+// Duty or before Run.
 func (h *Holder) TryTake(team string, n int) bool {
 	a := h.account(team)
 	if h.usable(team, a) < n || !h.Valid() {
@@ -249,19 +262,19 @@
 	return true
 }
 
-// Charge counts work against the row without asking, for work found running.
-// It must be called in the holder's duty. It may take the row below zero free
-// units, in which case nothing starts until enough has ended.
+// Charge counts n units as in use by work that was found running, without checking for free
+// units. The free units may become negative; then nothing starts until enough work has
+// ended. It must be called in Duty.
 func (h *Holder) Charge(team string, n int) {
 	a := h.account(team)
 	a.used += n
 	a.adopted += n
 }
 
-// Found tells that all work of an office's former holder was found and charged.
-// Until then every unit that the row had at the takeover counts as in use: the
-// former holder may have started work on workers that have not answered yet. It
-// must be called in the holder's duty.
+// TakeoverComplete must be called once all work of an office's earlier holder has been found
+// and charged. Until then, every unit that the row had at the takeover counts as in use: the
+// earlier holder may have started work on workers that have not responded yet. It must be
+// called in Duty.
 func (h *Holder) Found() {
 	for team, a := range h.teams {
 		a.base, a.adopted = 0, 0
@@ -269,32 +282,34 @@
 	}
 }
 
-// Return gives n units back. It must be called in the holder's duty.
+// Return releases n units. It must be called in Duty.
 func (h *Holder) Return(team string, n int) {
 	a := h.account(team)
 	a.used -= n
 	if a.used < 0 {
-		panic("quota: team " + team + " gave back more units than it took")
+		panic("quota: team " + team + " returned more units than it took")
 	}
 	h.serve(team, a)
 }
 
+// serveWaiting gives free units to waiting calls. Units that are left over and owed or
+// wanted by other holders are returned with the next exchange, which it starts early.
 func (h *Holder) serve(team string, a *account) {
 	if a.owed > 0 && a.free() > 0 {
 		h.nudge()
 	}
 	for len(a.waiting) > 0 && h.usable(team, a) > 0 {
-		t := a.waiting[0]
+		w := a.waiting[0]
 		a.waiting = a.waiting[1:]
 		h.use(a)
-		t.reply <- winch.Result{}
+		w.reply <- winch.Result{}
 	}
 	if h.others[team] > 0 && a.free() > 0 {
-		h.nudge() // Callers wait for it elsewhere.
+		h.nudge() // Other holders want the free units.
 	}
 }
 
-// Nudge makes the holder balance soon, as after a change of the limits.
+// BalanceSoon starts the next exchange early, for example after a change of the limits.
 func (h *Holder) Nudge() { h.nudge() }
 
 func (h *Holder) nudge() {
@@ -304,26 +319,26 @@
 	}
 }
 
-// Use returns what each team has running and still wants.
+// Usage returns, by team, the number of units in use and the number that are missing.
 func (h *Holder) Use(ctx context.Context) (map[string][2]int, error) {
 	out := make(map[string][2]int)
 	err := h.Duty.Do(ctx, func() {
 		for team, a := range h.teams {
-			want := max(len(a.waiting), a.wanted()) - max(0, a.free())
-			if a.used > 0 || want > 0 {
-				out[team] = [2]int{a.used, max(0, want)}
+			missing := max(len(a.waiting), a.wanted()) - max(0, a.free())
+			if a.used > 0 || missing > 0 {
+				out[team] = [2]int{a.used, max(0, missing)}
 			}
 		}
 	})
 	return out, err
 }
 
-// Wants tells what other holders could use; units that are free here are given
-// back for them.
-func (h *Holder) Wants(ctx context.Context, wants map[string]int) {
+// SetOtherDemand sets how many units other holders want, by team. Free units of this holder
+// are returned for them.
+func (h *Holder) Wants(ctx context.Context, demand map[string]int) {
 	_ = h.Duty.Do(ctx, func() {
-		h.others = wants
-		for team, n := range wants {
+		h.others = demand
+		for team, n := range demand {
 			if a := h.teams[team]; a != nil && n > 0 && a.free() > 0 {
 				h.nudge()
 			}
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -18,7 +18,7 @@
 	"plantainwinch/winch"
 )
 
-// fleet is a number of holders over one platform.
+// fleet is a set of holders that share a simulated store.
 type fleet struct {
 	platform *stand.Platform
 	holders  []*Holder
@@ -60,19 +60,19 @@
 	f.doc = &winch.Document{Version: version, Teams: map[string]winch.Team{"choir": {Name: "choir", Share: 1, Limit: limit}}}
 }
 
-// share tells the holders each second what the others want.
+// shareDemand sets each holder's view of the demand of the others once per second.
 func (f *fleet) share(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
 		for i, h := range f.holders {
-			wants := make(map[string]int)
-			for j, o := range f.holders {
-				use, _ := o.Use(ctx)
+			demand := make(map[string]int)
+			for j, other := range f.holders {
+				usage, _ := other.Use(ctx)
 				if j != i {
-					wants["choir"] += use["choir"][1]
+					demand["choir"] += usage["choir"][1]
 				}
 			}
-			h.Wants(ctx, wants)
+			h.Wants(ctx, demand)
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	return v.Body
 }
 
-// A limit is smaller than the number of holders, and the demand moves from one
-// to another. Whoever has the demand gets all units.
+// The limit is smaller than the number of holders, and the demand moves from one holder to
+// the next. The holder with the demand must get all units.
 func TestUnitsFollowDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,9 +113,9 @@
 	})
 }
 
-// All units are in use at one holder and a caller waits at another. A unit that
-// comes free is there for that caller soon. Were it left idle until both holders
-// happen to look at the store, calls would miss their deadlines beside free slots.
+// All units are in use at one holder and a caller waits at another. A released unit must
+// reach that caller soon. If it stayed idle until both holders access the store at their
+// regular intervals, calls would miss their deadlines while slots are free.
 func TestFreedUnitReachesWhoWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -126,7 +126,7 @@
 			is.True(f.holders[0].Take(ctx, "choir", 10*time.Second).OK())
 		}
 		for i := range 4 {
-			// At different times within the second in which both look by themselves.
+			// Release at different times within the regular balance interval.
 			var group conc.WaitGroup
 			var got time.Time
 			group.Go(func() {
@@ -134,16 +134,16 @@
 				got = time.Now()
 			})
 			time.Sleep(3*time.Second + time.Duration(i)*230*time.Millisecond)
-			freed := time.Now()
+			released := time.Now()
 			f.holders[0].Release("choir")
 			group.Wait()
-			is.True(got.Sub(freed) <= 2*shortEvery)
+			is.True(got.Sub(released) <= 2*shortEvery)
 		}
 	})
 }
 
-// A limit is lowered below what runs. Nothing starts until the excess has ended,
-// and then only as much as the new limit lets.
+// A limit is lowered below the number of units in use. Nothing may start until the excess
+// has ended, and then only as much as the new limit allows.
 func TestLowering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -156,7 +156,7 @@
 		f.setLimit(4)
 		time.Sleep(5 * time.Second)
 		is.Equal(f.units(t).Teams["choir"].Pool, -16)
-		for i := range 17 { // down to 4 running, which is the limit
+		for i := range 17 { // Until 4 run, which is the limit.
 			is.Equal(f.holders[0].Take(ctx, "choir", time.Second/10).Reason, winch.OverLimit)
 			if i < 16 {
 				f.holders[i%2].Release("choir")
@@ -175,8 +175,8 @@
 	})
 }
 
-// A holder gives units back and the reply is lost. Until it knows the outcome it
-// must not use them, since another holder may have taken them already.
+// A holder returns units and the response of the store is lost. The holder must not use
+// them until it knows the outcome, since another holder may have taken them already.
 func TestGiveBackReplyLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,11 +188,11 @@
 		is.NoErr(h.Duty.Do(ctx, func() {
 			is.True(h.account("choir").free() > 0)
 			h.others["choir"] = 100
-			p := h.prepare()
-			is.True(p["choir"] < 0)
+			plan := h.prepare()
+			is.True(plan["choir"] < 0)
 			before := h.account("choir").free()
-			h.settleHere(p, Units{}, winch.ErrUncertain)
-			is.Equal(h.account("choir").free(), before) // still set aside
+			h.settleHere(plan, Units{}, winch.ErrUncertain)
+			is.Equal(h.account("choir").free(), before) // Still withheld.
 			is.True(h.doubt)
 			h.others["choir"] = 0
 		}))
@@ -204,8 +204,8 @@
 	})
 }
 
-// A former placer wakes up after its successor has taken the office's row over.
-// It can no longer give units of that row away.
+// An earlier planner resumes after a process pause, when its successor has taken over the
+// office's row. It must not be able to return units of that row.
 func TestOfficeRowFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -228,7 +228,7 @@
 		is.True(errors.Is(offices[0].Balance(ctx), ErrFenced))
 		is.True(errors.Is(offices[0].Assume(ctx, 1), ErrFenced))
 		is.NoErr(offices[1].Duty.Do(ctx, func() {
-			is.Equal(offices[1].TryTake("choir", 2), false) // the first may have work running on these units
+			is.Equal(offices[1].TryTake("choir", 2), false) // Work of the first may use these units.
 			offices[1].Charge("choir", 1)
 			offices[1].Found()
 			is.True(offices[1].TryTake("choir", 1))
@@ -254,10 +254,9 @@
 	return s.Platform.Put(ctx, key, data, version, lease)
 }
 
-// An entry loses its office and takes it again while its write that gives idle
-// units back is still under way. The write fails, since it is of the earlier term.
-// If the units were taken back into the row then, they would be there twice, and
-// the team would run more than its limit.
+// An entry loses its office and acquires it again while its write that returns idle units
+// is in progress. The write fails because it belongs to the earlier term. If the holder then
+// made the units usable again, they would exist twice, and the team could exceed its limit.
 func TestOfficeTakenAgainDuringBalance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -278,15 +277,15 @@
 		store.hook = func() { is.NoErr(h.Assume(ctx, 2)) }
 		is.True(errors.Is(h.Balance(ctx), ErrFenced))
 		is.NoErr(h.Duty.Do(ctx, func() {
-			is.Equal(h.account("choir").free(), 0) // What the first term started may still run.
+			is.Equal(h.account("choir").free(), 0) // Work of the first term may still run.
 		}))
 		cancel()
 		group.Wait()
 	})
 }
 
-// Holders take, release and die at random while the store is slow, down or
-// loses replies. At no instant do they use more than the limit together.
+// Holders take and release units at random while the store is slow, down or loses
+// responses. Together they must never use more than the limit.
 func TestNeverOverLimit(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) { randomFleet(t, seed) })
@@ -302,12 +301,12 @@
 	used := 0
 	var group conc.WaitGroup
 	for c := range 12 {
-		own := rand.New(rand.NewPCG(seed, uint64(c)))
+		callerRand := rand.New(rand.NewPCG(seed, uint64(c)))
 		group.Go(func() {
 			for range 30 {
-				time.Sleep(time.Duration(own.IntN(400)) * time.Millisecond)
-				h := f.holders[own.IntN(len(f.holders))]
-				if !h.Take(context.Background(), "choir", time.Duration(own.IntN(3000))*time.Millisecond).OK() {
+				time.Sleep(time.Duration(callerRand.IntN(400)) * time.Millisecond)
+				h := f.holders[callerRand.IntN(len(f.holders))]
+				if !h.Take(context.Background(), "choir", time.Duration(callerRand.IntN(3000))*time.Millisecond).OK() {
 					continue
 				}
 				mu.Lock()
@@ -316,7 +315,7 @@
 					t.Errorf("seed %d: %d units in use, the limit is %d", seed, used, limit)
 				}
 				mu.Unlock()
-				time.Sleep(time.Duration(own.IntN(2000)) * time.Millisecond)
+				time.Sleep(time.Duration(callerRand.IntN(2000)) * time.Millisecond)
 				mu.Lock()
 				used--
 				mu.Unlock()
@@ -337,8 +336,8 @@
 	u.check()
 }
 
-// A limit was lowered under load: a unit comes free and somebody waits for it.
-// It must go back first, or the lowered limit never comes into force.
+// A limit was lowered under load, and a unit is released while a caller waits for it. The
+// unit must return to the pool first; otherwise the lowered limit never comes into force.
 func TestOwedUnitsGoBackFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/quota/units.go
+++ b/coord/quota/units.go
@@ -1,8 +1,9 @@
-// Package quota keeps every team within its upper limit over the whole fleet
-// without a store call per start. The limit is split into units. A unit is in
-// the pool or in the row of one holder; only the holder of a unit may start
-// work against it, and it keeps the unit until that work has surely ended. All
-// rows stand in one value of the store, so their sum never exceeds the limit.
+// Package quota keeps every team within its upper limit over the whole fleet without a store
+// call per start. The limit is split into units, one for each task or call that may run. A
+// unit is either in the pool or in the row of one holder, which is an entry or an office.
+// Only its holder may start work against a unit, and it keeps the unit until that work is
+// guaranteed to have ended. All rows are in one value of the store, so their sum never
+// exceeds the limit.
 package quota
 
 import (
@@ -12,40 +13,40 @@
 	"plantainwinch/winch"
 )
 
-// Key is where the units stand in the store.
+// Key is the store key of the units.
 const Key = "Quota/Units"
 
-// Row is what one holder has of a team's units.
+// Row holds one holder's part of a team's units.
 type Row struct {
 	Units int
-	// Epoch is the office's epoch for a row that goes with an office, so that a
-	// former holder, woken after a pause, cannot change the row.
+	// Epoch is the office's epoch at the last change of the row, for the row of an office.
 	Epoch uint64 `json:",omitempty"`
 }
 
-// TeamUnits is the split of one team's limit. Pool may be below zero after the
-// limit was lowered: the holders then owe that many units.
+// TeamUnits holds the split of one team's limit. After the limit was lowered, Pool may be
+// negative: the holders then owe that many units.
 type TeamUnits struct {
 	Limit int
 	Pool  int
 	Rows  map[string]Row
 }
 
-// Units is the body of the store value.
+// Units is the value in the store, with the units of all teams.
 type Units struct {
-	// Config is the version of the configuration that the limits come from.
+	// Config is the version of the configuration that the limits are taken from.
 	Config uint64
 	Teams  map[string]*TeamUnits
-	// Longest holds the longest run time of any work that a holder started. After
-	// the holder's end its units are in use for at most that long.
+	// Longest holds the longest run time of the work that each holder started. After the
+	// holder's process has ended, its units are in use for at most that long.
 	Longest map[string]time.Duration
-	// Offices holds the newest epoch of each office that holds rows.
+	// Offices holds the newest epoch of each office that has rows, so that an earlier holder
+	// of the office that resumes after a process pause cannot change them.
 	Offices map[string]uint64
 }
 
-// settle brings the limits in line with a newer configuration. Where a limit
-// rose the pool grows; where it fell the pool may go below zero, and holders
-// give units back as their work ends. It reports whether the configuration was newer.
+// applyConfig applies the limits of a newer configuration and reports whether it was newer.
+// A raised limit adds units to the pool. A lowered limit removes units from the pool, which
+// may become negative; the holders then return units as their work ends.
 func (u *Units) settle(doc *winch.Document) bool {
 	if u.Teams == nil {
 		u.Teams = make(map[string]*TeamUnits)
@@ -71,6 +72,7 @@
 	return true
 }
 
+// resize changes the limit of a team and adjusts its pool.
 func (u *Units) resize(name string, limit int) {
 	t := u.Teams[name]
 	if t == nil {
@@ -81,7 +83,7 @@
 	t.Limit = limit
 }
 
-// Holders lists the holders that have rows.
+// Holders returns the set of the holders that have rows.
 func (u *Units) Holders() map[string]bool {
 	out := make(map[string]bool)
 	for _, t := range u.Teams {
@@ -92,8 +94,8 @@
 	return out
 }
 
-// check verifies that no unit was made or lost. A broken sum would let a team
-// run more than its limit, so the process must not go on with it.
+// check panics if units were created or lost. A wrong sum would let a team exceed its limit,
+// so the process must not continue with it.
 func (u *Units) check() {
 	for name, t := range u.Teams {
 		sum := t.Pool
@@ -109,8 +111,8 @@
 	}
 }
 
-// move takes n units from the pool into a row, or out of it if n is negative,
-// and returns how many were moved.
+// move moves up to n units from the pool to a row, or back to the pool if n is negative, and
+// returns how many it moved.
 func (t *TeamUnits) move(holder string, epoch uint64, n int) int {
 	row := t.Rows[holder]
 	if n > 0 {
@@ -131,7 +133,8 @@
 	return n
 }
 
-// reclaim returns the rows of a holder that is surely gone to the pool.
+// reclaim returns the rows of a holder to the pool and reports whether there was anything to
+// remove. The holder and its work must be guaranteed to have ended.
 func (u *Units) reclaim(holder string) bool {
 	_, found := u.Longest[holder]
 	delete(u.Longest, holder)
