--- a/coord/office/completions.go
+++ b/coord/office/completions.go
@@ -25,29 +25,29 @@
 	writing bool // Set while the completion is being written to the ledger.
 }
 
-func (e *ends) has(vm string, attempt winch.Attempt) bool {
-	return e.at[endKey{vm, attempt}]
+func (c *ends) has(vm string, attempt winch.Attempt) bool {
+	return c.at[endKey{vm, attempt}]
 }
 
-func (e *ends) add(vm string, t winch.Task) {
-	if e.tasks == nil {
-		e.tasks = make(map[string][]*end)
-		e.at = make(map[endKey]bool)
-		e.ready = make(map[string][]winch.Attempt)
+func (c *ends) add(vm string, t winch.Task) {
+	if c.tasks == nil {
+		c.tasks = make(map[string][]*end)
+		c.at = make(map[endKey]bool)
+		c.ready = make(map[string][]winch.Attempt)
 	}
-	e.at[endKey{vm, t.Ref()}] = true
-	e.tasks[t.ID.Job] = append(e.tasks[t.ID.Job], &end{vm: vm, task: t})
+	c.at[endKey{vm, t.Ref()}] = true
+	c.tasks[t.ID.Job] = append(c.tasks[t.ID.Job], &end{vm: vm, task: t})
 }
 
 // takeUnrecorded returns the completions to be written, by job, and marks them as being
 // written.
-func (e *ends) open() map[string][]winch.Task {
+func (c *ends) open() map[string][]winch.Task {
 	out := make(map[string][]winch.Task)
-	for job, list := range e.tasks {
-		for _, c := range list {
-			if !c.writing {
-				c.writing = true
-				out[job] = append(out[job], c.task)
+	for job, list := range c.tasks {
+		for _, item := range list {
+			if !item.writing {
+				item.writing = true
+				out[job] = append(out[job], item.task)
 			}
 		}
 	}
@@ -56,49 +56,49 @@
 
 // retryRecording lets a later takeUnrecorded return the completions of a job again, after
 // a write of them failed.
-func (e *ends) reopen(job string) {
-	for _, c := range e.tasks[job] {
-		c.writing = false
+func (c *ends) reopen(job string) {
+	for _, item := range c.tasks[job] {
+		item.writing = false
 	}
 }
 
 // markRecorded lets the workers forget completions that are in the ledger. A nil list
 // stands for all completions of the job.
-func (e *ends) recorded(job string, done []winch.Task) {
+func (c *ends) recorded(job string, done []winch.Task) {
 	var remaining []*end
-	for _, c := range e.tasks[job] {
-		found := done == nil || slices.ContainsFunc(done, func(t winch.Task) bool { return t.Ref() == c.task.Ref() })
+	for _, item := range c.tasks[job] {
+		found := done == nil || slices.ContainsFunc(done, func(t winch.Task) bool { return t.Ref() == item.task.Ref() })
 		if found {
-			e.ready[c.vm] = append(e.ready[c.vm], c.task.Ref())
+			c.ready[item.vm] = append(c.ready[item.vm], item.task.Ref())
 		} else {
-			remaining = append(remaining, c)
+			remaining = append(remaining, item)
 		}
 	}
 	if len(remaining) == 0 {
-		delete(e.tasks, job)
+		delete(c.tasks, job)
 		return
 	}
-	e.tasks[job] = remaining
+	c.tasks[job] = remaining
 }
 
 // takeForgettable removes and returns the tasks that a worker may forget. The caller sends
 // them to the worker.
-func (e *ends) take(vm string) []winch.Attempt {
-	out := e.ready[vm]
-	delete(e.ready, vm)
+func (c *ends) take(vm string) []winch.Attempt {
+	out := c.ready[vm]
+	delete(c.ready, vm)
 	return out
 }
 
 // restoreForgettable puts back tasks after the message to the worker failed.
-func (e *ends) restore(vm string, attempts []winch.Attempt) {
+func (c *ends) restore(vm string, attempts []winch.Attempt) {
 	if len(attempts) > 0 {
-		e.ready[vm] = append(attempts, e.ready[vm]...)
+		c.ready[vm] = append(attempts, c.ready[vm]...)
 	}
 }
 
 // removeForgotten removes the tasks that the worker has forgotten.
-func (e *ends) forgotten(vm string, attempts []winch.Attempt) {
+func (c *ends) forgotten(vm string, attempts []winch.Attempt) {
 	for _, attempt := range attempts {
-		delete(e.at, endKey{vm, attempt})
+		delete(c.at, endKey{vm, attempt})
 	}
 }
--- a/coord/office/elect.go
+++ b/coord/office/elect.go
@@ -63,7 +63,7 @@
 	// validUntil is the time until which the lease is guaranteed to be valid. It counts
 	// from before the last confirmed renewal was sent, as the store counts from its receipt.
 	until time.Time
-	// lost is set once another entry holds or may hold the office.
+	// lost is set once this entry has released the office or another one may hold it.
 	lost bool
 }
 
@@ -127,8 +127,9 @@
 	}
 }
 
-// mayAcquire reports whether this entry may acquire the free office. The recorded
-// successor goes first; so does any entry if there was no holder yet.
+// mayAcquire reports whether this entry may acquire the free office. The recorded successor
+// may do so at once, as may any entry if there was no holder yet. Other entries wait for
+// successorHeadStart.
 func (o *Office) mayTake(record winch.DomainRecord, freeSince time.Time) bool {
 	first := record.Successor == o.Self || record.Successor == "" && record.Placer == ""
 	return first || time.Since(freeSince) >= deference
--- a/coord/office/events.go
+++ b/coord/office/events.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// KeysChanged cancels the waiting jobs whose access keys have been withdrawn.
+// AccessKeysChanged cancels the waiting jobs whose access keys have been withdrawn.
 func (o *Office) KeysChanged(ctx context.Context) {
 	s := o.current.Load()
 	if s == nil {
--- a/coord/office/office.go
+++ b/coord/office/office.go
@@ -91,7 +91,8 @@
 	o.planning = make(chan struct{}, 1)
 }
 
-// KeysMayHaveChanged makes a campaigning entry read the keys of the office at once.
+// RecheckOffice makes an entry that competes for the office read its keys in the store at
+// once. It is called when one of the keys may have changed.
 func (o *Office) Changed() {
 	poke(o.signal)
 }
--- a/coord/office/renew.go
+++ b/coord/office/renew.go
@@ -17,16 +17,16 @@
 
 // renewLoop renews the leases of one worker's tasks, with one message for all of them, and
 // handles the completions that the worker reports.
-func (s *session) attendLoop(ctx context.Context, v *vmState) {
+func (s *session) attendLoop(ctx context.Context, w *vmState) {
 	full := true
 	for ctx.Err() == nil {
 		var call winch.Renewal
-		if s.Duty.Do(ctx, func() { call = s.renewal(v, full) }) != nil {
+		if s.Duty.Do(ctx, func() { call = s.renewal(w, full) }) != nil {
 			return
 		}
-		report, err := s.Worker.Renew(ctx, v.vm, call)
+		report, err := s.Worker.Renew(ctx, w.vm, call)
 		s.heard(err)
-		_ = s.Duty.Do(ctx, func() { full = s.answered(v, call, report, err) })
+		_ = s.Duty.Do(ctx, func() { full = s.answered(w, call, report, err) })
 		if err != nil || call.Full && full {
 			wait(ctx, retryRenewal)
 		}
@@ -44,15 +44,15 @@
 // nextRenewal returns the next message to a worker. The message to an unresponsive worker
 // carries no lease: a message may arrive although its response is lost, and each one would
 // postpone the time at which the worker's leases are guaranteed to have expired.
-func (s *session) renewal(v *vmState, full bool) winch.Renewal {
-	v.forget = s.ends.take(v.vm.ID)
-	v.expect = s.Planner.ConfirmedOn(v.vm.ID)
-	call := winch.Renewal{Epoch: s.term.epoch, Full: full || v.doubt, Forget: v.forget}
-	if v.failures < silentAfter && s.mayAct() {
+func (s *session) renewal(w *vmState, full bool) winch.Renewal {
+	w.forget = s.ends.take(w.vm.ID)
+	w.expect = s.Planner.ConfirmedOn(w.vm.ID)
+	call := winch.Renewal{Epoch: s.term.epoch, Full: full || w.doubt, Forget: w.forget}
+	if w.failures < silentAfter && s.mayAct() {
 		call.Lease = s.TaskLease
-		v.contacted = time.Now()
+		w.contacted = time.Now()
 	}
-	if v.failures == 0 && !call.Full {
+	if w.failures == 0 && !call.Full {
 		call.Wait = s.TaskLease / 3
 	}
 	return call
@@ -60,35 +60,35 @@
 
 // handleReport applies a worker's response to a renewal, or its failure. It reports
 // whether the next renewal must ask for all tasks.
-func (s *session) answered(v *vmState, call winch.Renewal, report winch.Report, err error) bool {
+func (s *session) answered(w *vmState, call winch.Renewal, report winch.Report, err error) bool {
 	now := time.Now()
 	if call.Lease > 0 {
 		// The process may have been paused between creating and sending the message, so
 		// the leases count from the end of the call and not from its start.
-		v.contacted = now
+		w.contacted = now
 	}
 	if err != nil {
-		s.ends.restore(v.vm.ID, v.forget)
-		v.failures++
-		if v.failures >= silentAfter && v.known && !v.gone && now.Sub(v.contacted) > s.TaskLease+driftMargin {
-			s.lapse(v, now)
+		s.ends.restore(w.vm.ID, w.forget)
+		w.failures++
+		if w.failures >= silentAfter && w.known && !w.gone && now.Sub(w.contacted) > s.TaskLease+driftMargin {
+			s.lapse(w, now)
 		}
 		return true
 	}
-	v.failures = 0
-	s.ends.forgotten(v.vm.ID, v.forget)
-	s.returned(v)
-	s.ended(v, report, now)
-	if s.short(v, report) && !call.Full {
-		v.doubt = true
+	w.failures = 0
+	s.ends.forgotten(w.vm.ID, w.forget)
+	s.returned(w)
+	s.ended(w, report, now)
+	if s.short(w, report) && !call.Full {
+		w.doubt = true
 	}
 	if call.Full {
-		v.doubt = false
-		s.carryOut(s.Planner.Known(v.vm.ID, report.Tasks, now))
-		s.missing(v, report)
-		s.vanished(v, report, now)
-		if !v.known {
-			v.known = true
+		w.doubt = false
+		s.carryOut(s.Planner.Known(w.vm.ID, report.Tasks, now))
+		s.missing(w, report)
+		s.vanished(w, report, now)
+		if !w.known {
+			w.known = true
 			s.Wake()
 		}
 	}
@@ -97,59 +97,59 @@
 
 // expireWorker removes an unresponsive worker from the planner. The leases of its tasks are
 // guaranteed to have expired.
-func (s *session) lapse(v *vmState, now time.Time) {
-	v.gone = true
-	s.Planner.Gone(v.vm.ID, now)
+func (s *session) lapse(w *vmState, now time.Time) {
+	w.gone = true
+	s.Planner.Gone(w.vm.ID, now)
 	s.Wake()
 }
 
 // restoreWorker adds a worker to the planner again if it had been removed because it was
 // unresponsive for longer than its leases.
-func (s *session) returned(v *vmState) {
-	if v.gone {
-		v.gone = false
-		s.Planner.SetVM(v.vm)
+func (s *session) returned(w *vmState) {
+	if w.gone {
+		w.gone = false
+		s.Planner.SetVM(w.vm)
 	}
 }
 
 // handleCompletions applies the completions in a worker's report. The worker keeps them
 // until they are in the ledger: if this planner crashes before that, its successor can
 // learn of a completion only from the worker, and would otherwise run the task again.
-func (s *session) ended(v *vmState, report winch.Report, now time.Time) {
+func (s *session) ended(w *vmState, report winch.Report, now time.Time) {
 	for _, t := range report.Tasks {
-		if t.State == winch.TaskRunning || s.ends.has(v.vm.ID, t.Ref()) {
+		if t.State == winch.TaskRunning || s.ends.has(w.vm.ID, t.Ref()) {
 			continue
 		}
-		s.carryOut(s.Planner.Ended(v.vm.ID, t, now))
-		s.ends.add(v.vm.ID, t)
+		s.carryOut(s.Planner.Ended(w.vm.ID, t, now))
+		s.ends.add(w.vm.ID, t)
 		s.Wake()
 	}
 }
 
-// stopLostStarts finds the tasks whose start request may have been lost: its response was
-// lost, and the worker's full list does not contain the task. Starts that are still in
-// progress are not considered.
-func (s *session) missing(v *vmState, report winch.Report) {
+// blockLostStarts blocks the starts whose request may have been lost: the response was lost,
+// and the worker's full list does not contain the task. Starts that are still in progress
+// are not considered.
+func (s *session) missing(w *vmState, report winch.Report) {
 	listed := make(map[winch.TaskID]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
 		listed[t.ID] = true
 	}
-	for _, t := range s.Planner.Doubtful(v.vm.ID) {
+	for _, t := range s.Planner.Doubtful(w.vm.ID) {
 		if !listed[t.ID] {
-			s.group.Go(func() { s.bar(v, t) })
+			s.group.Go(func() { s.bar(w, t) })
 		}
 	}
 }
 
 // runsFewer reports whether a worker runs fewer tasks than it had acknowledged before the
 // renewal was sent, not counting those whose completion it reports.
-func (s *session) short(v *vmState, report winch.Report) bool {
+func (s *session) short(w *vmState, report winch.Report) bool {
 	ended := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
 		ended[t.Ref()] = t.State != winch.TaskRunning
 	}
 	expected := 0
-	for _, a := range v.expect {
+	for _, a := range w.expect {
 		if !ended[a] {
 			expected++
 		}
@@ -159,14 +159,14 @@
 
 // handleMissing tells the planner of tasks that the worker had acknowledged but that its
 // full list does not contain. Otherwise they would count as running forever.
-func (s *session) vanished(v *vmState, report winch.Report, now time.Time) {
+func (s *session) vanished(w *vmState, report winch.Report, now time.Time) {
 	listed := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
 		listed[t.Ref()] = true
 	}
-	for _, a := range v.expect {
+	for _, a := range w.expect {
 		if !listed[a] {
-			s.carryOut(s.Planner.Vanished(v.vm.ID, a, now))
+			s.carryOut(s.Planner.Vanished(w.vm.ID, a, now))
 		}
 	}
 }
@@ -174,18 +174,18 @@
 // blockStart makes the worker refuse a lost start request that may still arrive, before
 // the task is started elsewhere. A worker whose process was paused may still have the
 // request in its receive buffer, and the task would run twice.
-func (s *session) bar(v *vmState, t winch.Task) {
+func (s *session) bar(w *vmState, t winch.Task) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.TaskLease/3)
 	defer cancel()
-	found, err := s.Worker.Stop(ctx, v.vm, s.term.epoch, t)
+	found, err := s.Worker.Stop(ctx, w.vm, s.term.epoch, t)
 	s.heard(err)
 	_ = s.Duty.Do(context.Background(), func() {
 		switch {
 		case err != nil:
-			v.doubt = true
+			w.doubt = true
 		case found:
 			t.State = winch.TaskStopped
-			s.carryOut(s.Planner.Ended(v.vm.ID, t, time.Now()))
+			s.carryOut(s.Planner.Ended(w.vm.ID, t, time.Now()))
 		default:
 			s.carryOut(s.Planner.Refused(t.Ref(), time.Now()))
 		}
--- a/coord/office/session.go
+++ b/coord/office/session.go
@@ -247,25 +247,25 @@
 		}
 	}
 	now := time.Now()
-	for id, v := range s.vms {
+	for id, w := range s.vms {
 		if listed[id] {
 			continue
 		}
-		if now.Sub(v.contacted) > s.TaskLease+driftMargin {
-			s.drop(id, v, now)
+		if now.Sub(w.contacted) > s.TaskLease+driftMargin {
+			s.drop(id, w, now)
 		}
 	}
 }
 
 func (s *session) attend(ctx context.Context, vm winch.VM) {
 	ctx, cancel := context.WithCancel(ctx)
-	v := &vmState{vm: vm, cancel: cancel, contacted: time.Now()}
-	s.vms[vm.ID] = v
-	s.group.Go(func() { s.attendLoop(ctx, v) })
+	w := &vmState{vm: vm, cancel: cancel, contacted: time.Now()}
+	s.vms[vm.ID] = w
+	s.group.Go(func() { s.attendLoop(ctx, w) })
 }
 
-func (s *session) drop(id string, v *vmState, now time.Time) {
-	v.cancel()
+func (s *session) drop(id string, w *vmState, now time.Time) {
+	w.cancel()
 	delete(s.vms, id)
 	s.Planner.Gone(id, now)
 	metrics.GetOrRegisterCounter("Office.WorkersLost", s.Metrics).Inc(1)
@@ -284,8 +284,8 @@
 		return
 	}
 	unresponsive := false
-	for _, v := range s.vms {
-		unresponsive = unresponsive || !v.known
+	for _, w := range s.vms {
+		unresponsive = unresponsive || !w.known
 	}
 	if unresponsive && (s.FenceAtVM || time.Since(s.began) < s.TaskLease+2*driftMargin) {
 		return
@@ -366,8 +366,8 @@
 
 // noteContact notes that a message that extends leases may just have reached a worker.
 func (s *session) touch(id string) {
-	if v := s.vms[id]; v != nil {
-		v.contacted = time.Now()
+	if w := s.vms[id]; w != nil {
+		w.contacted = time.Now()
 	}
 }
 
@@ -390,8 +390,8 @@
 		s.Wake()
 	default:
 		s.Planner.Doubt(d.Task.Ref())
-		if v := s.vms[d.VM.ID]; v != nil {
-			v.doubt = true
+		if w := s.vms[d.VM.ID]; w != nil {
+			w.doubt = true
 		}
 	}
 }
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -55,8 +55,8 @@
 	limit  int // The team's limit when the row was last read.
 }
 
-// free returns the units that are neither in use, nor being returned, nor possibly in use by work
-// of an earlier holder of the office. It is negative if more is in use than the row has.
+// free returns the units that are neither in use, nor being returned, nor possibly in use by
+// work of an earlier holder of the office. It is negative if more is in use than the row has.
 func (a *account) free() int {
 	own := a.used - a.adopted
 	return a.row - own - max(a.base, a.adopted) - a.spare
@@ -271,7 +271,7 @@
 	a.adopted += n
 }
 
-// TakeoverComplete must be called once all work of an office's earlier holder has been found
+// CompleteTakeover must be called once all work of an office's earlier holder has been found
 // and charged. Until then, every unit that the row had at the takeover counts as in use: the
 // earlier holder may have started work on workers that have not responded yet. It must be
 // called in Duty.
