--- a/coord/fleet/account.go
+++ b/coord/fleet/account.go
@@ -8,7 +8,7 @@
 )
 
 // JobSummary describes a job whose end has been recorded: how long it took and what it waited for.
-type Ending struct {
+type JobSummary struct {
 	Job, Queue, Team string
 	State            winch.JobState
 	// Accepted is when the job started to count, Took the time from then until its end was
@@ -28,45 +28,45 @@
 
 // accountWait sets why the phase's tasks wait from now on, and adds the time since the last call
 // to the reason that applied until now. A reason of zero means that no task waits.
-func (s *step) account(now time.Time, reason Reason) {
-	if s.reason != 0 {
-		s.spend(s.reason, now.Sub(s.judged))
+func (s *phase) accountWait(now time.Time, reason Reason) {
+	if s.waitReason != 0 {
+		s.addWait(s.waitReason, now.Sub(s.accountedAt))
 	}
-	s.reason, s.judged = reason, now
+	s.waitReason, s.accountedAt = reason, now
 }
 
-func (s *step) spend(reason Reason, d time.Duration) {
-	if s.spent == nil {
-		s.spent = make(map[Reason]time.Duration)
+func (s *phase) addWait(reason Reason, d time.Duration) {
+	if s.waited == nil {
+		s.waited = make(map[Reason]time.Duration)
 	}
-	s.spent[reason] += d
+	s.waited[reason] += d
 }
 
 // addParallelWait adds a wait of one of several tasks that wait at the same time: of such waits
 // only the longest counts.
-func (s *step) spendMost(reason Reason, d time.Duration) {
-	if d > s.spent[reason] {
-		s.spend(reason, d-s.spent[reason])
+func (s *phase) addParallelWait(reason Reason, d time.Duration) {
+	if d > s.waited[reason] {
+		s.addWait(reason, d-s.waited[reason])
 	}
 }
 
 // deferReason returns why Schedule must skip a phase of the job, or zero.
-func (p *Planner) heldBack(j *job, adopting bool) Reason {
+func (p *Planner) deferReason(j *job, adopting bool) Reason {
 	switch {
-	case adopting && j.rec.Revision <= p.Fresh:
+	case adopting && j.rec.Revision <= p.AdoptedRevision:
 		return WaitAdopting
-	case !p.KnownBefore.IsZero() && j.heard.After(p.KnownBefore):
+	case !p.LeaseExpiry.IsZero() && j.addedAt.After(p.LeaseExpiry):
 		return WaitOffice
 	}
 	return 0
 }
 
 // waitReason returns why Schedule has just not started all tasks of a phase, or zero.
-func (p *Planner) waitsFor(s *step) Reason {
+func (p *Planner) waitReason(s *phase) Reason {
 	switch {
 	case s.waiting == 0:
 		return 0
-	case !slices.ContainsFunc(s.tasks, (*task).free):
+	case !slices.ContainsFunc(s.tasks, (*task).startable):
 		return WaitRun
 	case s.suspected():
 		return WaitProbe
@@ -74,35 +74,35 @@
 		return WaitLimit
 	case !p.spare(s):
 		return WaitUrgentRoom
-	case s.known.asking:
+	case s.advice.asking:
 		return WaitAsked
 	}
 	return WaitRoom
 }
 
 // JobSummaries returns the summaries of the jobs whose end was recorded since the last call.
-func (p *Planner) Endings() []Ending {
-	out := p.endings
-	p.endings = nil
+func (p *Planner) JobSummaries() []JobSummary {
+	out := p.summaries
+	p.summaries = nil
 	return out
 }
 
 // summary returns the summary of a job that has ended.
-func (j *job) ending(now time.Time) Ending {
-	first := j.steps[0]
-	begin := first.begin()
-	out := Ending{
+func (j *job) summary(now time.Time) JobSummary {
+	first := j.phases[0]
+	begin := first.beginsAt()
+	out := JobSummary{
 		Job: j.rec.ID, Queue: j.rec.Queue, Team: j.rec.Team, State: j.state, Accepted: begin,
-		Took: now.Sub(begin), Objective: j.allowance(j.seenChain()),
+		Took: now.Sub(begin), Objective: j.allowedTime(j.observedCriticalPath()),
 		Waited: make(map[Reason]time.Duration), Unanswered: j.unanswered, Crashes: j.crashes, Excess: j.excess,
 	}
-	for _, s := range j.steps {
-		s.account(now, 0)
-		for reason, d := range s.spent {
+	for _, s := range j.phases {
+		s.accountWait(now, 0)
+		for reason, d := range s.waited {
 			out.Waited[reason] += d
 		}
 	}
-	out.Waited[WaitRecord] = now.Sub(j.ended)
+	out.Waited[WaitRecord] = now.Sub(j.endedAt)
 	for _, runs := range j.failed {
 		out.Failed += len(runs)
 	}
@@ -111,15 +111,15 @@
 
 // observedCriticalPath returns the longest chain of the job's phases, by the longest observed run
 // time of each phase, or by its estimate if no task of it has completed.
-func (j *job) seenChain() time.Duration {
+func (j *job) observedCriticalPath() time.Duration {
 	longest := time.Duration(0)
-	chain := make(map[*step]time.Duration, len(j.steps))
-	for _, s := range j.steps {
+	chain := make(map[*phase]time.Duration, len(j.phases))
+	for _, s := range j.phases {
 		before := time.Duration(0)
 		for _, a := range s.after {
 			before = max(before, chain[a])
 		}
-		took := s.longest
+		took := s.maxTime
 		if s.samples == 0 {
 			took = s.spec.Estimate
 		}
--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -46,7 +46,7 @@
 var unbounded = Openings{math.MaxInt, math.MaxInt}
 
 // forStep returns the quota that a step's requests count against.
-func (o *Openings) of(s *step) *int {
+func (o *Openings) of(s *phase) *int {
 	if s.job.quick() {
 		return &o.Urgent
 	}
@@ -55,20 +55,20 @@
 
 // requestAdvice asks the advice service which workers may run a step if the step has waiting
 // tasks, or some more that are to move, and too few workers with free capacity and a valid ticket.
-func (p *Planner) advise(s *step, now time.Time, r rank, moving int) {
+func (p *Planner) advise(s *phase, now time.Time, r rank, moving int) {
 	if !p.wantsAdvice(s, now, moving) {
 		return
 	}
 	if left := *p.Openings.of(s); left > p.starvingPart(s) || moving > 0 && left > 0 {
 		p.askFor(s, now, r, moving)
-	} else if now.Sub(later(s.since, s.known.asked)) > starvingAfter {
+	} else if now.Sub(later(s.readySince, s.advice.asked)) > starvingAfter {
 		p.starving = append(p.starving, waiting{s, r})
 	}
 }
 
 // needsAdvice reports whether a request about a step is due.
-func (p *Planner) wantsAdvice(s *step, now time.Time, moving int) bool {
-	if s.job.queue.Advice == nil || s.waiting+moving == 0 || s.known.asking || now.Before(s.known.retry) {
+func (p *Planner) wantsAdvice(s *phase, now time.Time, moving int) bool {
+	if s.job.queue.Advice == nil || s.waiting+moving == 0 || s.advice.asking || now.Before(s.advice.retry) {
 		return false
 	}
 	// Tasks that move are charged to their team already.
@@ -76,18 +76,18 @@
 }
 
 // starvingQuota returns how much of the quota is reserved for starving steps.
-func (p *Planner) starvingPart(s *step) int {
-	if *p.asOpened.of(s) == math.MaxInt {
+func (p *Planner) starvingPart(s *phase) int {
+	if *p.initialOpenings.of(s) == math.MaxInt {
 		return 0
 	}
-	return *p.asOpened.of(s) / starvingShare
+	return *p.initialOpenings.of(s) / starvingShare
 }
 
 // requestForStarving sends requests for starving steps, the longest waiting first. With few lanes,
 // ordering by rank alone would never reach those with the lowest rank.
 func (p *Planner) askStarving(now time.Time) {
 	slices.SortFunc(p.starving, func(a, b waiting) int {
-		return cmp.Or(later(a.step.since, a.step.known.asked).Compare(later(b.step.since, b.step.known.asked)), compareWaiting(a, b))
+		return cmp.Or(later(a.step.readySince, a.step.advice.asked).Compare(later(b.step.readySince, b.step.advice.asked)), compareWaiting(a, b))
 	})
 	for _, e := range p.starving {
 		if *p.Openings.of(e.step) > 0 {
@@ -100,7 +100,7 @@
 
 // sendRequest queues a request about a step, unless workers with free capacity and valid tickets
 // suffice.
-func (p *Planner) askFor(s *step, now time.Time, r rank, moving int) {
+func (p *Planner) askFor(s *phase, now time.Time, r rank, moving int) {
 	cost := s.job.queue.Advice
 	wanted := s.waiting + moving
 	covered := p.covered(s, now)
@@ -112,16 +112,16 @@
 		return
 	}
 	*p.Openings.of(s)--
-	s.known.asking, s.known.asked = true, now
-	p.counts.Asked++
-	p.asks = append(p.asks, Ask{
+	s.advice.asking, s.advice.asked = true, now
+	p.counts.AdviceRequests++
+	p.adviceRequests = append(p.adviceRequests, AdviceRequest{
 		Phase: s.id(), Workers: ids, Urgent: s.job.quick(), Rank: float64(r.class)*1e6 + r.key,
-		Cost: cost.Call + time.Duration(len(ids))*cost.Worker, Asked: now,
+		Cost: cost.Call + time.Duration(len(ids))*cost.Worker, Created: now,
 	})
 }
 
 // ticketedTasks counts the tasks that fit into workers with valid tickets.
-func (p *Planner) covered(s *step, now time.Time) int {
+func (p *Planner) covered(s *phase, now time.Time) int {
 	n := 0
 	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most) {
 		return 0
@@ -135,7 +135,7 @@
 
 // fitInto returns how many tasks of a step fit into some capacity of a worker, at most the given
 // number.
-func (s *step) fitInto(capacity winch.Room, limit int) int {
+func (s *phase) fitInto(capacity winch.Room, limit int) int {
 	charge := s.spec.Charge()
 	n := min(len(s.tasks), limit)
 	if charge.Milli > 0 {
@@ -162,8 +162,8 @@
 // with free capacity and, where the step is known to be allowed, those expected to have some when
 // the response arrives, as many as probably suffice. A first request names as many workers as can
 // be added before they cost more than the request itself.
-func (p *Planner) toAsk(s *step, now time.Time, wanted int) []string {
-	first := p.Policy.AskAll && s.known.asked.IsZero()
+func (p *Planner) toAsk(s *phase, now time.Time, wanted int) []string {
+	first := p.Policy.AskAll && s.advice.asked.IsZero()
 	full := !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most)
 	if full && len(s.slots) == 0 && !first {
 		return nil
@@ -180,7 +180,7 @@
 		if o.known {
 			covered += float64(o.fit)
 		} else {
-			covered += float64(o.fit) * max(0.1, s.job.queue.share)
+			covered += float64(o.fit) * max(0.1, s.job.queue.allowedShare)
 		}
 	}
 	if first {
@@ -202,14 +202,14 @@
 )
 
 // markByAdvice marks the workers that the advice service is known to allow or to deny.
-func (p *Planner) markAsked(s *step, now time.Time) {
+func (p *Planner) markAsked(s *phase, now time.Time) {
 	p.marks++
 	mark := func(w *worker, value int) { w.mark, w.markedAs = p.marks, value }
-	for _, w := range s.known.denied {
+	for _, w := range s.advice.denied {
 		mark(w, markDenied)
 	}
-	for i := range s.known.allowed {
-		t := &s.known.allowed[i]
+	for i := range s.advice.allowed {
+		t := &s.advice.allowed[i]
 		if t.good(now) && !s.outlasts(t.worker, *t) {
 			mark(t.worker, markGood)
 		} else {
@@ -220,12 +220,12 @@
 
 // candidates returns the workers that a request may name, the best first: those with free capacity
 // and, if all is set, those without.
-func (p *Planner) options(s *step, now time.Time, all bool) []option {
+func (p *Planner) options(s *phase, now time.Time, all bool) []option {
 	response := now.Add(s.job.queue.turnaround)
 	p.markAsked(s, now)
 	counts := s.perWorker()
 	workers := p.pool(s.job.queue.Service).workers
-	p.looks += len(workers)
+	p.examined += len(workers)
 	out := topK[option]{most: askMost, before: better}
 	for _, w := range workers {
 		mark := 0
@@ -259,17 +259,17 @@
 	case a.score != b.score:
 		return a.score > b.score
 	}
-	return a.w.order < b.w.order
+	return a.w.index < b.w.index
 }
 
 // ticketExpiresFirst reports whether a slot planned for the step at a worker becomes free only
 // after the ticket has expired.
-func (s *step) outlasts(w *worker, t permit) bool {
+func (s *phase) outlasts(w *worker, t permit) bool {
 	return slices.ContainsFunc(s.slots, func(x slot) bool { return x.w == w && !t.good(x.at) })
 }
 
 // slotsBy counts the slots planned for the step at a worker that become free by the given time.
-func (s *step) slotsBy(w *worker, by time.Time) int {
+func (s *phase) slotsBy(w *worker, by time.Time) int {
 	n := 0
 	for _, x := range s.slots {
 		if x.w == w && !x.at.After(by) {
@@ -281,7 +281,7 @@
 
 // AdviceReceived handles the response to an advice request: the tickets, how long they are valid,
 // and when the request was sent.
-func (p *Planner) Advice(a Ask, tickets []winch.Ticket, valid time.Duration, requested time.Time) {
+func (p *Planner) Advice(a AdviceRequest, tickets []winch.Ticket, valid time.Duration, requested time.Time) {
 	s := p.asked(a)
 	if s == nil {
 		return
@@ -313,39 +313,39 @@
 			allowed++
 			w.markedAs = markKnown
 		}
-		s.known.allow(permit{w, t.Value, requested.Add(valid)})
+		s.advice.allow(permit{w, t.Value, requested.Add(valid)})
 	}
 	for _, w := range named {
-		if w.markedAs == markNamed && !s.known.isDenied(w) {
-			s.known.denied = append(s.known.denied, w)
+		if w.markedAs == markNamed && !s.advice.isDenied(w) {
+			s.advice.denied = append(s.advice.denied, w)
 		}
 	}
 	if q := s.job.queue; q != nil {
-		q.turnaround += time.Duration(turnStep * float64(p.now().Sub(a.Asked)-q.turnaround))
+		q.turnaround += time.Duration(turnStep * float64(p.now().Sub(a.Created)-q.turnaround))
 	}
 	if answered > 0 && s.job.queue != nil {
 		q := s.job.queue
-		q.share += shareStep * (float64(allowed)/float64(answered) - q.share)
+		q.allowedShare += shareStep * (float64(allowed)/float64(answered) - q.allowedShare)
 	}
 }
 
 // AdviceFailed schedules a retry of a request that failed.
-func (p *Planner) AdviceFailed(a Ask) {
+func (p *Planner) AdviceFailed(a AdviceRequest) {
 	if s := p.asked(a); s != nil {
-		s.known.retry = p.now().Add(askAgain)
+		s.advice.retry = p.now().Add(askAgain)
 	}
 }
 
 // takeRequest returns the step that a request is about, if it still exists, and marks the request
 // as no longer pending.
-func (p *Planner) asked(a Ask) *step {
+func (p *Planner) asked(a AdviceRequest) *phase {
 	j := p.jobs[a.Phase.Job]
 	if j == nil {
 		return nil
 	}
-	s := j.step(a.Phase.K, a.Phase.Phase)
+	s := j.phase(a.Phase.K, a.Phase.Phase)
 	if s != nil {
-		s.known.asking = false
+		s.advice.asking = false
 	}
 	return s
 }
--- a/coord/fleet/ahead.go
+++ b/coord/fleet/ahead.go
@@ -8,12 +8,12 @@
 
 // anticipate lists the urgent steps that follow a step whose tasks all run or have ended. For
 // other work, such requests would occupy lanes for longer than the time they save.
-func (s *step) anticipate() {
+func (s *phase) anticipate() {
 	if !s.job.quick() || s.job.queue.Advice == nil {
 		return
 	}
 	for _, next := range s.next {
-		if !next.ahead && next.known.asked.IsZero() {
+		if !next.ahead && next.advice.asked.IsZero() {
 			next.ahead = true
 			s.job.planner.ahead = append(s.job.planner.ahead, next)
 		}
@@ -25,7 +25,7 @@
 func (p *Planner) askAhead(now time.Time) {
 	kept := p.ahead[:0]
 	for _, s := range p.ahead {
-		if s.listed || s.unlocked() || s.job.cancelled || s.job.state.Final() || !s.known.asked.IsZero() {
+		if s.enqueued || s.dependenciesDone() || s.job.cancelled || s.job.state.Final() || !s.advice.asked.IsZero() {
 			s.ahead = false
 			continue
 		}
@@ -44,14 +44,14 @@
 
 // startsIn returns how long the preceding steps are expected to take from now, and whether that is
 // known: all their tasks must run or have ended.
-func (s *step) startsIn(now time.Time) (time.Duration, bool) {
+func (s *phase) startsIn(now time.Time) (time.Duration, bool) {
 	left := time.Duration(0)
 	for _, a := range s.after {
 		for _, t := range a.tasks {
 			if t.done {
 				continue
 			}
-			r := t.wanted()
+			r := t.activeRun()
 			if r == nil {
 				return 0, false
 			}
--- a/coord/fleet/ahead_test.go
+++ b/coord/fleet/ahead_test.go
@@ -18,29 +18,29 @@
 			is := is.New(t)
 			queue := urgentQueue()
 			queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: 2500 * time.Millisecond}
-			c := newCell(t, 4, queue)
+			c := newSimRegion(t, 4, queue)
 			c.planner.Policy.Ahead = ahead
 			second := tasks(1, 1000)
 			second.After = []int{0}
 			c.add("a", "preview", "choir", tasks(2, 1000), second)
 			c.planner.Schedule()
 			answerWith(c, 0)
-			first := c.step()
+			first := c.schedule()
 			is.Equal(len(first), 2)
-			c.step()
+			c.schedule()
 			answerWith(c, 1)
 			time.Sleep(time.Second)
 			for _, o := range first {
-				c.end(o, winch.EndDone)
+				c.endRun(o, winch.EndDone)
 			}
-			is.Equal(len(c.step()) == 1, ahead)
+			is.Equal(len(c.schedule()) == 1, ahead)
 		})
 	}
 }
 
 // answerPhase allows all workers named in the requests about a phase.
-func answerWith(c *cell, phase int) {
-	for _, a := range c.planner.Asks() {
+func answerWith(c *simRegion, phase int) {
+	for _, a := range c.planner.AdviceRequests() {
 		if a.Phase.Phase != phase {
 			continue
 		}
@@ -59,19 +59,19 @@
 		is := is.New(t)
 		queue := urgentQueue()
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: 2500 * time.Millisecond}
-		c := newCell(t, 4, queue)
+		c := newSimRegion(t, 4, queue)
 		long, second := tasks(2, 1000), tasks(1, 1000)
 		long.Estimate = 10 * time.Second
 		second.After = []int{0}
 		c.add("a", "preview", "choir", long, second)
 		c.planner.Schedule()
 		answerWith(c, 0)
-		c.step()
+		c.schedule()
 		time.Sleep(8 * time.Second)
-		c.step()
-		is.Equal(len(c.planner.Asks()), 0)
+		c.schedule()
+		is.Equal(len(c.planner.AdviceRequests()), 0)
 		time.Sleep(time.Second)
-		c.step()
-		is.Equal(len(c.planner.Asks()), 1)
+		c.schedule()
+		is.Equal(len(c.planner.AdviceRequests()), 1)
 	})
 }
--- a/coord/fleet/bench_test.go
+++ b/coord/fleet/bench_test.go
@@ -26,7 +26,7 @@
 					for b.Loop() {
 						p.Schedule()
 						p.Orders()
-						p.Asks()
+						p.AdviceRequests()
 					}
 				})
 			}
@@ -36,7 +36,7 @@
 
 // answerAll allows every fourth worker named in the pending requests.
 func answerAll(p *Planner) {
-	for _, a := range p.Asks() {
+	for _, a := range p.AdviceRequests() {
 		var tickets []winch.Ticket
 		for i, id := range a.Workers {
 			if i%4 == 0 {
@@ -63,7 +63,7 @@
 	}
 	p.SetWorkers(list)
 	for _, vm := range list {
-		p.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
+		p.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	for i := range workers {
 		addTo(p, fmt.Sprintf("run%04d", i), "mix", 4, 4000, false)
--- a/coord/fleet/bound_test.go
+++ b/coord/fleet/bound_test.go
@@ -12,7 +12,7 @@
 
 // With 40,000 waiting tasks and no limit, a call of Schedule took a second, and starts were
 // ordered after their tickets had expired.
-func TestDecisionIsBoundedHoweverMuchWaits(t *testing.T) {
+func TestScheduleIsBoundedForAnyBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := waitingPlanner(1100, 40_000, true)
@@ -20,7 +20,7 @@
 			time.Sleep(10 * time.Millisecond)
 			p.Schedule()
 			// The last phase may examine all workers of its pool once for each of four reasons.
-			is.True(p.looks <= mostLooks+4*1100)
+			is.True(p.examined <= mostLooks+4*1100)
 			answerAll(p)
 		}
 	})
@@ -28,7 +28,7 @@
 
 // Schedule examines a limited number of workers. If phases of higher rank always used up that
 // limit, those behind them would never be tried.
-func TestWhatADecisionDidNotGetToComesNext(t *testing.T) {
+func TestScheduleResumesWhereItStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := waitingPlanner(1100, 8000, false)
@@ -36,18 +36,18 @@
 			w.vm.Room = winch.Room{Milli: 17_000, Memory: 64 * gigabyte} // has capacity, but for no waiting task
 		}
 		for _, j := range p.jobs {
-			for _, s := range j.steps {
+			for _, s := range j.phases {
 				s.spec.Label = "none" // no shape covers another with the same label
 				s.spec.MostPerVM = 1  // and no miss is remembered
 				s.spec.Need.Milli = 500
 			}
 		}
-		tried := make(map[*step]bool)
+		tried := make(map[*phase]bool)
 		for range 40 {
 			time.Sleep(10 * time.Millisecond)
 			p.Schedule()
 			for _, e := range p.ready {
-				if e.step.judged.Equal(p.now()) {
+				if e.step.accountedAt.Equal(p.now()) {
 					tried[e.step] = true
 				}
 			}
@@ -58,12 +58,12 @@
 
 // Phases of higher rank take all lanes and request advice again whenever their tickets expire. A
 // phase of lower rank that never got advice would never run.
-func TestStepThatWaitsLongGetsAQuestion(t *testing.T) {
+func TestPhaseThatWaitsLongGetsAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		queue := usualQueue()
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: 50 * time.Millisecond}
-		c := newCell(t, 20, queue)
+		c := newSimRegion(t, 20, queue)
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
 			c.add(id, "mix", "choir", tasks(4, 15_000))
 		}
@@ -74,10 +74,10 @@
 		for range 100 {
 			c.planner.Openings = Openings{Urgent: 8, Usual: 8}
 			c.planner.Schedule()
-			for _, a := range c.planner.Asks() {
+			for _, a := range c.planner.AdviceRequests() {
 				asked = asked || a.Phase.Job == "late"
 				c.planner.Advice(a, nil, 0, time.Now())
-				c.planner.jobs[a.Phase.Job].steps[0].known.denied = nil // The others request advice again.
+				c.planner.jobs[a.Phase.Job].phases[0].advice.denied = nil // The others request advice again.
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/coord/fleet/crash_test.go
+++ b/coord/fleet/crash_test.go
@@ -14,24 +14,24 @@
 )
 
 // rebootTime is how long a worker is unreachable after a crash.
-const backTime = 3 * time.Second
+const rebootTime = 3 * time.Second
 
 // stopResponding makes workers unresponsive.
-func (c *cell) silence(workers ...string) {
+func (c *simRegion) stopResponding(workers ...string) {
 	for _, id := range workers {
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
 	}
 }
 
 // lose reports an unresponsive worker as lost: after a known crash or an expired lease, depending
 // on result.
-func (c *cell) lose(id string, result winch.StartResult) {
-	c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: result})
+func (c *simRegion) lose(id string, result winch.StartResult) {
+	c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: result})
 	c.running = slices.DeleteFunc(c.running, func(o proto.Order) bool { return o.Worker == id })
 }
 
 // replace adds the next boot of a worker to the platform's list and lets it list its runs.
-func (c *cell) replace(id string) {
+func (c *simRegion) replace(id string) {
 	var list []winch.WorkerVM
 	for _, w := range c.planner.workers {
 		if w.vm.ID != id {
@@ -43,63 +43,63 @@
 		list = append(list, vm)
 	}
 	c.planner.SetWorkers(list)
-	c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: id + "'"})
+	c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: id + "'"})
 }
 
 // crash ends the process of a worker and boots it again.
-func (c *cell) crash(id string) {
-	c.silence(id)
-	time.Sleep(backTime)
+func (c *simRegion) crash(id string) {
+	c.stopResponding(id)
+	time.Sleep(rebootTime)
 	c.lose(id, winch.StartOtherBoot)
 	c.replace(id)
 }
 
 // suspected reports whether a job has tasks that must run as probes.
-func (c *cell) suspected(id string) bool {
-	return slices.ContainsFunc(c.planner.jobs[id].steps, (*step).suspected)
+func (c *simRegion) suspected(id string) bool {
+	return slices.ContainsFunc(c.planner.jobs[id].phases, (*phase).suspected)
 }
 
 // fillWithLasting starts lasting tasks, so that each worker has some beside its other runs.
-func (c *cell) busy(count int) {
+func (c *simRegion) fillWithLasting(count int) {
 	c.add("busy", "mix", "duct", lasting(count, 500))
-	c.step()
+	c.schedule()
 	time.Sleep(time.Minute)
 }
 
 // settle calls Schedule and saves records until nothing more is started, and returns the starts.
-func (c *cell) settled() []proto.Order {
+func (c *simRegion) settle() []proto.Order {
 	var out []proto.Order
 	for range 4 {
-		out = append(out, c.step()...)
-		c.record()
+		out = append(out, c.schedule()...)
+		c.saveRecords()
 	}
 	return out
 }
 
 // reportStatus lets all workers report their runs with some progress.
-func (c *cell) alive() {
+func (c *simRegion) reportStatus() {
 	running := make(map[string][]winch.Running)
 	for _, o := range c.running {
 		percent := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Seconds() // It increases and stays below 100 in these tests.
 		running[o.Worker] = append(running[o.Worker], winch.Running{Task: o.Task, Run: o.Run, Percent: percent / 10})
 	}
 	for id, list := range running {
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: list})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: list})
 	}
 }
 
 // crashUntilFailed crashes the worker of a job's task some time after each start until the job has
 // failed, and returns the number of crashes.
-func (c *cell) failing(id string, after time.Duration) int {
+func (c *simRegion) crashUntilFailed(id string, after time.Duration) int {
 	for crashes := range 10 {
-		starts := c.settled()
+		starts := c.settle()
 		i := slices.IndexFunc(starts, func(o proto.Order) bool { return o.Task.Job == id })
 		if i < 0 {
-			c.record()
+			c.saveRecords()
 			return crashes
 		}
 		time.Sleep(after)
-		c.alive()
+		c.reportStatus()
 		c.crash(starts[i].Worker)
 	}
 	return 10
@@ -107,19 +107,19 @@
 
 // A task that crashes its workers must be given up after the second crash, whatever runs beside
 // it. The tasks beside it must be started again and never given up.
-func TestSecondCrashOfAProbeGivesTheTaskUp(t *testing.T) {
+func TestTaskIsGivenUpAfterSecondProbeCrash(t *testing.T) {
 	for _, after := range []time.Duration{5 * time.Millisecond, 2 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, 6, urgentQueue(), usualQueue())
-				c.busy(24)
+				c := newSimRegion(t, 6, urgentQueue(), usualQueue())
+				c.fillWithLasting(24)
 				c.add("bad", "preview", "choir", tasks(1, 1000))
-				is.Equal(c.failing("bad", after), 2)
+				is.Equal(c.crashUntilFailed("bad", after), 2)
 				is.Equal(c.state("bad"), winch.JobFailed)
 				is.Equal(c.state("busy"), winch.JobRunning)
 				is.True(!c.suspected("busy"))
-				c.settled()
+				c.settle()
 				is.Equal(len(c.running), 24)
 			})
 		})
@@ -132,27 +132,27 @@
 func TestCrashesLongAfterTheStartAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
 		crashes := 0
 		for ; c.state("bad") != winch.JobFailed && crashes < 10; crashes++ {
 			var starts []proto.Order
 			i := -1
 			for tries := 0; i < 0 && tries < 80; tries++ {
-				starts = c.settled()
+				starts = c.settle()
 				i = slices.IndexFunc(starts, func(o proto.Order) bool { return o.Task.Job == "bad" })
 				time.Sleep(500 * time.Millisecond)
-				c.alive() // other probes run first
+				c.reportStatus() // other probes run first
 			}
 			is.True(i >= 0)
 			time.Sleep(4500 * time.Millisecond)
 			c.add(fmt.Sprint("later", crashes), "preview", "choir", tasks(8, 1000))
-			for _, o := range c.settled() {
+			for _, o := range c.settle() {
 				is.True(o.Worker != starts[i].Worker || !c.suspected("bad")) // nothing starts beside a probe
 			}
 			time.Sleep(50 * time.Millisecond)
 			c.crash(starts[i].Worker)
-			c.record()
+			c.saveRecords()
 		}
 		is.True(crashes <= 4)
 		for id, j := range c.planner.jobs {
@@ -163,27 +163,27 @@
 
 // A task ran beside another one that crashed the worker. It must be cleared once a probe has lived
 // long enough, and other work must then start beside it again.
-func TestProbeThatLivesIsCleared(t *testing.T) {
+func TestProbeThatSurvivesIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 2, urgentQueue(), usualQueue())
 		c.add("good", "mix", "choir", tasks(1, 1000))
-		first := c.settled()[0]
+		first := c.settle()[0]
 		time.Sleep(200 * time.Millisecond)
 		c.crash(first.Worker)
-		probe := c.settled()
+		probe := c.settle()
 		is.Equal(len(probe), 1)
 		c.add("other", "mix", "choir", tasks(4, 1000))
-		for _, o := range c.settled() {
+		for _, o := range c.settle() {
 			is.True(o.Worker != probe[0].Worker)
 		}
 		time.Sleep(1500 * time.Millisecond) // longer than twice the age at the crash plus clearMargin
-		c.alive()
+		c.reportStatus()
 		is.True(!c.suspected("good"))
 		c.add("more", "mix", "choir", tasks(2, 1000))
-		is.True(slices.ContainsFunc(c.settled(), func(o proto.Order) bool { return o.Worker == probe[0].Worker }))
+		is.True(slices.ContainsFunc(c.settle(), func(o proto.Order) bool { return o.Worker == probe[0].Worker }))
 		c.crash(probe[0].Worker) // After clearance this crash counts as the first.
-		c.settled()
+		c.settle()
 		is.Equal(c.state("good"), winch.JobRunning)
 	})
 }
@@ -191,12 +191,12 @@
 // A rack loses its power, which says little about the tasks of its workers, so they must be
 // started again at once. If it happens again soon, each task must run as a probe first, but none
 // may be given up.
-func TestWorkersThatCrashTogetherGiveNothingUp(t *testing.T) {
+func TestSimultaneousCrashesGiveNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 12, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 12, urgentQueue(), usualQueue())
 		c.add("a", "mix", "choir", tasks(48, 1000))
-		is.Equal(len(c.settled()), 48)
+		is.Equal(len(c.settle()), 48)
 		for range 2 {
 			time.Sleep(700 * time.Millisecond)
 			down := []string{}
@@ -205,21 +205,21 @@
 					down = append(down, o.Worker)
 				}
 			}
-			c.silence(down...)
-			time.Sleep(backTime)
+			c.stopResponding(down...)
+			time.Sleep(rebootTime)
 			for _, id := range down {
 				c.lose(id, winch.StartOtherBoot)
 				c.replace(id)
 			}
 			if !c.suspected("a") {
-				c.settled()
+				c.settle()
 				is.Equal(len(c.running), 48)
 			}
 		}
 		for range 120 {
-			c.settled()
+			c.settle()
 			time.Sleep(500 * time.Millisecond)
-			c.alive()
+			c.reportStatus()
 		}
 		is.Equal(c.state("a"), winch.JobRunning)
 		is.Equal(len(c.running), 48)
@@ -228,27 +228,27 @@
 
 // All tasks of a job crash their workers. If each were probed on its own, each would cost up to
 // two more workers. The first crash of a probe must give the job up.
-func TestJobWhoseTasksAllCrashIsGivenUpByOneProbe(t *testing.T) {
+func TestOneProbeGivesUpJobWhoseTasksAllCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 12, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 12, urgentQueue(), usualQueue())
 		c.add("bad", "preview", "choir", tasks(6, 9000)) // each on a worker of its own
-		starts := c.settled()
+		starts := c.settle()
 		is.Equal(len(starts), 6)
 		time.Sleep(5 * time.Millisecond)
 		for _, o := range starts {
-			c.silence(o.Worker)
+			c.stopResponding(o.Worker)
 		}
-		time.Sleep(backTime)
+		time.Sleep(rebootTime)
 		for _, o := range starts {
 			c.lose(o.Worker, winch.StartOtherBoot)
 			c.replace(o.Worker)
 		}
-		probes := c.settled()
+		probes := c.settle()
 		is.Equal(len(probes), 1)
 		time.Sleep(5 * time.Millisecond)
 		c.crash(probes[0].Worker)
-		is.Equal(len(c.settled()), 0)
+		is.Equal(len(c.settle()), 0)
 		is.Equal(c.state("bad"), winch.JobFailed)
 	})
 }
@@ -258,14 +258,14 @@
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 8, urgentQueue(), usualQueue())
-		c.busy(16)
+		c := newSimRegion(t, 8, urgentQueue(), usualQueue())
+		c.fillWithLasting(16)
 		phase := tasks(2, 9000)
 		phase.Gang = true
 		c.add("bad", "mix", "choir", phase)
 		runs := 0
 		for ; runs < 10; runs++ {
-			starts := c.settled()
+			starts := c.settle()
 			if !slices.ContainsFunc(starts, func(o proto.Order) bool { return o.Task.Job == "bad" }) {
 				break
 			}
@@ -284,19 +284,19 @@
 
 // A worker is unreachable for longer than its lease. Only its next boot shows that it had crashed,
 // after the task was started again. The crash must count all the same.
-func TestCrashThatTurnsOutAfterTheLapseCounts(t *testing.T) {
+func TestCrashDetectedAfterLeaseExpiryCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 6, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 6, urgentQueue(), usualQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
 		crashes := 0
 		for ; crashes < 10; crashes++ {
-			starts := c.settled()
+			starts := c.settle()
 			if len(starts) == 0 {
 				break
 			}
 			time.Sleep(5 * time.Millisecond)
-			c.silence(starts[0].Worker)
+			c.stopResponding(starts[0].Worker)
 			time.Sleep(6 * time.Second)
 			c.lose(starts[0].Worker, winch.StartUncertain)
 			c.replace(starts[0].Worker)
@@ -308,38 +308,38 @@
 
 // A worker is partitioned until its lease expires and then responds again as the same boot;
 // another one drains before it leaves. Neither may count as a crash.
-func TestLapseAndLeaveAreNoCrash(t *testing.T) {
+func TestLeaseExpiryAndDrainAreNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.add("a", "preview", "choir", tasks(1, 1000))
-		first := c.settled()[0]
-		c.silence(first.Worker)
+		first := c.settle()[0]
+		c.stopResponding(first.Worker)
 		time.Sleep(6 * time.Second)
 		c.lose(first.Worker, winch.StartUncertain)
 		c.list()
-		second := c.settled()[0]
+		second := c.settle()[0]
 		c.list(second.Worker)
-		time.Sleep(backTime)
+		time.Sleep(rebootTime)
 		c.crash(second.Worker)
 		is.Equal(len(c.planner.jobs["a"].suspects), 0)
-		is.Equal(len(c.settled()), 1)
+		is.Equal(len(c.settle()), 1)
 	})
 }
 
 // While the store is unavailable a suspect must not start: a planner that takes over would not
 // know that the probe may be running. Other work must still start.
-func TestSuspectWaitsForItsRecord(t *testing.T) {
+func TestSuspectStartsOnlyOnceRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
-		first := c.settled()[0]
+		first := c.settle()[0]
 		time.Sleep(5 * time.Millisecond)
 		c.crash(first.Worker)
 		c.add("other", "preview", "choir", tasks(1, 1000))
 		for range 3 {
-			for _, o := range c.step() {
+			for _, o := range c.schedule() {
 				is.Equal(o.Task.Job, "other")
 			}
 		}
@@ -350,86 +350,86 @@
 		for _, r := range records {
 			c.planner.Saved(r, 10)
 		}
-		is.Equal(len(c.settled()), 1)
+		is.Equal(len(c.settle()), 1)
 	})
 }
 
 // Several planners in a row are lost while a probe runs, and none of their successors has a copy
 // of the running work. Each must know from the record that there was a probe, and the first known
 // crash must give the task up.
-func TestProbeOfALostPlannerIsKnown(t *testing.T) {
+func TestSuccessorKnowsProbeOfLostPlanner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
-		starts := c.settled()
+		starts := c.settle()
 		time.Sleep(5 * time.Millisecond)
 		c.crash(starts[0].Worker)
-		c.step()
+		c.schedule()
 		progress := c.planner.Records(10)[0].Progress
 		for term := uint64(2); term < 5; term++ {
-			next := newCell(t, 4, urgentQueue(), usualQueue())
+			next := newSimRegion(t, 4, urgentQueue(), usualQueue())
 			next.planner.Term = term
 			next.planner.Add(c.planner.jobs["bad"].rec, &progress, 10)
-			next.step()
+			next.schedule()
 			records := next.planner.Records(10)
 			progress = records[0].Progress
 			next.planner.Saved(records[0], 11)
-			starts = next.settled()
+			starts = next.settle()
 			is.Equal(len(starts), 1)
 			c.planner, c.running = next.planner, next.running
 		}
 		is.Equal(len(progress.Crashes["0.0.0"]), 4)
 		time.Sleep(5 * time.Millisecond)
 		c.crash(starts[0].Worker)
-		is.Equal(len(c.settled()), 0)
+		is.Equal(len(c.settle()), 0)
 		is.Equal(c.state("bad"), winch.JobFailed)
 	})
 }
 
 // A team submits many jobs whose tasks crash their workers. The probes may take only a part of the
 // workers, and the work of other teams must start at once.
-func TestProbesOfATeamAreBounded(t *testing.T) {
+func TestProbesOfATeamAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 16, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 16, urgentQueue(), usualQueue())
 		for i := range 8 {
 			c.add(fmt.Sprint("bad", i), "preview", "choir", tasks(1, 9000))
 		}
-		starts := c.settled()
+		starts := c.settle()
 		is.Equal(len(starts), 8)
 		time.Sleep(5 * time.Millisecond)
 		for _, o := range starts {
-			c.silence(o.Worker)
+			c.stopResponding(o.Worker)
 		}
-		time.Sleep(backTime)
+		time.Sleep(rebootTime)
 		for _, o := range starts {
 			c.lose(o.Worker, winch.StartOtherBoot)
 			c.replace(o.Worker)
 		}
-		is.Equal(len(c.settled()), 2)
+		is.Equal(len(c.settle()), 2)
 		c.add("good", "preview", "duct", tasks(20, 1000))
-		is.Equal(len(c.settled()), 20)
+		is.Equal(len(c.settle()), 20)
 	})
 }
 
 // A probe makes no progress, which does not show whether it crashes its worker. If it were moved,
 // it would never live long enough to be cleared, and each start could cost another worker.
-func TestProbeThatStandsStillIsLeft(t *testing.T) {
+func TestStalledProbeIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 3, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 3, urgentQueue(), usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
-		first := c.settled()[0]
+		first := c.settle()[0]
 		time.Sleep(2500 * time.Millisecond)
 		c.crash(first.Worker)
-		probe := c.settled()[0]
+		probe := c.settle()[0]
 		for range 8 {
 			time.Sleep(500 * time.Millisecond)
-			c.planner.Event(proto.KeepEvent{Kind: proto.EventStatus, Worker: probe.Worker, Running: []winch.Running{
+			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: probe.Worker, Running: []winch.Running{
 				{Task: probe.Task, Run: probe.Run, Percent: 50},
 			}})
-			is.Equal(len(c.settled()), 0)
+			is.Equal(len(c.settle()), 0)
 		}
 		is.Equal(c.at(probe.Worker), 1)
 	})
@@ -437,23 +437,23 @@
 
 // Lasting tasks that often ran beside the cause of a crash occupy all workers as probes. The other
 // lasting tasks must not wait until these are cleared, since their users would wait too.
-func TestLastingTasksDoNotWaitForEachOthersProbes(t *testing.T) {
+func TestLastingTasksDoNotWaitForOtherProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 2, urgentQueue(), usualQueue())
 		c.add("a", "mix", "duct", lasting(6, 10))
-		for _, x := range c.planner.jobs["a"].steps[0].tasks {
-			for run := range uint64(weakCrashes) {
+		for _, x := range c.planner.jobs["a"].phases[0].tasks {
+			for run := range uint64(minWeakCrashes) {
 				s := x.suspect()
-				s.crashes = append(s.crashes, winch.Crash{Run: run + 1, Worker: "lost", Lived: causeTime, Weak: true})
+				s.crashes = append(s.crashes, winch.Crash{Run: run + 1, Worker: "lost", Lived: maxLikelyAge, Weak: true})
 			}
 		}
 		begin := time.Now()
-		is.Equal(len(c.settled()), 2)
+		is.Equal(len(c.settle()), 2)
 		for time.Since(begin) < 5*time.Second {
 			time.Sleep(100 * time.Millisecond)
-			c.alive()
-			c.settled()
+			c.reportStatus()
+			c.settle()
 		}
 		is.Equal(len(c.running), 6)
 	})
--- a/coord/fleet/demand.go
+++ b/coord/fleet/demand.go
@@ -131,7 +131,7 @@
 		p.unsorted = false
 		p.byID = slices.SortedFunc(maps.Values(p.workers), func(a, b *worker) int { return cmp.Compare(a.vm.ID, b.vm.ID) })
 		for i, w := range p.byID {
-			w.order = i
+			w.index = i
 		}
 	}
 	var x *pool
@@ -154,7 +154,7 @@
 }
 
 // countWaiting adds the waiting tasks of a step to the demand of urgent work.
-func (p *Planner) countWaiting(s *step) {
+func (p *Planner) countWaiting(s *phase) {
 	if !s.job.urgent() {
 		return
 	}
@@ -172,12 +172,12 @@
 // countUrgent adds a run to the used urgent capacity if on is set and the run is urgent, and
 // otherwise removes it.
 func (r *run) countUrgent(on bool) {
-	on = on && r.task != nil && !r.stopping && r.task.step.job.urgent()
+	on = on && r.task != nil && !r.stopping && r.task.phase.job.urgent()
 	if on == r.urgent {
 		return
 	}
 	r.urgent = on
-	for _, d := range r.task.step.job.demands() {
+	for _, d := range r.task.phase.job.demands() {
 		if on {
 			d.used = d.used.Add(r.need)
 		} else {
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -9,7 +9,7 @@
 )
 
 // HandleEvent applies a keeper's report about a worker.
-func (p *Planner) Event(e proto.KeepEvent) {
+func (p *Planner) HandleEvent(e proto.KeepEvent) {
 	w := p.workers[e.Worker]
 	if w == nil {
 		delete(p.roster, e.Worker)
@@ -18,102 +18,102 @@
 	defer w.noteSilence()
 	switch e.Kind {
 	case proto.EventListed, proto.EventStarted, proto.EventEnded, proto.EventStatus, proto.EventFound, proto.EventBack:
-		w.told = p.now()
+		w.lastContact = p.now()
 	}
 	switch e.Kind {
 	case proto.EventListed:
-		p.listed(w, e)
+		p.handleListed(w, e)
 	case proto.EventStarted:
-		p.started(w, e)
+		p.handleStarted(w, e)
 	case proto.EventNotStarted:
-		p.notStarted(w, e)
+		p.handleNotStarted(w, e)
 	case proto.EventEnded:
-		p.unheard(e)
-		p.endedAll(w, e.Ended)
+		p.accountLateCompletions(e)
+		p.handleCompletions(w, e.Ended)
 	case proto.EventVanished:
-		p.vanished(w, runKey{e.Task, e.Run})
+		p.handleVanished(w, runKey{e.Task, e.Run})
 	case proto.EventStatus:
-		p.status(w, e.Running)
+		p.handleStatus(w, e.Running)
 	case proto.EventFound:
-		p.found(w, e.Running)
+		p.handleFound(w, e.Running)
 	case proto.EventLost:
-		p.Lost(e.Worker, e.Result == winch.StartOtherBoot)
-		w.over = e.Result == winch.StartOtherBoot && w.vm.Born != 0
+		p.WorkerLost(e.Worker, e.Result == winch.StartOtherBoot)
+		w.replaced = e.Result == winch.StartOtherBoot && w.vm.Born != 0
 	case proto.EventKnown:
-		p.knew(w, e)
+		p.handleKnown(w, e)
 	case proto.EventSilent:
-		w.quiet, w.answers = true, false
+		w.unresponsive, w.respondsAgain = true, false
 	case proto.EventBack:
-		w.answers = true
+		w.respondsAgain = true
 	}
 }
 
 // handleKnown applies what the keeper of an earlier planner's session reported of a worker. All
 // orders went through that keeper, so nothing else runs there. The worker gets no work until its
 // own lists have been received.
-func (p *Planner) knew(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleKnown(w *worker, e proto.KeepEvent) {
 	if w.ready {
 		return
 	}
-	p.found(w, e.Running)
+	p.handleFound(w, e.Running)
 	delete(p.roster, w.vm.ID)
 }
 
 // handleListed applies the first lists of a worker in a session. They are complete: a run that is
 // in neither does not exist, and no earlier order can start it any more.
-func (p *Planner) listed(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleListed(w *worker, e proto.KeepEvent) {
 	seen := make(map[runKey]bool)
 	for _, x := range e.Running {
 		seen[runKey{x.Task, x.Run}] = true
 	}
-	p.endedAll(w, e.Ended)
+	p.handleCompletions(w, e.Ended)
 	for key, r := range w.runs {
 		if !seen[key] {
 			p.endRun(r)
-			p.noteGone(w, key)
-			p.requeued(r)
+			p.closeRun(w, key)
+			p.handleLostRun(r)
 		}
 	}
 	for _, r := range w.runs {
 		r.started = true // The worker lists it, so it has started even if the confirmation was lost.
 		if r.stopping {
 			r.stopping = false // The stop order may have been lost with the last session.
-			p.stop(r)
+			p.stopRun(r)
 		}
 	}
-	p.found(w, e.Running)
-	p.status(w, e.Running)
-	w.ready, w.answers = true, true
+	p.handleFound(w, e.Running)
+	p.handleStatus(w, e.Running)
+	w.ready, w.respondsAgain = true, true
 	delete(p.roster, w.vm.ID)
 	// The order to forget recorded completions is repeated since it may have been lost.
-	if w.forgot > 0 {
-		p.orders = append(p.orders, proto.Order{Kind: proto.OrderForget, Worker: w.vm.ID, Forget: w.forgot})
+	if w.forgottenUpTo > 0 {
+		p.orders = append(p.orders, proto.Order{Kind: proto.OrderForget, Worker: w.vm.ID, Forget: w.forgottenUpTo})
 	}
-	p.forget(w)
+	p.forgetRecorded(w)
 }
 
 // handleFound handles runs that were not ordered in this session: it adopts those whose work is
 // still needed and stops the others.
-func (p *Planner) found(w *worker, list []winch.Running) {
+func (p *Planner) handleFound(w *worker, list []winch.Running) {
 	for _, x := range list {
 		key := runKey{x.Task, x.Run}
 		if w.runs[key] != nil {
 			continue
 		}
 		t := p.task(x.Task)
-		adopt := t != nil && t.free() && !t.step.job.cancelled && !t.step.job.state.Final() && t.step.fits(x.Run)
+		adopt := t != nil && t.startable() && !t.phase.job.cancelled && !t.phase.job.state.Final() && t.phase.fits(x.Run)
 		if t != nil {
-			t.step.job.adopted = true
+			t.phase.job.adopted = true
 		}
 		r := p.addRun(w, t, x.Task, x.Run)
-		r.started, r.adopted, r.pace = true, true, paceUnknown
+		r.started, r.adopted, r.throttle = true, true, paceUnknown
 		if !adopt {
-			p.stop(r)
+			p.stopRun(r)
 			continue
 		}
 		t.checkpoint = x.Checkpoint
-		t.step.adopt(x.Run)
-		t.step.job.update()
+		t.phase.adopt(x.Run)
+		t.phase.job.updateState()
 	}
 }
 
@@ -122,116 +122,116 @@
 	if j == nil {
 		return nil
 	}
-	s := j.step(id.K, id.Phase)
+	s := j.phase(id.K, id.Phase)
 	if s == nil || id.Index < 0 || id.Index >= len(s.tasks) {
 		return nil
 	}
 	return s.tasks[id.Index]
 }
 
-func (p *Planner) started(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleStarted(w *worker, e proto.KeepEvent) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r == nil {
 		return
 	}
 	r.started = true
-	r.task.step.spendMost(WaitStart, p.now().Sub(r.since))
-	r.since, r.moved = p.now(), p.now()
+	r.task.phase.addParallelWait(WaitStart, p.now().Sub(r.since))
+	r.since, r.progressedAt = p.now(), p.now()
 	if r.task.checkpoint == "" {
 		r.baseAt = r.since
 	}
 	p.counts.Started++
-	r.task.step.job.update()
+	r.task.phase.job.updateState()
 }
 
-func (p *Planner) notStarted(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleNotStarted(w *worker, e proto.KeepEvent) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r == nil {
 		return
 	}
 	p.counts.NotStarted++
 	p.endRun(r)
-	p.noteGone(w, r.key)
+	p.closeRun(w, r.key)
 	if r.task == nil {
 		return
 	}
-	r.task.step.spendMost(WaitStart, p.now().Sub(r.since))
+	r.task.phase.addParallelWait(WaitStart, p.now().Sub(r.since))
 	switch e.Result {
 	case winch.StartTicket:
-		r.task.step.known.expire(w)
+		r.task.phase.advice.expire(w)
 	case winch.StartNoRoom, winch.StartRefused, winch.StartUncertain:
-		w.health.rest(p.now(), refusedRest)
-		r.task.step.job.unanswered++
+		w.health.quarantine(p.now(), refusedQuarantine)
+		r.task.phase.job.unanswered++
 	}
 }
 
 // handleLostRun notes that a run ended without an order to stop it.
-func (p *Planner) requeued(r *run) {
+func (p *Planner) handleLostRun(r *run) {
 	p.counts.Lost++
 	if r.task != nil {
 		p.gangBroken(r)
 	}
 }
 
-func (p *Planner) vanished(w *worker, key runKey) {
+func (p *Planner) handleVanished(w *worker, key runKey) {
 	if r := w.runs[key]; r != nil {
 		p.endRun(r)
-		p.noteGone(w, key)
-		p.requeued(r)
+		p.closeRun(w, key)
+		p.handleLostRun(r)
 	}
 }
 
 // accountLateCompletions counts how long completions may have been delayed because responses of
 // the worker were lost.
-func (p *Planner) unheard(e proto.KeepEvent) {
+func (p *Planner) accountLateCompletions(e proto.KeepEvent) {
 	for _, x := range e.Ended {
 		if t := p.task(x.Task); t != nil && e.Blind > 0 {
-			t.step.spendMost(WaitUnheard, e.Blind)
+			t.phase.addParallelWait(WaitUnheard, e.Blind)
 		}
 	}
 }
 
-func (p *Planner) endedAll(w *worker, list []winch.Ended) {
+func (p *Planner) handleCompletions(w *worker, list []winch.Ended) {
 	for _, e := range list {
-		if e.Number <= w.lastEnd {
+		if e.Number <= w.lastCompletion {
 			continue
 		}
-		w.lastEnd = e.Number
-		p.ended(w, e)
+		w.lastCompletion = e.Number
+		p.handleCompletion(w, e)
 	}
-	p.forget(w)
+	p.forgetRecorded(w)
 }
 
 // handleCompletion applies one completion, whether or not this planner knew of the run: a
 // completion that an earlier planner did not record is listed again.
-func (p *Planner) ended(w *worker, e winch.Ended) {
+func (p *Planner) handleCompletion(w *worker, e winch.Ended) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r != nil {
-		p.lives(r, p.now())
+		p.clearIfSurvived(r, p.now())
 		p.endRun(r)
 	}
 	t := p.task(e.Task)
-	mark := endMark{number: e.Number, key: runKey{e.Task, e.Run}}
+	mark := pendingCompletion{number: e.Number, key: runKey{e.Task, e.Run}}
 	if t != nil {
 		if e.Checkpoint != "" {
 			t.checkpoint = e.Checkpoint
 		}
-		j := t.step.job
-		if p.settle(w, t, r, e) {
+		j := t.phase.job
+		if p.applyCompletion(w, t, r, e) {
 			mark.job, mark.changes = j, j.changes
-			if !slices.Contains(j.listing, w) {
-				j.listing = append(j.listing, w)
+			if !slices.Contains(j.completionWorkers, w) {
+				j.completionWorkers = append(j.completionWorkers, w)
 			}
 		}
-		j.update()
+		j.updateState()
 	}
-	w.ends = append(w.ends, mark)
-	p.ending[w] = true
+	w.completions = append(w.completions, mark)
+	p.pendingWorkers[w] = true
 }
 
 // applyCompletion applies a completion to the task and reports whether it must be recorded.
-func (p *Planner) settle(w *worker, t *task, r *run, e winch.Ended) bool {
-	s := t.step
+func (p *Planner) applyCompletion(w *worker, t *task, r *run, e winch.Ended) bool {
+	s := t.phase
 	j := s.job
 	if j.state.Final() {
 		// Until the end of the job is recorded, a later planner would assume that this task still
@@ -241,17 +241,17 @@
 	switch e.Kind {
 	case winch.EndDone:
 		p.counts.Done++
-		w.health.good()
+		w.health.succeeded()
 		if s.spec.Lasting {
 			p.gangBroken(r)
 			return false
 		}
-		s.learn(r)
+		s.recordRunTime(r)
 		p.finishTask(t)
 	case winch.EndFailed:
 		p.counts.Failed++
-		w.health.bad(p.now(), j.rec.ID)
-		t.avoid = w.vm.ID
+		w.health.failed(p.now(), j.rec.ID)
+		t.avoidWorker = w.vm.ID
 		if s.spec.Lasting {
 			return false
 		}
@@ -261,35 +261,35 @@
 		p.gangBroken(r)
 		return false
 	}
-	p.change(j)
+	p.markChanged(j)
 	return true
 }
 
 // finishTask marks a task, or a whole gang, as successfully completed and stops its other runs.
 func (p *Planner) finishTask(t *task) {
 	tasks := []*task{t}
-	if t.step.spec.Gang {
-		tasks = t.step.tasks
+	if t.phase.spec.Gang {
+		tasks = t.phase.tasks
 	}
 	if x := t.suspicion(); x != nil {
-		p.clear(x)
+		p.clearSuspicion(x)
 	}
 	for _, x := range tasks {
 		x.finish()
-		if t.step.spec.Gang {
+		if t.phase.spec.Gang {
 			continue // The worker stops the other members by itself.
 		}
 		for _, r := range x.runs {
-			p.stop(r)
+			p.stopRun(r)
 		}
 	}
-	t.step.job.update()
+	t.phase.job.updateState()
 }
 
 // failTask counts a failure, once per run, and fails the job after the last attempt.
 func (p *Planner) failTask(t *task, run uint64) {
-	j := t.step.job
-	key := t.failKey()
+	j := t.phase.job
+	key := t.failureKey()
 	if !slices.Contains(j.failed[key], run) {
 		j.failed[key] = append(j.failed[key], run)
 	}
@@ -304,18 +304,18 @@
 }
 
 // recordRunTime adds the run time of a successful task to the phase's statistics.
-func (s *step) learn(r *run) {
+func (s *phase) recordRunTime(r *run) {
 	if r == nil || !r.started {
 		return
 	}
 	took := s.job.planner.now().Sub(r.since)
 	s.samples++
-	s.longest = max(s.longest, took)
-	s.took += (took - s.took) / time.Duration(s.samples)
+	s.maxTime = max(s.maxTime, took)
+	s.meanTime += (took - s.meanTime) / time.Duration(s.samples)
 }
 
 // handleStatus applies the reported progress of a worker's runs.
-func (p *Planner) status(w *worker, list []winch.Running) {
+func (p *Planner) handleStatus(w *worker, list []winch.Running) {
 	now := p.now()
 	for _, x := range list {
 		r := w.runs[runKey{x.Task, x.Run}]
@@ -323,16 +323,16 @@
 			continue
 		}
 		if r.percent != x.Percent {
-			r.percent, r.moved = x.Percent, now
+			r.percent, r.progressedAt = x.Percent, now
 		}
 		if r.baseAt.IsZero() {
-			r.base, r.baseAt = x.Percent, now
+			r.basePercent, r.baseAt = x.Percent, now
 		}
 		r.load = x.Load
 		if r.task != nil && x.Checkpoint != "" {
 			r.task.checkpoint = x.Checkpoint
 		}
-		p.lives(r, now)
+		p.clearIfSurvived(r, now)
 	}
 	p.pace(w, now)
 	p.judgeSpeed(w, now)
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -12,7 +12,7 @@
 )
 
 // AdviceRequest is a request to the advice service.
-type Ask struct {
+type AdviceRequest struct {
 	Phase   winch.RunID // Phase identifies the job, its repetition and the phase; the task index is zero.
 	Workers []string
 	// Urgent requests are sent before others and never wait behind slow ones.
@@ -20,8 +20,8 @@
 	// Rank orders requests of the same urgency; the lowest is sent first.
 	Rank float64
 	// Cost is how long the service takes to answer.
-	Cost  time.Duration
-	Asked time.Time
+	Cost    time.Duration
+	Created time.Time
 }
 
 // Planner holds the state of all jobs and workers of a region. Exported fields must be set before
@@ -37,10 +37,10 @@
 	Barrier time.Time
 	// AdoptedRevision is the last revision at which an accepted job may have been started by an
 	// earlier planner.
-	Fresh uint64
+	AdoptedRevision uint64
 	// LeaseExpiry, if set, is when the lease of this planner's office may have expired. Jobs added
 	// later are not started: a later planner starts them.
-	KnownBefore time.Time
+	LeaseExpiry time.Time
 	// Clock returns the current time; New sets time.Now.
 	Clock func() time.Time
 	// Policy selects the scheduling mechanisms in use; New sets DefaultPolicy.
@@ -54,7 +54,7 @@
 	// ready holds the phases that may have waiting tasks, in the order of the last Schedule.
 	ready []waiting
 	// ahead holds the phases for which advice may be requested before their dependencies are done.
-	ahead   []*step
+	ahead   []*phase
 	workers map[string]*worker
 	// byID lists the workers by ID; it is out of date while unsorted is set.
 	byID     []*worker
@@ -70,45 +70,45 @@
 	pools map[string]*pool
 	// reservedWorkers lists the workers with capacity that the last Schedule reserved for phases
 	// of higher rank.
-	kept []*worker
+	reservedWorkers []*worker
 	// planned counts the phases for which the last Schedule reserved slots, searched those for
 	// which it searched slots anew, and examined the workers that it examined.
-	planned, searched, looks int
+	planned, searched, examined int
 	// resume is the phase at which the last Schedule stopped if it did not finish.
-	resume *step
+	resume *phase
 	// marks counts the searches that mark workers.
 	marks uint64
 	// initialOpenings is Openings at the start of the last Schedule; starving lists the phases
 	// that have waited long for advice and got no request.
-	asOpened Openings
-	starving []waiting
+	initialOpenings Openings
+	starving        []waiting
 	// pendingWorkers holds the workers with completions that have not been forgotten yet.
-	ending map[*worker]bool
+	pendingWorkers map[*worker]bool
 	// probes holds the workers on which nothing may be started beside a probe; lostBoots holds the
 	// boots that were lost recently.
 	probes    map[*worker]*suspicion
 	lostBoots []lostBoot
 	// unrecordedCrashes holds the runs that crashed their workers and whose crash is not yet
 	// recorded in the store.
-	unrecorded []unrecorded
+	unrecordedCrashes []unrecordedCrash
 
 	// The following fields collect output until the method that returns it is called.
-	orders  []proto.Order
-	asks    []Ask
-	dirty   []*job
-	gone    []Gone
-	endings []Ending
-	losses  []Loss
-	blames  []Blame
-	counts  Counts
+	orders         []proto.Order
+	adviceRequests []AdviceRequest
+	dirty          []*job
+	closedRuns     []ClosedRun
+	summaries      []JobSummary
+	losses         []Loss
+	countedCrashes []CountedCrash
+	counts         Counts
 }
 
 // Counts are totals since the planner took over.
 type Counts struct {
-	Started, NotStarted, Done, Failed, Stopped, Lost, Asked, Restarted int64
+	Started, NotStarted, Done, Failed, Stopped, Lost, AdviceRequests, Restarted int64
 	// Examined counts the workers examined by decisions, which is most of the cost of scheduling.
-	Looks   int64
-	Running int
+	Examined int64
+	Running  int
 }
 
 // New returns an empty planner.
@@ -116,7 +116,7 @@
 	return &Planner{
 		Term: term, Policy: DefaultPolicy(), Clock: time.Now, jobs: make(map[string]*job), active: make(map[string]*job), workers: make(map[string]*worker),
 		queues: make(map[string]*queue), teams: make(map[string]*team), roster: make(map[string]bool),
-		ending: make(map[*worker]bool), probes: make(map[*worker]*suspicion), pools: make(map[string]*pool), Openings: unbounded,
+		pendingWorkers: make(map[*worker]bool), probes: make(map[*worker]*suspicion), pools: make(map[string]*pool), Openings: unbounded,
 	}
 }
 
@@ -124,7 +124,7 @@
 	winch.Queue
 	// allowedShare is the moving average of the fraction of requested workers that the advice
 	// service allows.
-	share float64
+	allowedShare float64
 	// turnaround is the moving average of the time from a request to its response, including time
 	// in the queue.
 	turnaround time.Duration
@@ -152,7 +152,7 @@
 	for _, q := range c.Queues {
 		known := p.queues[q.Name]
 		if known == nil {
-			known = &queue{share: firstShare}
+			known = &queue{allowedShare: firstShare}
 			p.queues[q.Name] = known
 		}
 		known.Queue = q
@@ -167,8 +167,8 @@
 		if j.queue == nil {
 			j.queue = p.queues[j.rec.Queue]
 		}
-		j.chains()
-		j.consider()
+		j.updateCriticalPaths()
+		j.enqueueReady()
 	}
 	p.recountUrgent()
 }
@@ -192,9 +192,9 @@
 }
 
 // AdviceRequests returns the requests to the advice service made since the last call.
-func (p *Planner) Asks() []Ask {
-	out := p.asks
-	p.asks = nil
+func (p *Planner) AdviceRequests() []AdviceRequest {
+	out := p.adviceRequests
+	p.adviceRequests = nil
 	return out
 }
 
@@ -222,28 +222,28 @@
 	if j == nil {
 		return "", false
 	}
-	if j.cancelled && j.shown != winch.JobDone && j.shown != winch.JobFailed {
+	if j.cancelled && j.visibleState != winch.JobDone && j.visibleState != winch.JobFailed {
 		return winch.JobCancelled, true
 	}
-	return j.shown, true
+	return j.visibleState, true
 }
 
 // EndsSoon reports whether a job may end soon: all remaining tasks are running, or all have ended
 // and the end is not recorded yet.
-func (p *Planner) Ending(id string) bool {
+func (p *Planner) EndsSoon(id string) bool {
 	j := p.jobs[id]
-	if j == nil || j.cancelled || j.shown.Final() {
+	if j == nil || j.cancelled || j.visibleState.Final() {
 		return false
 	}
 	if j.state.Final() {
 		return true
 	}
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		if s.spec.Lasting || s.done+s.live < len(s.tasks) {
 			return false
 		}
 	}
-	return len(j.steps) > 0
+	return len(j.phases) > 0
 }
 
 // Waiting returns the number of jobs that have not begun, by queue.
--- a/coord/fleet/fleet_test.go
+++ b/coord/fleet/fleet_test.go
@@ -14,20 +14,20 @@
 )
 
 // simRegion is a planner with simulated workers that carry out orders at once.
-type cell struct {
+type simRegion struct {
 	t       *testing.T
 	planner *Planner
 	// running lists the start orders of the current runs, in the order of their starts.
-	running []proto.Order
-	ends    map[string]uint64
+	running     []proto.Order
+	completions map[string]uint64
 	// due is when each run would end by its estimate.
 	due map[runKey]time.Time
 }
 
 const gigabyte = winch.Bytes(1 << 30)
 
-func newCell(t *testing.T, workers int, queues ...winch.Queue) *cell {
-	c := &cell{t: t, planner: New(1), ends: make(map[string]uint64), due: make(map[runKey]time.Time)}
+func newSimRegion(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
+	c := &simRegion{t: t, planner: New(1), completions: make(map[string]uint64), due: make(map[runKey]time.Time)}
 	c.planner.SetConfig(&winch.RegionConfig{Version: 1, Queues: queues, Teams: []winch.RegionTeam{{Name: "choir"}, {Name: "duct"}}})
 	var list []winch.WorkerVM
 	for i := range workers {
@@ -38,7 +38,7 @@
 	}
 	c.planner.SetWorkers(list)
 	for _, vm := range list {
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	return c
 }
@@ -51,7 +51,7 @@
 	return winch.Queue{Name: "mix", Service: "render", Priority: 2, Attempts: 3, Target: 1200 * time.Millisecond, Stretch: 2.2}
 }
 
-func (c *cell) add(id, queue, team string, phases ...winch.Phase) {
+func (c *simRegion) add(id, queue, team string, phases ...winch.Phase) {
 	c.planner.Add(&winch.PhasedJob{ID: id, Queue: queue, Team: team, Command: "work", Phases: phases, Accepted: time.Now(), Revision: 7}, nil, 0)
 }
 
@@ -61,7 +61,7 @@
 }
 
 // schedule calls Schedule, carries out the orders and returns the starts.
-func (c *cell) step() []proto.Order {
+func (c *simRegion) schedule() []proto.Order {
 	c.planner.Schedule()
 	var starts []proto.Order
 	for _, o := range c.planner.Orders() {
@@ -69,11 +69,11 @@
 		case proto.OrderStart:
 			starts = append(starts, o)
 			c.running = append(c.running, o)
-			c.due[runKey{o.Task, o.Run}] = time.Now().Add(c.planner.task(o.Task).step.spec.Estimate)
-			c.planner.Event(proto.KeepEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
+			c.due[runKey{o.Task, o.Run}] = time.Now().Add(c.planner.task(o.Task).phase.spec.Estimate)
+			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
 		case proto.OrderStop:
 			if i := slices.IndexFunc(c.running, func(x proto.Order) bool { return x.Task == o.Task && x.Run == o.Run }); i >= 0 {
-				c.end(c.running[i], winch.EndStopped)
+				c.endRun(c.running[i], winch.EndStopped)
 			}
 		}
 	}
@@ -81,47 +81,47 @@
 }
 
 // endRun lets a worker report the completion of a run.
-func (c *cell) end(o proto.Order, kind winch.EndKind) {
-	c.ends[o.Worker]++
+func (c *simRegion) endRun(o proto.Order, kind winch.EndKind) {
+	c.completions[o.Worker]++
 	c.running = slices.DeleteFunc(c.running, func(x proto.Order) bool { return x.Task == o.Task && x.Run == o.Run })
-	c.planner.Event(proto.KeepEvent{Kind: proto.EventEnded, Worker: o.Worker, Ended: []winch.Ended{
-		{Number: c.ends[o.Worker], Task: o.Task, Run: o.Run, Kind: kind},
+	c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventEnded, Worker: o.Worker, Ended: []winch.Ended{
+		{Number: c.completions[o.Worker], Task: o.Task, Run: o.Run, Kind: kind},
 	}})
 }
 
 // saveRecords saves all records that must be written.
-func (c *cell) record() {
+func (c *simRegion) saveRecords() {
 	for _, r := range c.planner.Records(1000) {
 		c.planner.Saved(r, 10)
 	}
 }
 
-func (c *cell) state(id string) winch.JobState {
+func (c *simRegion) state(id string) winch.JobState {
 	state, _ := c.planner.State(id)
 	return state
 }
 
 // Guards the order of phases: a phase starts only after the phases before it, and the end of the
 // job becomes visible only once it is recorded.
-func TestPhases(t *testing.T) {
+func TestPhasesRunInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, urgentQueue())
+		c := newSimRegion(t, 2, urgentQueue())
 		second := tasks(1, 1000)
 		second.After = []int{0}
 		c.add("a", "preview", "choir", tasks(2, 1000), second)
 		is.Equal(c.state("a"), winch.JobQueued)
-		starts := c.step()
+		starts := c.schedule()
 		is.Equal(len(starts), 2) // only the first phase is ready
 		is.Equal(c.state("a"), winch.JobRunning)
-		c.end(starts[0], winch.EndDone)
-		is.Equal(len(c.step()), 0)
-		c.end(starts[1], winch.EndDone)
-		last := c.step()
+		c.endRun(starts[0], winch.EndDone)
+		is.Equal(len(c.schedule()), 0)
+		c.endRun(starts[1], winch.EndDone)
+		last := c.schedule()
 		is.Equal(len(last), 1)
-		c.end(last[0], winch.EndDone)
+		c.endRun(last[0], winch.EndDone)
 		is.Equal(c.state("a"), winch.JobRunning)
-		c.record()
+		c.saveRecords()
 		is.Equal(c.state("a"), winch.JobDone)
 	})
 }
@@ -132,70 +132,70 @@
 func TestFailureListedTwiceCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, urgentQueue())
+		c := newSimRegion(t, 2, urgentQueue())
 		c.add("a", "preview", "choir", tasks(1, 1000))
-		first := c.step()[0]
-		c.end(first, winch.EndFailed)
+		first := c.schedule()[0]
+		c.endRun(first, winch.EndFailed)
 		records := c.planner.Records(10)
 		is.Equal(len(records), 1)
 
-		next := newCell(t, 0, urgentQueue())
+		next := newSimRegion(t, 0, urgentQueue())
 		next.planner.Term = 2
 		next.planner.SetWorkers([]winch.WorkerVM{{ID: first.Worker, Service: "render", Room: winch.Room{Milli: 16000, Memory: 32 * gigabyte}}})
 		next.planner.Add(c.planner.jobs["a"].rec, &records[0].Progress, 10)
-		next.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: first.Worker, Ended: []winch.Ended{
+		next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: first.Worker, Ended: []winch.Ended{
 			{Number: 1, Task: first.Task, Run: first.Run, Kind: winch.EndFailed},
 		}})
-		starts := next.step()
-		is.Equal(len(starts), 1)             // the second attempt
-		is.True(starts[0].Run > first.Run)   // run numbers increase from term to term
-		next.ends[first.Worker] = 1          // the worker continues its numbering
-		next.end(starts[0], winch.EndFailed) // both attempts are now used
-		next.record()
+		starts := next.schedule()
+		is.Equal(len(starts), 1)                // the second attempt
+		is.True(starts[0].Run > first.Run)      // run numbers increase from term to term
+		next.completions[first.Worker] = 1      // the worker continues its numbering
+		next.endRun(starts[0], winch.EndFailed) // both attempts are now used
+		next.saveRecords()
 		is.Equal(next.state("a"), winch.JobFailed)
 	})
 }
 
 // Long tasks of a team use up the team's limit just before its urgent tasks arrive. Without a
 // reserve, the urgent tasks would wait many seconds for the long ones although workers are idle.
-func TestLongWorkLeavesRoomForUrgent(t *testing.T) {
+func TestLongWorkLeavesCapacityForUrgentWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.planner.teams["choir"].Cap = winch.Room{Milli: 10000}
 		c.add("a", "preview", "choir", tasks(4, 1000))
-		for _, o := range c.step() {
-			c.end(o, winch.EndDone)
+		for _, o := range c.schedule() {
+			c.endRun(o, winch.EndDone)
 		}
 		time.Sleep(time.Second)
 		c.add("b", "mix", "choir", tasks(20, 1000))
-		is.Equal(len(c.step()), 6) // the peak of recent urgent work is kept free
+		is.Equal(len(c.schedule()), 6) // the peak of recent urgent work is kept free
 		c.add("c", "preview", "choir", tasks(3, 1000))
-		is.Equal(len(c.step()), 3)
+		is.Equal(len(c.schedule()), 3)
 		is.True(c.planner.teams["choir"].used.Milli <= 10000)
 	})
 }
 
 // The capacity reserved for urgent work must be released when no urgent work has arrived for a
 // long time.
-func TestReserveFades(t *testing.T) {
+func TestUrgentReserveDecays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.planner.teams["choir"].Cap = winch.Room{Milli: 10000}
 		c.add("a", "preview", "choir", tasks(8, 1000))
-		for _, o := range c.step() {
-			c.end(o, winch.EndDone)
+		for _, o := range c.schedule() {
+			c.endRun(o, winch.EndDone)
 		}
 		c.add("b", "mix", "choir", tasks(20, 1000))
-		before := len(c.step())
+		before := len(c.schedule())
 		time.Sleep(3 * time.Minute)
-		is.Equal(before+len(c.step()), 10)
+		is.Equal(before+len(c.schedule()), 10)
 	})
 }
 
 // listedEvent returns the event with which a worker reports its runs to the next planner.
-func listing(c *cell, worker string) proto.KeepEvent {
+func listedEvent(c *simRegion, worker string) proto.KeepEvent {
 	e := proto.KeepEvent{Kind: proto.EventListed, Worker: worker}
 	for _, o := range c.running {
 		if o.Worker == worker {
@@ -211,25 +211,25 @@
 	for _, gang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := newCell(t, 3, usualQueue())
+			c := newSimRegion(t, 3, usualQueue())
 			phase := tasks(9, 4000)
 			phase.Gang = gang
 			c.add("a", "mix", "choir", phase)
-			is.Equal(len(c.step()), 9)
+			is.Equal(len(c.schedule()), 9)
 
-			next := newCell(t, 3, usualQueue())
+			next := newSimRegion(t, 3, usualQueue())
 			next.planner = New(2)
 			next.planner.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{usualQueue()}})
 			next.planner.SetRoster([]string{"w0", "w1", "w2"})
 			next.planner.Barrier = time.Now().Add(8 * time.Second)
-			next.planner.SetWorkers(c.planner.Held())
-			next.planner.Fresh = 100
+			next.planner.SetWorkers(c.planner.WorkersToHold())
+			next.planner.AdoptedRevision = 100
 			next.planner.Add(c.planner.jobs["a"].rec, nil, 0)
-			is.Equal(len(next.step()), 0) // nothing starts before all workers have listed their runs
+			is.Equal(len(next.schedule()), 0) // nothing starts before all workers have listed their runs
 			for _, w := range []string{"w0", "w1", "w2"} {
-				next.planner.Event(listing(c, w))
+				next.planner.HandleEvent(listedEvent(c, w))
 			}
-			is.Equal(len(next.step()), 0)
+			is.Equal(len(next.schedule()), 0)
 			is.Equal(len(next.planner.Orders()), 0)
 			is.Equal(next.planner.Counts().Running, 9)
 			is.Equal(next.planner.Counts().Stopped, int64(0))
@@ -240,20 +240,20 @@
 // A worker used by an earlier planner does not respond to the next one. A task that is not found
 // elsewhere may still run there, so it must not start until that run is guaranteed to have ended.
 // Jobs accepted after the takeover start at once.
-func TestUnansweredWorkerHoldsOldWorkBack(t *testing.T) {
+func TestUnresponsiveWorkerDelaysEarlierJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.planner.SetRoster([]string{"gone"})
 		c.planner.Barrier = time.Now().Add(8 * time.Second)
-		c.planner.Fresh = 7
+		c.planner.AdoptedRevision = 7
 		c.add("old", "mix", "choir", tasks(1, 1000))
 		c.planner.Add(&winch.PhasedJob{ID: "new", Queue: "mix", Team: "choir", Phases: []winch.Phase{tasks(1, 1000)}, Accepted: time.Now(), Revision: 8}, nil, 0)
-		starts := c.step()
+		starts := c.schedule()
 		is.Equal(len(starts), 1)
 		is.Equal(starts[0].Task.Job, "new")
 		time.Sleep(8*time.Second + time.Millisecond)
-		starts = c.step()
+		starts = c.schedule()
 		is.Equal(len(starts), 1)
 		is.Equal(starts[0].Task.Job, "old")
 	})
@@ -261,33 +261,33 @@
 
 // A worker drains, leaves the platform's list and is lost. It must be dropped: otherwise a later
 // planner would wait many seconds for its lists before it starts earlier jobs.
-func TestWorkerThatLeftIsDropped(t *testing.T) {
+func TestRemovedWorkerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, usualQueue())
-		list := c.planner.Held()
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: list[0].ID})
+		c := newSimRegion(t, 2, usualQueue())
+		list := c.planner.WorkersToHold()
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: list[0].ID})
 		is.True(c.planner.Empty(list[0].ID))
 		c.planner.SetWorkers(list[1:])
-		is.Equal(len(c.planner.Held()), 1)
+		is.Equal(len(c.planner.WorkersToHold()), 1)
 	})
 }
 
 // A worker crashes and boots again. Until the platform's list contains the new boot, all calls to
 // the old one are refused. The old boot must not be held again, since that would cause hundreds of
 // refused calls per second.
-func TestBootThatIsOverIsNotHeldAgain(t *testing.T) {
+func TestReplacedBootIsNotHeldAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
-		list := c.planner.Held()
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
-		is.Equal(len(c.planner.Held()), 0)
+		c := newSimRegion(t, 1, usualQueue())
+		list := c.planner.WorkersToHold()
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
+		is.Equal(len(c.planner.WorkersToHold()), 0)
 		c.planner.SetWorkers(list)
-		is.Equal(len(c.planner.Held()), 0) // the list still contains the old boot
+		is.Equal(len(c.planner.WorkersToHold()), 0) // the list still contains the old boot
 		list[0].Born++
 		c.planner.SetWorkers(list)
-		is.Equal(len(c.planner.Held()), 1)
+		is.Equal(len(c.planner.WorkersToHold()), 1)
 	})
 }
 
@@ -295,14 +295,14 @@
 // is lost, and the standby takes over before the worker reports to it. If the standby assumed that
 // the task is not running, it would run the task a second time and the caller would be billed
 // twice.
-func TestUnrecordedEndIsNotForgotten(t *testing.T) {
+func TestUnrecordedCompletionIsNotForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, usualQueue())
+		c := newSimRegion(t, 2, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
-		start := c.step()[0]
-		c.end(start, winch.EndDone)
-		is.Equal(len(c.planner.Gone()), 0)
+		start := c.schedule()[0]
+		c.endRun(start, winch.EndDone)
+		is.Equal(len(c.planner.ClosedRuns()), 0)
 		known := c.planner.RunsAt(start.Worker)
 		is.Equal(known, []winch.Running{{Task: start.Task, Run: start.Run}})
 
@@ -310,28 +310,28 @@
 		next.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{usualQueue()}})
 		next.SetRoster([]string{"w0", "w1"})
 		next.Barrier = time.Now().Add(8 * time.Second)
-		next.Fresh = 100
-		next.SetWorkers(c.planner.Held())
+		next.AdoptedRevision = 100
+		next.SetWorkers(c.planner.WorkersToHold())
 		next.Add(c.planner.jobs["a"].rec, nil, 0)
 		for _, w := range []string{"w0", "w1"} {
-			next.Event(proto.KeepEvent{Kind: proto.EventKnown, Worker: w, Running: c.planner.RunsAt(w)})
+			next.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: w, Running: c.planner.RunsAt(w)})
 		}
 		for _, w := range []string{"w0", "w1"} {
 			if w != start.Worker {
-				next.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: w})
+				next.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: w})
 			}
 		}
 		next.Schedule()
 		is.Equal(len(next.Orders()), 0)
-		next.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: start.Worker, Ended: []winch.Ended{
+		next.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: start.Worker, Ended: []winch.Ended{
 			{Number: 1, Task: start.Task, Run: start.Run, Kind: winch.EndDone},
 		}})
 		next.Schedule()
 		is.Equal(len(next.Orders()), 0)
 		is.Equal(len(next.Records(10)), 1) // now it is to be recorded
 
-		c.record()
-		is.Equal(len(c.planner.Gone()), 1)
+		c.saveRecords()
+		is.Equal(len(c.planner.ClosedRuns()), 1)
 		is.Equal(len(c.planner.RunsAt(start.Worker)), 0)
 	})
 }
@@ -339,18 +339,18 @@
 // A job fails with its last attempt, and another of its tasks succeeds before the failure is
 // recorded. The worker must not be ordered to forget that completion until the failure is
 // recorded: a planner that takes over in between would start the task again.
-func TestEndsOfAFailedJobWaitForItsRecord(t *testing.T) {
+func TestCompletionsOfFailedJobWaitForItsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, winch.Queue{Name: "once", Service: "render", Attempts: 1})
+		c := newSimRegion(t, 1, winch.Queue{Name: "once", Service: "render", Attempts: 1})
 		c.add("a", "once", "choir", tasks(2, 1000))
-		starts := c.step()
-		c.end(starts[0], winch.EndFailed)
+		starts := c.schedule()
+		c.endRun(starts[0], winch.EndFailed)
 		c.planner.Orders() // the order to stop the other task comes too late
-		c.end(starts[1], winch.EndDone)
+		c.endRun(starts[1], winch.EndDone)
 		is.Equal(len(c.planner.RunsAt("w0")), 2)
 		is.Equal(len(c.planner.Orders()), 0)
-		c.record()
+		c.saveRecords()
 		orders := c.planner.Orders()
 		is.Equal(len(orders), 1)
 		is.Equal(orders[0].Forget, uint64(2))
@@ -361,17 +361,17 @@
 // A team submits far more urgent work than usual and then stops. Its peak demand exceeds the
 // capacity of all workers. If that much were kept free, the work of other teams would wait half a
 // minute while workers are idle.
-func TestHotTeamDoesNotKeepTheRegionIdle(t *testing.T) {
+func TestPeakOfOneTeamDoesNotIdleTheRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
 		c.planner.teams["choir"].Cap = winch.Room{Milli: 8000}
 		c.add("a", "preview", "choir", tasks(300, 1000))
-		is.Equal(len(c.step()), 8)
+		is.Equal(len(c.schedule()), 8)
 		c.planner.Cancel("a")
-		c.step()
+		c.schedule()
 		c.add("b", "mix", "duct", tasks(60, 1000))
-		is.True(len(c.step()) >= 32) // of 64 processors
+		is.True(len(c.schedule()) >= 32) // of 64 processors
 	})
 }
 
@@ -381,7 +381,7 @@
 func TestOverloadKeepsManyOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, urgentQueue())
+		c := newSimRegion(t, 2, urgentQueue())
 		work := time.Second
 		type running struct {
 			start proto.Order
@@ -396,7 +396,7 @@
 			begun[id] = time.Now()
 			c.add(id, "preview", "choir", tasks(6, 1000)) // 60 tasks arrive each second, 32 fit
 			for len(runs) > 0 && !runs[0].ends.After(time.Now()) {
-				c.end(runs[0].start, winch.EndDone)
+				c.endRun(runs[0].start, winch.EndDone)
 				runs = runs[1:]
 			}
 			for id, at := range begun {
@@ -407,7 +407,7 @@
 					delete(begun, id)
 				}
 			}
-			for _, s := range c.step() {
+			for _, s := range c.schedule() {
 				runs = append(runs, running{s, time.Now().Add(work)})
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -418,23 +418,23 @@
 
 // A team submits many times its share while the region is full. The work of another team that
 // stays within its share must go before the excess.
-func TestBeyondTheShareComesLast(t *testing.T) {
+func TestWorkBeyondTheShareRunsLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 1, urgentQueue(), usualQueue())
 		c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{urgentQueue(), usualQueue()}, Teams: []winch.RegionTeam{{Name: "choir", Weight: 2}, {Name: "duct", Weight: 2}}})
 		for i := range 20 {
 			c.add(fmt.Sprintf("hot%02d", i), "preview", "choir", tasks(1, 8000))
 		}
 		time.Sleep(10 * time.Millisecond)
 		c.add("other", "mix", "duct", tasks(1, 8000))
-		first := c.step()
+		first := c.schedule()
 		is.Equal(len(first), 2)
 		for _, s := range first {
-			c.end(s, winch.EndDone)
+			c.endRun(s, winch.EndDone)
 		}
 		names := []string{}
-		for _, s := range c.step() {
+		for _, s := range c.schedule() {
 			names = append(names, s.Task.Job)
 		}
 		is.True(slices.Contains(names, "other")) // directly after the two jobs within the share
@@ -461,17 +461,17 @@
 // A worker gets another keeper, which does not know which completions are recorded. The forget
 // order must be repeated: otherwise the worker would list these completions until its next task
 // ends.
-func TestNextKeeperIsToldWhatIsRecorded(t *testing.T) {
+func TestForgetOrderIsRepeatedForNextKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
-		start := c.step()[0]
-		c.end(start, winch.EndDone)
-		c.record()
+		start := c.schedule()[0]
+		c.endRun(start, winch.EndDone)
+		c.saveRecords()
 		c.planner.Orders()
-		c.planner.Unready([]string{"w0"})
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0"})
+		c.planner.SetUnready([]string{"w0"})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0"})
 		orders := c.planner.Orders()
 		is.Equal(len(orders), 1)
 		is.Equal(orders[0].Kind, proto.OrderForget)
--- a/coord/fleet/forget.go
+++ b/coord/fleet/forget.go
@@ -15,43 +15,43 @@
 	}
 	j.cancelled = true
 	j.finish(winch.JobCancelled)
-	p.change(j)
+	p.markChanged(j)
 	p.stopJob(j)
 }
 
 func (p *Planner) stopJob(j *job) {
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		for _, t := range s.tasks {
 			for _, r := range slices.Clone(t.runs) {
-				p.stop(r)
+				p.stopRun(r)
 			}
 		}
 	}
 }
 
 // HasJob reports whether the planner has the job.
-func (p *Planner) Known(id string) bool {
+func (p *Planner) HasJob(id string) bool {
 	return p.jobs[id] != nil
 }
 
 // ExpiredJobs returns the jobs that ended before a time and whose end is recorded. Of jobs that
 // ended later, it drops all state that callers cannot ask for.
-func (p *Planner) Expired(before time.Time) []string {
+func (p *Planner) ExpiredJobs(before time.Time) []string {
 	var out []string
 	for id, j := range p.jobs {
-		if !j.state.Final() || j.shown != j.state || j.hasRuns() {
+		if !j.state.Final() || j.visibleState != j.state || j.hasRuns() {
 			continue
 		}
-		if j.rest {
+		if j.retained {
 			if len(p.roster) > 0 {
 				continue
 			}
-			p.note(j) // None of its runs is left, so the store need not hold it any longer.
+			p.markDirty(j) // None of its runs is left, so the store need not hold it any longer.
 			continue
 		}
-		j.steps, j.listing = nil, nil
+		j.phases, j.completionWorkers = nil, nil
 		j.rec.Phases = nil
-		if j.ended.Before(before) {
+		if j.endedAt.Before(before) {
 			out = append(out, id)
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 func (j *job) hasRuns() bool {
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		for _, t := range s.tasks {
 			if len(t.runs) > 0 {
 				return true
--- a/coord/fleet/gang.go
+++ b/coord/fleet/gang.go
@@ -16,12 +16,12 @@
 
 // acceptsRun reports whether a run found at a worker can belong to the step: members of a gang
 // share one run, other tasks have runs of their own.
-func (s *step) fits(number uint64) bool {
+func (s *phase) fits(number uint64) bool {
 	return !s.spec.Gang || s.gang.number == 0 || s.gang.number == number && !s.gang.ending
 }
 
 // adoptRun takes over the run of a gang member that an earlier planner started.
-func (s *step) adopt(number uint64) {
+func (s *phase) adopt(number uint64) {
 	if s.spec.Gang && s.gang.number == 0 {
 		s.gang.number = number
 		s.gang.begun = s.job.planner.now()
@@ -31,10 +31,10 @@
 // gangMemberFailed handles a member's run that did not end successfully: the gang's run is over,
 // and the remaining members are stopped.
 func (p *Planner) gangBroken(r *run) {
-	if r == nil || r.task == nil || !r.task.step.spec.Gang {
+	if r == nil || r.task == nil || !r.task.phase.spec.Gang {
 		return
 	}
-	s := r.task.step
+	s := r.task.phase
 	if s.gang.number != r.key.run || s.done > 0 {
 		return
 	}
@@ -44,14 +44,14 @@
 	}
 	for _, t := range s.tasks {
 		for _, x := range t.runs {
-			p.stop(x)
+			p.stopRun(x)
 		}
 	}
 }
 
 // placeGang starts all members of a gang or none, and retries members of the current run that were
 // refused.
-func (p *Planner) placeGang(s *step, now time.Time) {
+func (p *Planner) placeGang(s *phase, now time.Time) {
 	if s.done > 0 {
 		return
 	}
@@ -68,25 +68,25 @@
 	}
 	pick := p.newPicker(s, now)
 	for _, t := range s.tasks {
-		if t.free() {
+		if t.startable() {
 			p.placeTask(t, pick, s.gang.number, s.gang.checkpoint)
 		}
 	}
 }
 
 // stopGang stops a run that cannot be completed.
-func (p *Planner) endGang(s *step) {
+func (p *Planner) endGang(s *phase) {
 	s.gang.ending = true
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			p.stop(r)
+			p.stopRun(r)
 		}
 	}
 }
 
-func (p *Planner) startGang(s *step, now time.Time) {
+func (p *Planner) startGang(s *phase, now time.Time) {
 	for _, t := range s.tasks {
-		if !t.free() {
+		if !t.startable() {
 			return // A member of the last run is not known to have ended.
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 // pickGang chooses a worker for each member, or returns nil if not all members fit.
-func (p *Planner) pickGang(s *step, now time.Time) []*worker {
+func (p *Planner) pickGang(s *phase, now time.Time) []*worker {
 	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most) || !s.job.team.allows(s.wantsAtOnce()) {
 		return nil
 	}
--- a/coord/fleet/health.go
+++ b/coord/fleet/health.go
@@ -8,14 +8,14 @@
 	// minFailedJobs is how many distinct jobs must fail at a worker in a row, without a success in
 	// between, before the worker is quarantined. A job that can never succeed fails everywhere,
 	// but it counts only once.
-	failuresOfJobs = 3
+	minFailedJobs = 3
 	// minQuarantine and maxQuarantine limit a quarantine, which doubles in length while the worker
 	// keeps failing.
-	firstRest = 2 * time.Second
-	mostRest  = 30 * time.Second
+	minQuarantine = 2 * time.Second
+	maxQuarantine = 30 * time.Second
 	// refusedQuarantine is how long a worker gets no new work after it refused a start for lack of
 	// capacity or did not respond: its next lists arrive within that time.
-	refusedRest = 300 * time.Millisecond
+	refusedQuarantine = 300 * time.Millisecond
 )
 
 // health tracks the failures at a worker, to tell a worker that fails everything from jobs that
@@ -23,33 +23,33 @@
 type health struct {
 	jobs map[string]bool
 	// until is the end of the quarantine, period the length of the last one.
-	until   time.Time
-	penalty time.Duration
+	until  time.Time
+	period time.Duration
 }
 
-func (h *health) good() {
+func (h *health) succeeded() {
 	h.jobs = nil
-	h.penalty = 0
+	h.period = 0
 }
 
-func (h *health) bad(now time.Time, job string) {
+func (h *health) failed(now time.Time, job string) {
 	if h.jobs == nil {
 		h.jobs = make(map[string]bool)
 	}
 	h.jobs[job] = true
-	if len(h.jobs) < failuresOfJobs {
+	if len(h.jobs) < minFailedJobs {
 		return
 	}
-	h.penalty = min(max(firstRest, 2*h.penalty), mostRest)
-	h.rest(now, h.penalty)
+	h.period = min(max(minQuarantine, 2*h.period), maxQuarantine)
+	h.quarantine(now, h.period)
 }
 
-func (h *health) rest(now time.Time, d time.Duration) {
+func (h *health) quarantine(now time.Time, d time.Duration) {
 	if until := now.Add(d); until.After(h.until) {
 		h.until = until
 	}
 }
 
-func (h *health) resting(now time.Time) bool {
+func (h *health) quarantined(now time.Time) bool {
 	return now.Before(h.until)
 }
--- a/coord/fleet/job.go
+++ b/coord/fleet/job.go
@@ -14,94 +14,94 @@
 	rec     *winch.PhasedJob
 	queue   *queue // queue is nil until a configuration contains it.
 	team    *team
-	steps   []*step
+	phases  []*phase
 	// state is the current state as this planner knows it, visibleState the recorded one, which
 	// callers may see.
-	state     winch.JobState
-	shown     winch.JobState
-	cancelled bool
-	begun     bool
+	state        winch.JobState
+	visibleState winch.JobState
+	cancelled    bool
+	begun        bool
 	// excess is set if the job exceeded its team's share when it was accepted.
 	excess bool
 	// adopted is set if runs of an earlier planner were found.
 	adopted bool
 	// addedAt is when this planner learned of the job. endedAt is when it ended or, once that is
 	// recorded, when the record was written.
-	heard time.Time
-	ended time.Time
+	addedAt time.Time
+	endedAt time.Time
 
 	// changes counts the changes to be recorded, savedChanges those of them that are recorded.
-	changes  uint64
-	saved    uint64
-	saving   bool
-	revision uint64              // revision is that of the progress record; zero if there is none.
-	failed   map[string][]uint64 // failed lists the failed runs by failureKey.
+	changes      uint64
+	savedChanges uint64
+	saving       bool
+	revision     uint64              // revision is that of the progress record; zero if there is none.
+	failed       map[string][]uint64 // failed lists the failed runs by failureKey.
 	// suspects holds the tasks whose workers crashed, by failureKey; crashes lists the crashes for
 	// which the job was failed.
 	suspects   map[string]*suspicion
 	cleared    int // cleared counts the suspects that were shown not to crash their workers.
 	crashes    []winch.Crash
 	unanswered int  // unanswered counts the starts that got no response.
-	pressing   bool // awaited is set while a caller, or the start of a task, waits for the record.
+	awaited    bool // awaited is set while a caller, or the start of a task, waits for the record.
 	dirty      bool // dirty is set if the record must be written.
-	rest       bool // retained is set if the job has ended and the store still holds it.
+	retained   bool // retained is set if the job has ended and the store still holds it.
 	// completionWorkers holds the workers with completions that wait for the job's record.
-	listing []*worker
+	completionWorkers []*worker
 }
 
 // phase is one phase of one repetition of a job, with its scheduling state.
-type step struct {
+type phase struct {
 	job  *job
 	spec *winch.Phase
 	// repetition is the index of the repetition, index that of the phase within it.
-	k     int
-	phase int
-	tasks []*task
-	after []*step
-	next  []*step // next holds the phases that name this one in after.
+	repetition int
+	index      int
+	tasks      []*task
+	after      []*phase
+	next       []*phase // next holds the phases that name this one in after.
 	// due is the earliest start; zero if the job is not repeated.
 	due time.Time
 	// enqueued is set if the phase is in the planner's ready list, readySince is when it became
 	// ready.
-	listed bool
-	since  time.Time
-	ahead  bool // ahead is set if advice may be requested before the dependencies are done.
+	enqueued   bool
+	readySince time.Time
+	ahead      bool // ahead is set if advice may be requested before the dependencies are done.
 	// waiting counts the tasks that neither run nor are done, done those that are done, and live
 	// those that run.
 	waiting int
 	done    int
 	live    int
 	// finishedAt is when a task of the phase last completed successfully.
-	finished time.Time
+	finishedAt time.Time
 	// remainingPath is the longest chain of estimates from this phase to the end of the job,
 	// criticalPath the longest chain of the whole repetition.
-	tail  time.Duration
-	whole time.Duration
-	known advice
-	gang  gangRun
+	remainingPath time.Duration
+	criticalPath  time.Duration
+	advice        advice
+	gang          gangRun
 	// slots are the places at which the waiting tasks are expected to start, as of the search at
 	// slotsFoundAt.
-	slots     []slot
-	lookedFor time.Time
+	slots        []slot
+	slotsFoundAt time.Time
 	// meanTime and maxTime are the mean and the longest run time of the tasks that completed
 	// successfully.
-	took    time.Duration
-	longest time.Duration
-	samples int
+	meanTime time.Duration
+	maxTime  time.Duration
+	samples  int
 	// cachedRate is the median progress rate of cachedRateSamples tasks at cachedRateAt.
-	usual   float64
-	usualOf int
-	usualAt time.Time
+	cachedRate        float64
+	cachedRateSamples int
+	cachedRateAt      time.Time
 	// waited sums the time that tasks have waited, by reason; waitReason is why some have waited
 	// since accountedAt.
-	spent  map[Reason]time.Duration
-	reason Reason
-	judged time.Time
+	waited      map[Reason]time.Duration
+	waitReason  Reason
+	accountedAt time.Time
 }
 
 // task is one task of a phase.
 type task struct {
-	step  *step
+	phase *phase
 	index int
 	done  bool
 	// runs holds the runs that may exist. There is more than one only while an unwanted one is
@@ -109,37 +109,37 @@
 	runs       []*run
 	checkpoint string
 	// avoidWorker is the worker at which the task last failed or was slow.
-	avoid string
+	avoidWorker string
 	// restarts counts how often the task was restarted because it was slow.
 	restarts int
 	// lastWorkedAt is when a run that has since ended was last known to do the task's work.
-	seen time.Time
+	lastWorkedAt time.Time
 }
 
 func (t *task) id() winch.RunID {
-	return winch.RunID{Job: t.step.job.rec.ID, K: t.step.k, Phase: t.step.phase, Index: t.index}
+	return winch.RunID{Job: t.phase.job.rec.ID, K: t.phase.repetition, Phase: t.phase.index, Index: t.index}
 }
 
-func (s *step) id() winch.RunID {
-	return winch.RunID{Job: s.job.rec.ID, K: s.k, Phase: s.phase}
+func (s *phase) id() winch.RunID {
+	return winch.RunID{Job: s.job.rec.ID, K: s.repetition, Phase: s.index}
 }
 
 // ready reports whether the phase has waiting tasks that may be started now.
-func (s *step) ready() bool {
+func (s *phase) ready() bool {
 	j := s.job
 	if s.waiting == 0 || j.cancelled || j.state.Final() || j.queue == nil {
 		return false
 	}
-	return s.turn()
+	return s.isDue()
 }
 
 // isDue reports whether the preceding phases are done and the phase's due time has come.
-func (s *step) turn() bool {
-	return s.unlocked() && (s.due.IsZero() || !s.job.planner.now().Before(s.due))
+func (s *phase) isDue() bool {
+	return s.dependenciesDone() && (s.due.IsZero() || !s.job.planner.now().Before(s.due))
 }
 
 // dependenciesDone reports whether the preceding phases are done.
-func (s *step) unlocked() bool {
+func (s *phase) dependenciesDone() bool {
 	for _, a := range s.after {
 		if a.done < len(a.tasks) {
 			return false
@@ -155,99 +155,99 @@
 		return
 	}
 	j := &job{
-		rec: rec, queue: p.queues[rec.Queue], team: p.team(rec.Team), state: winch.JobQueued, shown: winch.JobQueued,
-		revision: revision, failed: make(map[string][]uint64), heard: p.now(),
+		rec: rec, queue: p.queues[rec.Queue], team: p.team(rec.Team), state: winch.JobQueued, visibleState: winch.JobQueued,
+		revision: revision, failed: make(map[string][]uint64), addedAt: p.now(),
 		planner: p,
 	}
 	j.excess = p.Policy.Shares && !j.team.share.take(j.team.Weight, rec.Accepted)
 	p.jobs[rec.ID], p.active[rec.ID] = j, j
 	for k := range max(1, rec.Times) {
-		j.addRun(k)
+		j.addRepetition(k)
 	}
-	j.chains()
+	j.updateCriticalPaths()
 	if progress != nil {
 		j.restore(progress)
 	}
-	j.update()
-	j.shown = j.state
+	j.updateState()
+	j.visibleState = j.state
 	if j.state.Final() {
-		j.rest = true
+		j.retained = true
 		delete(p.active, rec.ID)
 	}
-	j.consider()
+	j.enqueueReady()
 }
 
 // enqueueReady adds the job's phases that may be ready to the planner's ready list.
-func (j *job) consider() {
-	for _, s := range j.steps {
-		j.planner.consider(s)
+func (j *job) enqueueReady() {
+	for _, s := range j.phases {
+		j.planner.enqueueIfReady(s)
 	}
 }
 
 // enqueueIfReady adds a phase to the ready list if it has waiting tasks and no preceding phase
 // delays it.
-func (p *Planner) consider(s *step) {
-	if !s.listed && s.waiting > 0 && s.job.queue != nil && s.unlocked() {
-		s.listed, s.since = true, time.Time{}
+func (p *Planner) enqueueIfReady(s *phase) {
+	if !s.enqueued && s.waiting > 0 && s.job.queue != nil && s.dependenciesDone() {
+		s.enqueued, s.readySince = true, time.Time{}
 		p.ready = append(p.ready, waiting{step: s})
 	}
 }
 
-func (j *job) addRun(repetition int) {
-	first := len(j.steps)
+func (j *job) addRepetition(repetition int) {
+	first := len(j.phases)
 	for i := range j.rec.Phases {
-		s := &step{job: j, spec: &j.rec.Phases[i], k: repetition, phase: i}
+		s := &phase{job: j, spec: &j.rec.Phases[i], repetition: repetition, index: i}
 		if j.rec.Times > 0 {
 			s.due = j.rec.First.Add(time.Duration(repetition) * j.rec.Every)
 		}
 		for _, a := range s.spec.After {
-			before := j.steps[first+a]
+			before := j.phases[first+a]
 			s.after = append(s.after, before)
 			before.next = append(before.next, s)
 		}
 		for index := range s.spec.Count {
-			s.tasks = append(s.tasks, &task{step: s, index: index})
+			s.tasks = append(s.tasks, &task{phase: s, index: index})
 		}
 		s.waiting = len(s.tasks)
-		j.steps = append(j.steps, s)
+		j.phases = append(j.phases, s)
 	}
 }
 
 // updateCriticalPaths computes the longest chain of estimates from each phase to the end of its
 // repetition.
-func (j *job) chains() {
-	for _, s := range j.steps {
-		s.tail = 0
+func (j *job) updateCriticalPaths() {
+	for _, s := range j.phases {
+		s.remainingPath = 0
 	}
-	for first := 0; first < len(j.steps); first += len(j.rec.Phases) {
-		j.chain(first)
+	for first := 0; first < len(j.phases); first += len(j.rec.Phases) {
+		j.updateCriticalPath(first)
 	}
 }
 
 // updateCriticalPath computes the chains of the repetition that starts at index first. A phase
 // names only earlier phases, so one backward pass is enough.
-func (j *job) chain(first int) {
-	steps := j.steps[first : first+len(j.rec.Phases)]
+func (j *job) updateCriticalPath(first int) {
+	steps := j.phases[first : first+len(j.rec.Phases)]
 	for i, s := range slices.Backward(steps) {
-		s.tail += s.spec.Estimate + j.queue.adviceTime()
+		s.remainingPath += s.spec.Estimate + j.queue.adviceTime()
 		for _, a := range s.spec.After {
 			if a < i {
-				steps[a].tail = max(steps[a].tail, s.tail)
+				steps[a].remainingPath = max(steps[a].remainingPath, s.remainingPath)
 			}
 		}
 	}
 	longest := time.Duration(0)
 	for _, s := range steps {
-		longest = max(longest, s.tail)
+		longest = max(longest, s.remainingPath)
 	}
 	for _, s := range steps {
-		s.whole = longest
+		s.criticalPath = longest
 	}
 }
 
 // beginsAt returns when the phase's repetition starts to count: at the job's acceptance, or when
 // it is due.
-func (s *step) begin() time.Time {
+func (s *phase) beginsAt() time.Time {
 	if s.due.IsZero() {
 		return s.job.rec.Accepted
 	}
@@ -255,24 +255,24 @@
 }
 
 // objective returns when the phase's repetition should have ended.
-func (s *step) objective() time.Time {
-	return s.begin().Add(s.job.allowance(s.whole))
+func (s *phase) objective() time.Time {
+	return s.beginsAt().Add(s.job.allowedTime(s.criticalPath))
 }
 
 // allowedTime returns how long a job may take whose longest chain of work takes the given time.
-func (j *job) allowance(chain time.Duration) time.Duration {
+func (j *job) allowedTime(chain time.Duration) time.Duration {
 	if j.queue == nil {
 		return chain
 	}
 	return j.queue.Objective(chain)
 }
 
-func (j *job) step(repetition, index int) *step {
+func (j *job) phase(repetition, index int) *phase {
 	i := repetition*len(j.rec.Phases) + index
-	if repetition < 0 || index < 0 || index >= len(j.rec.Phases) || i >= len(j.steps) {
+	if repetition < 0 || index < 0 || index >= len(j.rec.Phases) || i >= len(j.phases) {
 		return nil
 	}
-	return j.steps[i]
+	return j.phases[i]
 }
 
 // restore applies the recorded progress.
@@ -281,17 +281,17 @@
 	if j.state == "" {
 		j.state = winch.JobQueued
 	}
-	j.ended = progress.Ended
+	j.endedAt = progress.Ended
 	for key, runs := range progress.Failed {
 		j.failed[key] = runs
 	}
 	if len(progress.Crashes)+len(progress.Probes) > 0 {
 		j.restoreCrashes(progress)
 	}
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		var bits []byte
-		if phases := progress.Done[s.k]; s.phase < len(phases) {
-			bits = phases[s.phase]
+		if phases := progress.Done[s.repetition]; s.index < len(phases) {
+			bits = phases[s.index]
 		}
 		for _, t := range s.tasks {
 			if t.index/8 < len(bits) && bits[t.index/8]&(1<<(t.index%8)) != 0 {
@@ -302,9 +302,9 @@
 }
 
 // failureKey returns the key by which failures are counted: that of a task, or of a whole gang.
-func (t *task) failKey() string {
-	s := t.step
-	key := strconv.Itoa(s.k) + "." + strconv.Itoa(s.phase)
+func (t *task) failureKey() string {
+	s := t.phase
+	key := strconv.Itoa(s.repetition) + "." + strconv.Itoa(s.index)
 	if s.spec.Gang {
 		return key
 	}
@@ -317,35 +317,35 @@
 		return
 	}
 	t.done = true
-	t.step.done++
-	t.step.finished = t.step.job.planner.now()
-	t.recount()
-	if t.step.done == len(t.step.tasks) {
-		for _, s := range t.step.next {
-			s.job.planner.consider(s)
+	t.phase.done++
+	t.phase.finishedAt = t.phase.job.planner.now()
+	t.updateCounts()
+	if t.phase.done == len(t.phase.tasks) {
+		for _, s := range t.phase.next {
+			s.job.planner.enqueueIfReady(s)
 		}
 	}
 }
 
 // updateCounts recomputes the phase's counters after a change of the task.
-func (t *task) recount() {
-	s := t.step
+func (t *task) updateCounts() {
+	s := t.phase
 	s.waiting, s.live = 0, 0
 	for _, x := range s.tasks {
-		if x.wanted() != nil {
+		if x.activeRun() != nil {
 			s.live++
 		} else if !x.done {
 			s.waiting++
 		}
 	}
-	s.job.planner.consider(s)
+	s.job.planner.enqueueIfReady(s)
 	if s.waiting == 0 {
 		s.anticipate()
 	}
 }
 
 // activeRun returns the run that does the task's work, or nil.
-func (t *task) wanted() *run {
+func (t *task) activeRun() *run {
 	for _, r := range t.runs {
 		if !r.stopping {
 			return r
@@ -355,17 +355,17 @@
 }
 
 // startable reports whether the task may be started: it is not done and has no run that may exist.
-func (t *task) free() bool {
+func (t *task) startable() bool {
 	return !t.done && len(t.runs) == 0
 }
 
 // updateState derives the job's state from its tasks.
-func (j *job) update() {
+func (j *job) updateState() {
 	if j.state.Final() {
 		return
 	}
 	allDone := true
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		if s.spec.Lasting || s.done < len(s.tasks) {
 			allDone = false
 		}
@@ -378,13 +378,13 @@
 		j.finish(winch.JobDone)
 	case j.begun:
 		j.state = winch.JobRunning
-		j.shown = winch.JobRunning
+		j.visibleState = winch.JobRunning
 	}
 }
 
 func (j *job) finish(state winch.JobState) {
 	j.state = state
-	j.ended = j.planner.now()
-	j.pressing = true
+	j.endedAt = j.planner.now()
+	j.awaited = true
 	delete(j.planner.active, j.rec.ID)
 }
--- a/coord/fleet/load.go
+++ b/coord/fleet/load.go
@@ -20,7 +20,7 @@
 	for _, w := range p.workers {
 		out.Running += len(w.runs)
 		out.Used = out.Used.Add(w.used)
-		out.Filling += w.fills
+		out.Filling += w.fillMilli
 		for _, r := range w.runs {
 			if r.stopping {
 				out.Stopping = out.Stopping.Add(r.charge)
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, j := range p.active {
-		for _, s := range j.steps {
+		for _, s := range j.phases {
 			if !s.ready() {
 				continue
 			}
--- a/coord/fleet/loss.go
+++ b/coord/fleet/loss.go
@@ -25,7 +25,7 @@
 	// stop.
 	Confirmed, Stopping bool
 	// Age is how long the run had existed when contact with the worker was lost.
-	Lived time.Duration
+	Age time.Duration
 }
 
 // Losses returns the workers that were lost with runs since the last call.
@@ -43,17 +43,17 @@
 	loss := Loss{Worker: w.vm.ID, Crashed: crashed}
 	for _, r := range w.runs {
 		loss.Runs = append(loss.Runs, LostRun{
-			Task: r.key.task, Run: r.key.run, Confirmed: r.started, Stopping: r.stopping, Lived: r.lived(),
+			Task: r.key.task, Run: r.key.run, Confirmed: r.started, Stopping: r.stopping, Age: r.age(),
 		})
 	}
-	slices.SortFunc(loss.Runs, func(a, b LostRun) int { return cmp.Or(cmp.Compare(a.Lived, b.Lived), cmp.Compare(a.Run, b.Run)) })
+	slices.SortFunc(loss.Runs, func(a, b LostRun) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Run, b.Run)) })
 	p.losses = append(p.losses, loss)
 }
 
 // age returns how long a run had existed at the end of contact with its worker, or until now if
 // the worker is responsive.
-func (r *run) lived() time.Duration {
-	last := r.worker.silent
+func (r *run) age() time.Duration {
+	last := r.worker.unresponsiveSince
 	if last.IsZero() {
 		last = r.worker.planner.now()
 	}
--- a/coord/fleet/loss_test.go
+++ b/coord/fleet/loss_test.go
@@ -13,26 +13,26 @@
 
 // The report of a lost worker must list its runs with the youngest first, and say whether the
 // process ended or only contact was lost.
-func TestLossNamesItsRuns(t *testing.T) {
+func TestLossListsItsRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, urgentQueue())
+		c := newSimRegion(t, 1, urgentQueue())
 		c.add("old", "preview", "choir", tasks(1, 1000))
-		c.step()
+		c.schedule()
 		time.Sleep(2 * time.Second)
 		c.add("new", "preview", "choir", tasks(1, 1000))
-		c.step()
+		c.schedule()
 		time.Sleep(10 * time.Millisecond)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: "w0"})
-		c.planner.SetQuiet("w0")
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: "w0"})
+		c.planner.SetUnresponsive("w0")
 		time.Sleep(3 * time.Second)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
 		losses := c.planner.Losses()
 		is.Equal(len(losses), 1)
 		is.True(losses[0].Crashed)
 		is.Equal(losses[0].Runs[0].Task.Job, "new")
-		is.Equal(losses[0].Runs[0].Lived, 10*time.Millisecond)
-		is.Equal(losses[0].Runs[1].Lived, 2010*time.Millisecond)
+		is.Equal(losses[0].Runs[0].Age, 10*time.Millisecond)
+		is.Equal(losses[0].Runs[1].Age, 2010*time.Millisecond)
 		is.Equal(len(c.planner.Losses()), 0)
 	})
 }
--- a/coord/fleet/move.go
+++ b/coord/fleet/move.go
@@ -13,18 +13,18 @@
 // capacity for it, and the advice service's permission where it is needed.
 func (p *Planner) move(now time.Time) {
 	leavingRuns := p.leaving()
-	steps := make([]*step, 0, len(leavingRuns))
+	steps := make([]*phase, 0, len(leavingRuns))
 	for s := range leavingRuns {
 		steps = append(steps, s)
 	}
-	slices.SortFunc(steps, func(a, b *step) int {
-		return cmp.Or(cmp.Compare(a.job.rec.ID, b.job.rec.ID), cmp.Compare(a.phase, b.phase), cmp.Compare(a.k, b.k))
+	slices.SortFunc(steps, func(a, b *phase) int {
+		return cmp.Or(cmp.Compare(a.job.rec.ID, b.job.rec.ID), cmp.Compare(a.index, b.index), cmp.Compare(a.repetition, b.repetition))
 	})
 	for _, s := range steps {
 		runs := leavingRuns[s]
 		slots := max(0, p.covered(s, now)-s.waiting)
 		for _, r := range runs[:min(slots, len(runs))] {
-			p.stop(r)
+			p.stopRun(r)
 		}
 		if slots < len(runs) {
 			p.advise(s, now, p.rank(s, now), len(runs)-slots)
@@ -33,15 +33,15 @@
 }
 
 // runsToMove returns the runs of lasting tasks at workers that are about to leave.
-func (p *Planner) leaving() map[*step][]*run {
-	out := make(map[*step][]*run)
+func (p *Planner) leaving() map[*phase][]*run {
+	out := make(map[*phase][]*run)
 	for _, w := range p.workers {
 		if !w.vm.Draining || !w.ready || w.lasting == 0 {
 			continue
 		}
 		for _, r := range w.runs {
 			if r.moves() {
-				out[r.task.step] = append(out[r.task.step], r)
+				out[r.task.phase] = append(out[r.task.phase], r)
 			}
 		}
 	}
@@ -57,6 +57,6 @@
 	if r.task == nil || r.stopping || !r.started {
 		return false
 	}
-	s := r.task.step
+	s := r.task.phase
 	return s.spec.Lasting && !s.spec.Gang && !s.job.cancelled && !s.job.state.Final() && s.job.queue != nil
 }
--- a/coord/fleet/move_test.go
+++ b/coord/fleet/move_test.go
@@ -19,7 +19,7 @@
 }
 
 // setDraining makes the platform name the given workers, and no others, as draining.
-func (c *cell) list(draining ...string) {
+func (c *simRegion) list(draining ...string) {
 	var list []winch.WorkerVM
 	for id, w := range c.planner.workers {
 		vm := w.vm
@@ -33,7 +33,7 @@
 }
 
 // runsAt counts the runs of a worker.
-func (c *cell) at(id string) int {
+func (c *simRegion) at(id string) int {
 	n := 0
 	for _, o := range c.running {
 		if o.Worker == id {
@@ -49,14 +49,14 @@
 func TestLastingTasksMoveFromADrainingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 3, urgentQueue())
+		c := newSimRegion(t, 3, urgentQueue())
 		c.add("a", "preview", "choir", lasting(6, 1000))
 		c.add("b", "preview", "choir", tasks(3, 1000))
-		c.step()
+		c.schedule()
 		is.Equal(c.at("w0"), 3)
 		c.list("w0")
-		c.step() // The stops.
-		c.step() // The starts elsewhere.
+		c.schedule() // The stops.
+		c.schedule() // The starts elsewhere.
 		is.Equal(len(c.running), 9)
 		for _, o := range c.running {
 			is.True(o.Worker != "w0" || o.Task.Job == "b")
@@ -69,18 +69,18 @@
 func TestLastingTasksStayWhereNoOtherWorkerHasRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 3, urgentQueue())
+		c := newSimRegion(t, 3, urgentQueue())
 		c.add("a", "preview", "choir", lasting(30, 1000))
-		c.step()
+		c.schedule()
 		is.Equal(len(c.running), 30)
 		before := c.at("w0")
 		is.Equal(before, 10)
 		c.list("w0", "w1")
-		c.step()
-		c.step()
+		c.schedule()
+		c.schedule()
 		is.Equal(len(c.running), 30) // Six of them fit into the third worker.
 		is.Equal(c.at("w2"), 16)
-		c.step()
+		c.schedule()
 		is.Equal(len(c.running), 30)
 	})
 }
@@ -90,18 +90,18 @@
 func TestNothingMovesWhileTheEarlierPlannersWorkIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 3, urgentQueue())
+		c := newSimRegion(t, 3, urgentQueue())
 		c.add("a", "preview", "choir", lasting(3, 1000))
-		c.step()
+		c.schedule()
 		c.planner.Barrier = time.Now().Add(8 * time.Second)
 		c.planner.SetRoster([]string{"gone"})
-		c.planner.Fresh = 1 << 40
+		c.planner.AdoptedRevision = 1 << 40
 		c.list("w0")
-		c.step()
+		c.schedule()
 		is.Equal(c.at("w0"), 1)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: "gone"})
-		c.step()
-		c.step()
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: "gone"})
+		c.schedule()
+		c.schedule()
 		is.Equal(c.at("w0"), 0)
 		is.Equal(len(c.running), 3)
 	})
@@ -114,10 +114,10 @@
 		is := is.New(t)
 		queue := urgentQueue()
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: 2 * time.Second}
-		c := newCell(t, 3, queue)
+		c := newSimRegion(t, 3, queue)
 		c.add("a", "preview", "choir", lasting(1, 1000))
 		respond := func() {
-			for _, a := range c.planner.Asks() {
+			for _, a := range c.planner.AdviceRequests() {
 				var tickets []winch.Ticket
 				for _, id := range a.Workers {
 					tickets = append(tickets, winch.Ticket{Worker: id, Value: "t"})
@@ -125,19 +125,19 @@
 				c.planner.Advice(a, tickets, 2*time.Second, time.Now())
 			}
 		}
-		c.step()
+		c.schedule()
 		respond()
-		c.step()
+		c.schedule()
 		is.Equal(len(c.running), 1)
 		from := c.running[0].Worker
 		time.Sleep(5 * time.Second) // The tickets have expired.
 		c.list(from)
-		c.step()
+		c.schedule()
 		is.Equal(c.at(from), 1)
 		respond()
-		c.step()
+		c.schedule()
 		is.Equal(len(c.running), 0)
-		c.step()
+		c.schedule()
 		is.Equal(len(c.running), 1)
 		is.True(c.running[0].Worker != from)
 	})
@@ -149,15 +149,15 @@
 func TestRunThatTheListsConfirmMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, urgentQueue())
+		c := newSimRegion(t, 2, urgentQueue())
 		c.add("a", "preview", "choir", lasting(1, 1000))
 		c.planner.Schedule()
 		start := c.planner.Orders()[0]
 		c.running = append(c.running, start)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: start.Worker, Running: []winch.Running{{Task: start.Task, Run: start.Run}}})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: start.Worker, Running: []winch.Running{{Task: start.Task, Run: start.Run}}})
 		c.list(start.Worker)
-		c.step()
-		c.step()
+		c.schedule()
+		c.schedule()
 		is.Equal(c.at(start.Worker), 0)
 		is.Equal(len(c.running), 1)
 	})
--- a/coord/fleet/pick.go
+++ b/coord/fleet/pick.go
@@ -11,7 +11,7 @@
 // Schedule.
 type picker struct {
 	planner *Planner
-	step    *step
+	step    *phase
 	charge  winch.Room
 	// choices is a heap by score of the workers with free capacity for a task.
 	choices []choice
@@ -38,7 +38,7 @@
 	return x.charge.Fits(other.charge) && (x.label == "" || x.label == other.label) && x.estimate <= other.estimate
 }
 
-func (s *step) shape() shape {
+func (s *phase) shape() shape {
 	return shape{s.spec.Charge(), s.spec.Label, s.spec.Estimate}
 }
 
@@ -46,7 +46,7 @@
 const mostMisses = 16
 
 // knownMiss reports whether it is known that no worker has capacity for a task of the step.
-func (p *Planner) missed(s *step) bool {
+func (p *Planner) missed(s *phase) bool {
 	if s.job.queue.Advice != nil {
 		return false
 	}
@@ -60,14 +60,14 @@
 }
 
 // recordMiss records until the next Schedule that no worker has capacity for a task of the step.
-func (p *Planner) noteMiss(s *step) {
+func (p *Planner) noteMiss(s *phase) {
 	x := p.pool(s.job.queue.Service)
 	if s.job.queue.Advice == nil && s.spec.MostPerVM == 0 && len(x.misses) < mostMisses {
 		x.misses = append(x.misses, s.shape())
 	}
 }
 
-func (p *Planner) newPicker(s *step, now time.Time) *picker {
+func (p *Planner) newPicker(s *phase, now time.Time) *picker {
 	k := &picker{planner: p, step: s, charge: s.spec.Charge()}
 	if p.missed(s) {
 		return k
@@ -90,10 +90,10 @@
 
 // eachEligible calls f for the workers that may run the step now, regardless of their free
 // capacity, in the order of their IDs.
-func (p *Planner) eachCandidate(s *step, now time.Time, f func(*worker)) {
+func (p *Planner) eachCandidate(s *phase, now time.Time, f func(*worker)) {
 	if s.job.queue.Advice == nil {
 		workers := p.pool(s.job.queue.Service).workers
-		p.looks += len(workers)
+		p.examined += len(workers)
 		for _, w := range workers {
 			if p.suits(s, w, now) {
 				f(w)
@@ -101,9 +101,9 @@
 		}
 		return
 	}
-	p.looks += len(s.known.allowed)
-	for i := range s.known.allowed {
-		t := &s.known.allowed[i]
+	p.examined += len(s.advice.allowed)
+	for i := range s.advice.allowed {
+		t := &s.advice.allowed[i]
 		if t.good(now) && p.suits(s, t.worker, now) {
 			f(t.worker)
 		}
@@ -112,7 +112,7 @@
 
 // runsPerWorker counts the runs of the step at each worker, including those being stopped. It
 // returns nil if the step has no limit per worker.
-func (s *step) perWorker() map[*worker]int {
+func (s *phase) perWorker() map[*worker]int {
 	if s.spec.MostPerVM == 0 {
 		return nil
 	}
@@ -178,7 +178,7 @@
 // before reports whether choice i is better than choice j.
 func (k *picker) before(i, j int) bool {
 	a, b := &k.choices[i], &k.choices[j]
-	return a.score > b.score || a.score == b.score && a.w.order < b.w.order
+	return a.score > b.score || a.score == b.score && a.w.index < b.w.index
 }
 
 func (k *picker) heapify() {
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -49,11 +49,11 @@
 	chanceBegun = 0.8
 )
 
-func (p *Planner) rank(s *step, now time.Time) rank {
+func (p *Planner) rank(s *phase, now time.Time) rank {
 	j := s.job
 	objective := s.objective()
 	left := objective.Sub(now).Seconds()
-	slack := left - s.tail.Seconds()
+	slack := left - s.remainingPath.Seconds()
 	deadline := s.limit(objective)
 	switch {
 	case s.spec.Lasting:
@@ -62,15 +62,15 @@
 		return rank{rankLate, slack}
 	case j.excess:
 		return rank{rankExcess, slack}
-	case p.Policy.Chance && j.urgent() && left < s.chance()*s.tail.Seconds():
+	case p.Policy.Chance && j.urgent() && left < s.chance()*s.remainingPath.Seconds():
 		// In an overload, serving the work closest to its objective first makes all of it late.
 		return rank{rankUrgentLate, slack}
 	case j.urgent():
 		return rank{rankUrgent, slack}
-	case left < s.tail.Seconds()/2 && p.Policy.LastCall:
+	case left < s.remainingPath.Seconds()/2 && p.Policy.LastCall:
 		// It can no longer meet its objective, but its caller still waits.
-		return rank{rankUsual, deadline.Sub(now).Seconds() - s.tail.Seconds()}
-	case left < s.tail.Seconds()/2:
+		return rank{rankUsual, deadline.Sub(now).Seconds() - s.remainingPath.Seconds()}
+	case left < s.remainingPath.Seconds()/2:
 		return rank{rankUsual, 1e4 + slack}
 	}
 	return rank{rankUsual, slack}
@@ -78,13 +78,13 @@
 
 // callerDeadline returns when the caller stops waiting for the job, given the objective of the
 // step's run.
-func (s *step) limit(objective time.Time) time.Time {
-	begin := s.begin()
+func (s *phase) limit(objective time.Time) time.Time {
+	begin := s.beginsAt()
 	return begin.Add(winch.LateFactor * objective.Sub(begin))
 }
 
 // chainFactor returns the factor by which the remaining chain is multiplied.
-func (s *step) chance() float64 {
+func (s *phase) chance() float64 {
 	if s.job.begun {
 		return chanceBegun
 	}
@@ -101,7 +101,7 @@
 
 // waitingStep is a step that may have tasks to start, with its rank as of the last Schedule.
 type waiting struct {
-	step *step
+	step *phase
 	rank rank
 }
 
@@ -111,18 +111,18 @@
 	now := p.now()
 	adopting := p.Adopting()
 	p.clearKept()
-	p.planned, p.searched, p.looks, p.asOpened = 0, 0, 0, p.Openings
-	p.endOldProbes(now)
+	p.planned, p.searched, p.examined, p.initialOpenings = 0, 0, 0, p.Openings
+	p.endLongProbes(now)
 	p.measure(now, adopting)
 	p.tryAll(now)
-	if p.Policy.Moves && !adopting && p.KnownBefore.IsZero() {
+	if p.Policy.Moves && !adopting && p.LeaseExpiry.IsZero() {
 		p.move(now)
 	}
 	p.askStarving(now)
 	if p.Policy.Ahead && !adopting {
 		p.askAhead(now)
 	}
-	p.counts.Looks += int64(p.looks)
+	p.counts.Examined += int64(p.examined)
 }
 
 // startReady starts tasks of the ready steps in order of rank. For those that cannot start yet it
@@ -138,7 +138,7 @@
 		if e.step == resume {
 			limit, resume = mostLooks, nil
 		}
-		if p.looks >= limit {
+		if p.examined >= limit {
 			if resume == nil {
 				p.resume = e.step
 				break
@@ -151,7 +151,7 @@
 		p.place(e.step, now)
 		p.reserve(e.step, now, e.rank)
 		p.advise(e.step, now, e.rank, 0)
-		e.step.account(now, p.waitsFor(e.step))
+		e.step.accountWait(now, p.waitReason(e.step))
 	}
 }
 
@@ -162,20 +162,20 @@
 	for _, e := range p.ready {
 		s := e.step
 		if !s.ready() {
-			if s.waiting > 0 && s.unlocked() && !s.job.cancelled && !s.job.state.Final() {
+			if s.waiting > 0 && s.dependenciesDone() && !s.job.cancelled && !s.job.state.Final() {
 				e.rank = rank{class: rankHeld} // It is not due yet.
 				kept = append(kept, e)
 				continue
 			}
-			s.listed = false
+			s.enqueued = false
 			continue
 		}
-		if s.since.IsZero() {
-			s.since = now
+		if s.readySince.IsZero() {
+			s.readySince = now
 		}
 		p.countWaiting(s)
-		if held := p.heldBack(s.job, adopting); held != 0 {
-			s.account(now, held)
+		if held := p.deferReason(s.job, adopting); held != 0 {
+			s.accountWait(now, held)
 			e.rank = rank{class: rankHeld}
 		} else {
 			e.rank = p.rank(s, now)
@@ -194,10 +194,10 @@
 	if a.rank.key != b.rank.key {
 		return cmp.Compare(a.rank.key, b.rank.key)
 	}
-	return cmp.Or(cmp.Compare(a.step.job.rec.ID, b.step.job.rec.ID), cmp.Compare(a.step.phase, b.step.phase), cmp.Compare(a.step.k, b.step.k))
+	return cmp.Or(cmp.Compare(a.step.job.rec.ID, b.step.job.rec.ID), cmp.Compare(a.step.index, b.step.index), cmp.Compare(a.step.repetition, b.step.repetition))
 }
 
-func (p *Planner) place(s *step, now time.Time) {
+func (p *Planner) place(s *phase, now time.Time) {
 	if s.spec.Gang {
 		p.placeGang(s, now)
 		return
@@ -207,7 +207,7 @@
 	}
 	var pick *picker
 	for _, t := range s.tasks {
-		if !t.free() || t.suspicion().suspected() {
+		if !t.startable() || t.suspicion().suspected() {
 			continue
 		}
 		if pick == nil {
@@ -221,7 +221,7 @@
 
 // cannotStart reports whether it is known without examining workers that no task of the step can
 // start now.
-func (p *Planner) hopeless(s *step) bool {
+func (p *Planner) hopeless(s *phase) bool {
 	return !s.job.team.allows(s.spec.Need) || !p.spare(s) || !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most)
 }
 
@@ -236,11 +236,11 @@
 
 // placeTask starts a task at the picker's best worker and reports whether there was one.
 func (p *Planner) placeTask(t *task, pick *picker, number uint64, checkpoint string) bool {
-	s := t.step
+	s := t.phase
 	if !s.job.team.allows(s.spec.Need) || !p.spare(s) {
 		return false
 	}
-	i := pick.best(t.avoid)
+	i := pick.best(t.avoidWorker)
 	if i < 0 {
 		p.noteMiss(s)
 		return false
@@ -256,19 +256,19 @@
 // start orders the start of a task at a worker.
 func (p *Planner) start(t *task, w *worker, number uint64, checkpoint string) {
 	r := p.addRun(w, t, t.id(), number)
-	x := p.pool(t.step.job.queue.Service)
+	x := p.pool(t.phase.job.queue.Service)
 	x.free = x.free.Sub(r.charge)
-	t.step.job.begun = true
+	t.phase.job.begun = true
 	p.orders = append(p.orders, proto.Order{
 		Kind: proto.OrderStart, Worker: w.vm.ID, Task: t.id(), Run: number,
-		Checkpoint: checkpoint, Ticket: t.step.known.permit(w).value,
+		Checkpoint: checkpoint, Ticket: t.phase.advice.permit(w).value,
 	})
 }
 
 // sparesUrgent reports whether the step may take what it needs without using capacity reserved for
 // urgent work. Urgent and lasting work always may; other work must leave the reserve free, both of
 // its team's limit and of the capacity of its service's workers.
-func (p *Planner) spare(s *step) bool {
+func (p *Planner) spare(s *phase) bool {
 	if !p.Policy.UrgentRoom || s.job.quick() || s.spec.Lasting {
 		return true
 	}
@@ -282,12 +282,12 @@
 }
 
 // suits reports whether a worker may be given work and is of the kind that the step needs.
-func (p *Planner) suits(s *step, w *worker, now time.Time) bool {
-	return w.usable() && !w.health.resting(now) && s.ofKind(w) && w.apart(s)
+func (p *Planner) suits(s *phase, w *worker, now time.Time) bool {
+	return w.usable() && !w.health.quarantined(now) && s.ofKind(w) && w.acceptsBesideProbe(s)
 }
 
 // ofKind reports whether a worker has the service and the label that the step needs.
-func (s *step) ofKind(w *worker) bool {
+func (s *phase) ofKind(w *worker) bool {
 	return w.vm.Service == s.job.queue.Service && (s.spec.Label == "" || slices.Contains(w.vm.Labels, s.spec.Label))
 }
 
@@ -303,10 +303,10 @@
 )
 
 // score rates a worker for a task; the highest is best.
-func (p *Planner) score(s *step, w *worker, capacity winch.Room) float64 {
+func (p *Planner) score(s *phase, w *worker, capacity winch.Room) float64 {
 	free := float64(capacity.Milli)
 	if s.spec.Fills {
-		free -= float64(w.fills)
+		free -= float64(w.fillMilli)
 	}
 	score := free / float64(max(1, w.vm.Room.Milli))
 	if p.Policy.PackAccelerators && s.spec.Need.Accelerators > 0 {
@@ -318,16 +318,16 @@
 	if s.spec.SameRack && s.rackElsewhere(w.vm.Rack) {
 		score -= farCost
 	}
-	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.fills > 0 {
+	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.fillMilli > 0 {
 		score -= besideCost
 	}
 	return score
 }
 
 // usesOtherRack reports whether the step already runs on a rack other than the given one.
-func (s *step) rackElsewhere(rack string) bool {
+func (s *phase) rackElsewhere(rack string) bool {
 	for _, t := range s.tasks {
-		if r := t.wanted(); r != nil && r.worker.vm.Rack != rack {
+		if r := t.activeRun(); r != nil && r.worker.vm.Rack != rack {
 			return true
 		}
 	}
--- a/coord/fleet/policy_test.go
+++ b/coord/fleet/policy_test.go
@@ -13,8 +13,8 @@
 )
 
 // acceleratorCell returns a cell of identical workers with eight accelerators each.
-func accelerated(t *testing.T, workers int, queues ...winch.Queue) *cell {
-	c := newCell(t, workers, queues...)
+func accelerated(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
+	c := newSimRegion(t, workers, queues...)
 	for _, w := range c.planner.workers {
 		w.vm.Room = winch.Room{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}
 	}
@@ -28,17 +28,17 @@
 
 // runUntil ends runs according to their estimates and schedules every 50 ms, until the time limit
 // or until done returns true. It calls each before each decision.
-func (c *cell) playUntil(limit time.Duration, each func(at time.Duration), done func() bool) time.Duration {
+func (c *simRegion) playUntil(limit time.Duration, each func(at time.Duration), done func() bool) time.Duration {
 	begin := time.Now()
 	for time.Since(begin) < limit && !done() {
 		each(time.Since(begin))
 		for _, o := range slices.Clone(c.running) {
 			if !time.Now().Before(c.due[runKey{o.Task, o.Run}]) {
-				c.end(o, winch.EndDone)
+				c.endRun(o, winch.EndDone)
 			}
 		}
-		c.step()
-		c.record()
+		c.schedule()
+		c.saveRecords()
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(begin)
@@ -47,7 +47,7 @@
 func never() bool { return false }
 
 // begun returns a function that reports whether a job has begun.
-func (c *cell) begun(id string) func() bool {
+func (c *simRegion) begun(id string) func() bool {
 	return func() bool { return c.planner.jobs[id].begun }
 }
 
@@ -59,7 +59,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			queue := usualQueue() // Objective: 1.2 s plus 2.2 times the work of 1 s.
-			c := newCell(t, 1, queue)
+			c := newSimRegion(t, 1, queue)
 			c.planner.Policy.LastCall = lastCall
 			c.planner.Policy.UrgentRoom = false
 			n, begin := 0, time.Now()
@@ -87,11 +87,11 @@
 			c := accelerated(t, 4, usualQueue())
 			c.planner.Policy.PackAccelerators = pack
 			c.add("a", "mix", "choir", accelerators(9, 1, 2*time.Second))
-			is.Equal(len(c.step()), 9)
+			is.Equal(len(c.schedule()), 9)
 			gang := accelerators(2, 8, 4*time.Second)
 			gang.Gang = true
 			c.add("b", "mix", "choir", gang)
-			is.Equal(len(c.step()) == 2, pack)
+			is.Equal(len(c.schedule()) == 2, pack)
 		})
 	}
 }
@@ -129,15 +129,15 @@
 		is := is.New(t)
 		c := accelerated(t, 1, usualQueue())
 		c.add("a", "mix", "choir", accelerators(4, 1, 10*time.Second))
-		is.Equal(len(c.step()), 4)
+		is.Equal(len(c.schedule()), 4)
 		gang := accelerators(1, 8, time.Second)
 		gang.Gang = true
 		c.add("gang", "mix", "choir", gang)
-		is.Equal(len(c.step()), 0)
+		is.Equal(len(c.schedule()), 0)
 		c.add("long", "mix", "choir", accelerators(1, 1, 11*time.Second))
-		is.Equal(len(c.step()), 0)
+		is.Equal(len(c.schedule()), 0)
 		c.add("short", "mix", "choir", accelerators(1, 1, 2*time.Second))
-		is.Equal(len(c.step()), 1)
+		is.Equal(len(c.schedule()), 1)
 	})
 }
 
@@ -152,12 +152,12 @@
 			c := accelerated(t, 13, queue)
 			c.planner.Policy.AskAll = all
 			c.add("a", "mix", "choir", accelerators(11, 8, 4*time.Second))
-			is.Equal(len(c.step()), 11)
+			is.Equal(len(c.schedule()), 11)
 			queue.Advice = &winch.AdviceCost{Call: 430 * time.Millisecond, Worker: 6 * time.Millisecond, Valid: 2 * time.Second}
 			c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{queue}, Teams: []winch.RegionTeam{{Name: "choir"}}})
 			c.add("b", "mix", "choir", accelerators(1, 8, time.Second))
-			c.step()
-			requests := c.planner.Asks()
+			c.schedule()
+			requests := c.planner.AdviceRequests()
 			is.Equal(len(requests), 1)
 			is.Equal(len(requests[0].Workers) == 13, all)
 		})
@@ -171,10 +171,10 @@
 		is := is.New(t)
 		queue := usualQueue()
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: 10 * time.Millisecond, Valid: 2 * time.Second}
-		c := newCell(t, 40, queue)
+		c := newSimRegion(t, 40, queue)
 		c.add("a", "mix", "choir", tasks(1, 1000))
-		c.step()
-		requests := c.planner.Asks()
+		c.schedule()
+		requests := c.planner.AdviceRequests()
 		is.Equal(len(requests), 1)
 		is.Equal(len(requests[0].Workers), askLeast)
 	})
@@ -189,19 +189,19 @@
 		queue := usualQueue()
 		c := accelerated(t, 4, queue)
 		c.add("a", "mix", "choir", accelerators(4, 8, 5*time.Second))
-		is.Equal(len(c.step()), 4)
+		is.Equal(len(c.schedule()), 4)
 		queue.Advice = &winch.AdviceCost{Call: 400 * time.Millisecond, Worker: time.Millisecond, Valid: 2 * time.Second}
 		c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{queue}, Teams: []winch.RegionTeam{{Name: "choir"}}})
 		gang := accelerators(1, 8, time.Second)
 		gang.Gang = true
 		c.add("g", "mix", "choir", gang)
 		var requested []time.Duration
-		var pending []Ask
+		var pending []AdviceRequest
 		took := c.playUntil(8*time.Second, func(at time.Duration) {
 			for _, a := range pending {
 				c.planner.Advice(a, []winch.Ticket{{Worker: "w1", Value: "t"}}, 2*time.Second, time.Now())
 			}
-			pending = c.planner.Asks()
+			pending = c.planner.AdviceRequests()
 			for range pending {
 				requested = append(requested, at)
 			}
@@ -218,13 +218,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		optics := winch.Queue{Name: "scan", Service: "optics", Priority: 2, Attempts: 2, Target: time.Second, Stretch: 2}
-		c := newCell(t, 4, urgentQueue(), optics)
+		c := newSimRegion(t, 4, urgentQueue(), optics)
 		w := c.planner.workers["w3"]
 		w.vm.Service = "optics"
 		c.add("a", "preview", "choir", tasks(300, 1000))
-		is.Equal(len(c.step()), 48)
+		is.Equal(len(c.schedule()), 48)
 		c.add("b", "scan", "duct", tasks(16, 1000))
-		is.Equal(len(c.step()), 16)
+		is.Equal(len(c.schedule()), 16)
 	})
 }
 
@@ -232,15 +232,15 @@
 func TestEndingTellsWhatTheTimeWentInto(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 16000))
 		c.add("b", "mix", "choir", tasks(1, 16000))
 		c.playUntil(5*time.Second, func(time.Duration) {}, func() bool { return c.state("b") == winch.JobDone })
-		endings := c.planner.Endings()
+		endings := c.planner.JobSummaries()
 		is.Equal(len(endings), 2)
 		is.Equal(endings[0].Waited[WaitRoom], time.Duration(0))
 		is.True(endings[1].Waited[WaitRoom] >= time.Second)
 		is.True(endings[1].Took >= 2*time.Second)
-		is.Equal(len(c.planner.Endings()), 0)
+		is.Equal(len(c.planner.JobSummaries()), 0)
 	})
 }
--- a/coord/fleet/probe.go
+++ b/coord/fleet/probe.go
@@ -10,18 +10,18 @@
 const (
 	// placementTimeout is how long a probe waits for a worker without suspect or recently started
 	// runs.
-	placeTime = time.Second
+	placementTimeout = time.Second
 	// isolationTimeout limits how long nothing else is started beside a probe.
 	// weakIsolationTimeout applies to lasting tasks that are unlikely causes: other such tasks
 	// wait for the capacity.
-	apartTime = 20 * time.Second
-	weakApart = 2 * time.Second
+	isolationTimeout     = 20 * time.Second
+	weakIsolationTimeout = 2 * time.Second
 	// Of the workers of a service, one in teamProbeDivisor may run probes of the same team and one
 	// in totalProbeDivisor probes of any team, but one in weakProbeDivisor if the task is an
 	// unlikely cause or its job has cleared suspects.
-	probesOfTeam = 8
-	probesOfAll  = 4
-	probesOfWeak = 2
+	teamProbeDivisor  = 8
+	totalProbeDivisor = 4
+	weakProbeDivisor  = 2
 )
 
 // beginProbe blocks other starts on the worker if the run is a probe.
@@ -33,7 +33,7 @@
 		r.probe = x
 		r.worker.probe = x
 		p.probes[r.worker] = x
-		p.watch(r.worker)
+		p.updateReporting(r.worker)
 	}
 }
 
@@ -41,7 +41,7 @@
 func (p *Planner) endProbe(w *worker) {
 	w.probe = nil
 	delete(p.probes, w)
-	p.watch(w)
+	p.updateReporting(w)
 }
 
 // probeEnded handles the end of a probe's run, whatever its result.
@@ -50,22 +50,22 @@
 	if x == nil {
 		return
 	}
-	if x.probe == r.key.run && !x.step.anyRun(r.key.run) {
+	if x.probe == r.key.run && !x.phase.hasRun(r.key.run) {
 		x.probe = 0
 	}
-	if r.worker.probe == x && !r.worker.anyProbe(x) {
+	if r.worker.probe == x && !r.worker.hasProbeOf(x) {
 		p.endProbe(r.worker)
 	}
 }
 
 // hasRun reports whether a task of the phase has a run with the given number.
-func (s *step) anyRun(number uint64) bool {
+func (s *phase) hasRun(number uint64) bool {
 	return slices.ContainsFunc(s.tasks, func(t *task) bool {
 		return slices.ContainsFunc(t.runs, func(r *run) bool { return r.key.run == number })
 	})
 }
 
-func (w *worker) anyProbe(x *suspicion) bool {
+func (w *worker) hasProbeOf(x *suspicion) bool {
 	for _, r := range w.runs {
 		if r.probe == x {
 			return true
@@ -77,19 +77,19 @@
 // isolates reports whether nothing may be started yet beside a run of a suspect. The age of a run
 // that an earlier planner started is not known, so a weak suspect's adopted run is not isolated:
 // otherwise each planner would wait again.
-func (x *suspicion) staysApart(r *run, now time.Time) bool {
-	if x.strong() > 0 || !x.step.spec.Lasting {
-		return now.Sub(r.since) < apartTime
+func (x *suspicion) isolates(r *run, now time.Time) bool {
+	if x.strongCrashes() > 0 || !x.phase.spec.Lasting {
+		return now.Sub(r.since) < isolationTimeout
 	}
-	return !r.adopted && now.Sub(r.since) < weakApart
+	return !r.adopted && now.Sub(r.since) < weakIsolationTimeout
 }
 
 // endLongProbes allows other starts beside probes that exceeded their isolation timeout.
-func (p *Planner) endOldProbes(now time.Time) {
+func (p *Planner) endLongProbes(now time.Time) {
 	for w, x := range p.probes {
 		expired := true
 		for _, r := range w.runs {
-			if r.probe == x && x.staysApart(r, now) {
+			if r.probe == x && x.isolates(r, now) {
 				expired = false
 			}
 		}
@@ -101,21 +101,21 @@
 
 // acceptsBesideProbe reports whether probes allow a task of the phase to be started on the worker:
 // beside a probe, only another member of the same gang may be.
-func (w *worker) apart(s *step) bool {
-	return w.probe == nil || w.probe.step == s && s.spec.Gang
+func (w *worker) acceptsBesideProbe(s *phase) bool {
+	return w.probe == nil || w.probe.phase == s && s.spec.Gang
 }
 
 // probeSuspects starts probes of the phase's suspects where that is allowed, and reports whether
 // its other tasks must wait for their outcome. Lasting tasks do not wait, since their users would.
-func (p *Planner) probeSuspects(s *step, now time.Time) (wait bool) {
+func (p *Planner) probeSuspects(s *phase, now time.Time) (wait bool) {
 	for _, t := range s.tasks {
 		x := t.suspicion()
 		if !x.suspected() || t.done {
 			continue
 		}
 		wait = !s.spec.Lasting
-		if t.free() && p.mayProbe(x) {
-			p.probe(t, x, now)
+		if t.startable() && p.mayProbe(x) {
+			p.startProbe(t, x, now)
 		}
 	}
 	return wait
@@ -124,20 +124,20 @@
 // mayProbe reports whether a suspect may be started now: the number of its run is recorded, and
 // its job and team have not reached their limits of probes.
 func (p *Planner) mayProbe(x *suspicion) bool {
-	if !p.probeRoom(x) {
+	if !p.withinProbeLimits(x) {
 		return false
 	}
-	j := x.step.job
+	j := x.phase.job
 	if x.probe == 0 || x.probe/runsPerTerm != p.Term {
 		if x.probe != 0 {
 			p.assumeCrash(x)
 		}
 		x.probe = p.nextRun()
-		j.pressing = true
-		p.change(j)
-		x.chosen, x.since = j.changes, time.Time{}
+		j.awaited = true
+		p.markChanged(j)
+		x.chosenAt, x.searchedSince = j.changes, time.Time{}
 	}
-	return j.saved >= x.chosen
+	return j.savedChanges >= x.chosenAt
 }
 
 // assumeCrash adds a weak crash for a probe that an earlier planner may have started and whose
@@ -152,34 +152,34 @@
 // one more for each suspect already cleared; the probes of a team and of all teams are limited to
 // a part of the workers. Lasting tasks are neither limited nor counted, since their probes may
 // take long.
-func (p *Planner) probeRoom(x *suspicion) bool {
-	if x.step.spec.Lasting {
+func (p *Planner) withinProbeLimits(x *suspicion) bool {
+	if x.phase.spec.Lasting {
 		return true
 	}
-	j := x.step.job
+	j := x.phase.job
 	inJob, inTeam, total := 0, 0, 0
 	for _, y := range p.probes {
-		if y.step.spec.Lasting {
+		if y.phase.spec.Lasting {
 			continue
 		}
-		if y.step.job == j {
+		if y.phase.job == j {
 			inJob++
 		}
-		if y.step.job.team == j.team {
+		if y.phase.job.team == j.team {
 			inTeam++
 		}
 		total++
 	}
 	workers := len(p.pool(j.queue.Service).workers)
-	if x.strong() == 0 || j.cleared > 0 {
-		return inJob <= j.cleared && total < max(1, workers/probesOfWeak)
+	if x.strongCrashes() == 0 || j.cleared > 0 {
+		return inJob <= j.cleared && total < max(1, workers/weakProbeDivisor)
 	}
-	return inJob <= j.cleared && inTeam < max(1, workers/probesOfTeam) && total < max(1, workers/probesOfAll)
+	return inJob <= j.cleared && inTeam < max(1, workers/teamProbeDivisor) && total < max(1, workers/totalProbeDivisor)
 }
 
 // startProbe starts a suspect on the worker where a crash would cost least.
-func (p *Planner) probe(t *task, x *suspicion, now time.Time) {
-	s := t.step
+func (p *Planner) startProbe(t *task, x *suspicion, now time.Time) {
+	s := t.phase
 	if !s.job.team.allows(s.spec.Need) {
 		return
 	}
@@ -190,14 +190,14 @@
 		if !s.spec.Charge().Fits(p.openRoom(s, w, now)) || roomFor(s.spec.MostPerVM, counts[w]) <= 0 {
 			return
 		}
-		if cost := s.harm(w, now); best == nil || cost < lowest {
+		if cost := s.crashCost(w, now); best == nil || cost < lowest {
 			best, lowest = w, cost
 		}
 	})
-	if x.since.IsZero() {
-		x.since = now
+	if x.searchedSince.IsZero() {
+		x.searchedSince = now
 	}
-	if best != nil && (lowest < youngHarm || now.Sub(x.since) > placeTime) {
+	if best != nil && (lowest < recentStartCost || now.Sub(x.searchedSince) > placementTimeout) {
 		p.start(t, best, x.probe, t.checkpoint)
 	}
 }
@@ -206,26 +206,26 @@
 	// A crash of a worker costs one for each run, lastingCost for a run of a lasting task,
 	// suspectCost more for a run of a suspect, and recentStartCost more for a run started
 	// recently. remoteCost is what it is worth to keep a probe near its data.
-	lastingHarm = 4
-	doubtHarm   = 100
-	youngHarm   = 30
-	farHarm     = 3
+	lastingCost     = 4
+	suspectCost     = 100
+	recentStartCost = 30
+	remoteCost      = 3
 )
 
 // crashCost rates a worker for a probe of the phase by what a crash would interrupt, by how
 // unclear its cause would be, and by the distance from the phase's data.
-func (s *step) harm(w *worker, now time.Time) int {
-	n := len(w.runs) + (lastingHarm-1)*w.lasting
+func (s *phase) crashCost(w *worker, now time.Time) int {
+	n := len(w.runs) + (lastingCost-1)*w.lasting
 	for _, r := range w.runs {
 		switch {
 		case r.task != nil && r.task.suspicion() != nil:
-			n += doubtHarm
-		case !r.started || now.Sub(r.since) < youngMargin:
-			n += youngHarm
+			n += suspectCost
+		case !r.started || now.Sub(r.since) < recentMargin:
+			n += recentStartCost
 		}
 	}
 	if s.spec.Rack != "" && s.spec.Rack != w.vm.Rack {
-		n += farHarm
+		n += remoteCost
 	}
 	return n
 }
--- a/coord/fleet/record.go
+++ b/coord/fleet/record.go
@@ -17,17 +17,17 @@
 	// Retain is set if the job has ended but runs of it may still exist, at known workers or at
 	// some that have not listed their runs. The job is kept in the store until they have ended,
 	// since the next planner must know their needs.
-	Rest bool
+	Retain bool
 }
 
 // markChanged counts a modification of a job and schedules the write of its record.
-func (p *Planner) change(j *job) {
+func (p *Planner) markChanged(j *job) {
 	j.changes++
-	p.note(j)
+	p.markDirty(j)
 }
 
 // markDirty adds a job to the list of those whose records must be written.
-func (p *Planner) note(j *job) {
+func (p *Planner) markDirty(j *job) {
 	if !j.dirty {
 		j.dirty = true
 		p.dirty = append(p.dirty, j)
@@ -35,12 +35,12 @@
 }
 
 // RecordAwaited reports whether a record that a caller or a start waits for must be written.
-func (p *Planner) Pressing() bool {
-	return slices.ContainsFunc(p.dirty, func(j *job) bool { return j.pressing && !j.saving })
+func (p *Planner) RecordAwaited() bool {
+	return slices.ContainsFunc(p.dirty, func(j *job) bool { return j.awaited && !j.saving })
 }
 
 // HasUnsaved reports whether any record must be written.
-func (p *Planner) Unsaved() bool {
+func (p *Planner) HasUnsaved() bool {
 	return len(p.dirty) > 0
 }
 
@@ -55,9 +55,9 @@
 func (p *Planner) RecordsWithin(budget int, cost func(final bool) int) []Record {
 	slices.SortStableFunc(p.dirty, func(a, b *job) int {
 		switch {
-		case a.pressing == b.pressing:
+		case a.awaited == b.awaited:
 			return 0
-		case a.pressing:
+		case a.awaited:
 			return -1
 		}
 		return 1
@@ -72,14 +72,14 @@
 		}
 		budget -= c
 		j.saving, j.dirty = true, false
-		out = append(out, Record{Job: j.rec.ID, Progress: j.progress(), Revision: j.revision, Changes: j.changes, Rest: j.hasRuns() || len(p.roster) > 0})
+		out = append(out, Record{Job: j.rec.ID, Progress: j.progress(), Revision: j.revision, Changes: j.changes, Retain: j.hasRuns() || len(p.roster) > 0})
 	}
 	p.dirty = remaining
 	return out
 }
 
 func (j *job) progress() winch.Progress {
-	out := winch.Progress{Failed: make(map[string][]uint64), Done: make(map[int][][]byte), Ended: j.ended}
+	out := winch.Progress{Failed: make(map[string][]uint64), Done: make(map[int][][]byte), Ended: j.endedAt}
 	if j.state.Final() {
 		out.State = j.state
 	}
@@ -87,12 +87,12 @@
 		out.Failed[key] = slices.Clone(runs)
 	}
 	j.recordCrashes(&out)
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		if s.done == 0 {
 			continue
 		}
-		if out.Done[s.k] == nil {
-			out.Done[s.k] = make([][]byte, len(j.rec.Phases))
+		if out.Done[s.repetition] == nil {
+			out.Done[s.repetition] = make([][]byte, len(j.rec.Phases))
 		}
 		bits := make([]byte, (len(s.tasks)+7)/8)
 		for _, t := range s.tasks {
@@ -100,7 +100,7 @@
 				bits[t.index/8] |= 1 << (t.index % 8)
 			}
 		}
-		out.Done[s.k][s.phase] = bits
+		out.Done[s.repetition][s.index] = bits
 	}
 	return out
 }
@@ -113,24 +113,24 @@
 	}
 	j.saving = false
 	j.revision = revision
-	j.saved = max(j.saved, r.Changes)
-	j.pressing = j.pressing && j.saved < j.changes
+	j.savedChanges = max(j.savedChanges, r.Changes)
+	j.awaited = j.awaited && j.savedChanges < j.changes
 	if r.Progress.State.Final() {
-		if j.shown != j.state {
-			p.endings = append(p.endings, j.ending(p.now()))
-			j.ended = p.now() // Callers see the end from now on, and the retention period starts.
+		if j.visibleState != j.state {
+			p.summaries = append(p.summaries, j.summary(p.now()))
+			j.endedAt = p.now() // Callers see the end from now on, and the retention period starts.
 		}
-		j.shown, j.rest = r.Progress.State, r.Rest
+		j.visibleState, j.retained = r.Progress.State, r.Retain
 	}
-	for _, w := range j.listing {
-		p.forget(w)
+	for _, w := range j.completionWorkers {
+		p.forgetRecorded(w)
 	}
-	j.listing = slices.DeleteFunc(j.listing, func(w *worker) bool { return !p.ending[w] })
+	j.completionWorkers = slices.DeleteFunc(j.completionWorkers, func(w *worker) bool { return !p.pendingWorkers[w] })
 }
 
 // SaveFailed notes that a record was not written, or that the outcome is unknown. A non-zero
 // revision is the one that the stored record has now.
-func (p *Planner) Unwritten(r Record, revision uint64) {
+func (p *Planner) SaveFailed(r Record, revision uint64) {
 	j := p.jobs[r.Job]
 	if j == nil {
 		return
@@ -139,5 +139,5 @@
 	if revision != 0 {
 		j.revision = revision
 	}
-	p.note(j)
+	p.markDirty(j)
 }
--- a/coord/fleet/reserve.go
+++ b/coord/fleet/reserve.go
@@ -40,7 +40,7 @@
 // a worker. Otherwise small tasks would take the capacity piece by piece as it becomes free, and
 // the step would wait for as long as small tasks keep arriving. Tasks that end before the step is
 // expected to start may still use the capacity.
-func (p *Planner) reserve(s *step, now time.Time, r rank) {
+func (p *Planner) reserve(s *phase, now time.Time, r rank) {
 	if !p.Policy.Reserve || p.planned >= mostPlanned || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.wantsAtOnce()) || !p.spare(s) {
 		s.slots = nil
 		return
@@ -53,17 +53,17 @@
 }
 
 // findSlots finds slots for all waiting tasks of a step; a gang takes all or none.
-func (p *Planner) findSlots(s *step, now time.Time) {
+func (p *Planner) findSlots(s *phase, now time.Time) {
 	wants := s.waiting
 	if s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
 		wants = len(s.tasks)
 	}
-	if now.Sub(s.lookedFor) < replanTime && len(s.slots) == wants {
+	if now.Sub(s.slotsFoundAt) < replanTime && len(s.slots) == wants {
 		return
 	}
 	if p.searched < mostSearched {
 		p.searched++
-		s.lookedFor, s.slots = now, p.slots(s, now, wants)
+		s.slotsFoundAt, s.slots = now, p.slots(s, now, wants)
 	}
 	if s.spec.Gang && len(s.slots) < wants {
 		s.slots = nil
@@ -73,15 +73,15 @@
 
 // reserveSlots reserves the capacity of a step's slots against the steps ranked after it, from
 // when the last slot is expected to be free and the step to have its tickets.
-func (p *Planner) keepRoom(s *step, now time.Time) {
+func (p *Planner) keepRoom(s *phase, now time.Time) {
 	from := s.slots[len(s.slots)-1].at
-	if response := s.known.answerBy(s.job.queue, now); from.Before(response) {
+	if response := s.advice.answerBy(s.job.queue, now); from.Before(response) {
 		from = response
 	}
 	for _, x := range s.slots {
-		reserved := &x.w.kept
+		reserved := &x.w.reserved
 		if reserved.from.IsZero() {
-			p.kept = append(p.kept, x.w)
+			p.reservedWorkers = append(p.reservedWorkers, x.w)
 		}
 		if reserved.from.IsZero() || from.Before(reserved.from) {
 			reserved.from = from
@@ -92,15 +92,15 @@
 
 // clearReservations drops the reservations of the last Schedule.
 func (p *Planner) clearKept() {
-	for _, w := range p.kept {
-		w.kept = reservation{}
+	for _, w := range p.reservedWorkers {
+		w.reserved = reservation{}
 	}
-	clear(p.kept)
-	p.kept = p.kept[:0]
+	clear(p.reservedWorkers)
+	p.reservedWorkers = p.reservedWorkers[:0]
 }
 
 // large reports whether a task of the step takes a large part of a worker.
-func (s *step) large(w *worker) bool {
+func (s *phase) large(w *worker) bool {
 	need, capacity := s.spec.Charge(), w.vm.Room
 	return float64(need.Milli) >= largePart*float64(capacity.Milli) ||
 		float64(need.Memory) >= largePart*float64(capacity.Memory) ||
@@ -109,7 +109,7 @@
 
 // earliestSlots returns a slot for each of at most limit tasks of the step, at workers where it is
 // known to be allowed, those that become free earliest first.
-func (p *Planner) slots(s *step, now time.Time, limit int) []slot {
+func (p *Planner) slots(s *phase, now time.Time, limit int) []slot {
 	out := topK[slot]{most: limit, before: earlier}
 	counts := s.perWorker()
 	add := func(w *worker) {
@@ -119,14 +119,14 @@
 	}
 	if s.job.queue.Advice == nil {
 		workers := p.pool(s.job.queue.Service).workers
-		p.looks += len(workers)
+		p.examined += len(workers)
 		for _, w := range workers {
 			add(w)
 		}
 	} else {
-		p.looks += len(s.known.allowed)
-		for i := range s.known.allowed {
-			add(s.known.allowed[i].worker)
+		p.examined += len(s.advice.allowed)
+		for i := range s.advice.allowed {
+			add(s.advice.allowed[i].worker)
 		}
 	}
 	return out.list
@@ -134,12 +134,12 @@
 
 // earlierSlot reports whether slot a becomes free before slot b.
 func earlier(a, b slot) bool {
-	return a.at.Before(b.at) || a.at.Equal(b.at) && a.w.order < b.w.order
+	return a.at.Before(b.at) || a.at.Equal(b.at) && a.w.index < b.w.index
 }
 
 // addSlots adds the slots at one worker, at most the given number.
-func (s *step) slotsAt(out *topK[slot], w *worker, now time.Time, limit int) {
-	free := w.free().Sub(w.kept.room)
+func (s *phase) slotsAt(out *topK[slot], w *worker, now time.Time, limit int) {
+	free := w.free().Sub(w.reserved.room)
 	n := 0
 	add := func(at time.Time) {
 		for fits := s.fitInto(free, limit); n < fits; n++ {
@@ -163,10 +163,10 @@
 // times, the earliest first. The list is computed anew when the worker's runs have changed or
 // after slotsTTL.
 func (w *worker) expected(now time.Time) []expectedEnd {
-	if w.endsOf == w.changes && now.Sub(w.endsAt) < replanTime {
-		return w.expects
+	if w.expectedOf == w.changes && now.Sub(w.expectedAt) < replanTime {
+		return w.expectedEnds
 	}
-	out := w.expects[:0]
+	out := w.expectedEnds[:0]
 	for _, r := range w.runs {
 		if at, ok := r.expectedEnd(now); ok {
 			out = append(out, expectedEnd{at, r.charge})
@@ -175,7 +175,7 @@
 	slices.SortFunc(out, func(a, b expectedEnd) int {
 		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.room.Milli, b.room.Milli), cmp.Compare(a.room.Accelerators, b.room.Accelerators))
 	})
-	w.expects, w.endsOf, w.endsAt = out, w.changes, now
+	w.expectedEnds, w.expectedOf, w.expectedAt = out, w.changes, now
 	return out
 }
 
@@ -186,24 +186,24 @@
 	earliest := now.Add(leastLeft)
 	switch {
 	case r.stopping:
-		return later(r.until.Add(stopSoon), earliest), true
-	case r.task == nil || r.task.step.spec.Lasting:
+		return later(r.workedUntil.Add(stopSoon), earliest), true
+	case r.task == nil || r.task.phase.spec.Lasting:
 		return time.Time{}, false
 	}
-	duration := r.task.step.spec.Estimate
-	if r.percent > 0 && r.moved.After(r.since) {
-		duration = time.Duration(float64(r.moved.Sub(r.since)) * 100 / r.percent)
+	duration := r.task.phase.spec.Estimate
+	if r.percent > 0 && r.progressedAt.After(r.since) {
+		duration = time.Duration(float64(r.progressedAt.Sub(r.since)) * 100 / r.percent)
 	}
 	return later(r.since.Add(duration), earliest), true
 }
 
 // availableCapacity returns the capacity of a worker that a step may use now.
-func (p *Planner) openRoom(s *step, w *worker, now time.Time) winch.Room {
+func (p *Planner) openRoom(s *phase, w *worker, now time.Time) winch.Room {
 	free := w.free()
-	if w.kept.from.IsZero() || now.Add(s.spec.Estimate).Before(w.kept.from) {
+	if w.reserved.from.IsZero() || now.Add(s.spec.Estimate).Before(w.reserved.from) {
 		return free
 	}
-	return free.Sub(w.kept.room)
+	return free.Sub(w.reserved.room)
 }
 
 // responseExpected returns when the response to an advice request about the step is expected, or
--- a/coord/fleet/slow.go
+++ b/coord/fleet/slow.go
@@ -46,7 +46,7 @@
 	if len(slow) == 0 || 2*len(slow) < rated {
 		return
 	}
-	w.health.rest(now, slowRest)
+	w.health.quarantine(now, slowRest)
 	slices.SortFunc(slow, func(a, b *run) int { return a.since.Compare(b.since) })
 	for _, r := range slow {
 		p.restart(r, now)
@@ -56,14 +56,14 @@
 // isSlow reports whether a run's rate of progress is known, and whether it is stuck or much slower
 // than the other tasks of its step.
 func (r *run) slow(now time.Time) (known, slow bool) {
-	if r.task == nil || !r.started || r.stopping || r.task.step.spec.Lasting || r.fills() || now.Sub(r.since) < judgeAfter {
+	if r.task == nil || !r.started || r.stopping || r.task.phase.spec.Lasting || r.fills() || now.Sub(r.since) < judgeAfter {
 		return false, false
 	}
-	if now.Sub(r.moved) >= stillTime {
+	if now.Sub(r.progressedAt) >= stillTime {
 		return true, true
 	}
 	rate, ok := r.rate(now)
-	median, enough := r.task.step.usualRate(now)
+	median, enough := r.task.phase.usualRate(now)
 	if !ok || !enough {
 		return ok, false
 	}
@@ -76,31 +76,31 @@
 	if r.baseAt.IsZero() || elapsed < judgeAfter {
 		return 0, false
 	}
-	return (r.percent - r.base) / elapsed.Seconds(), true
+	return (r.percent - r.basePercent) / elapsed.Seconds(), true
 }
 
 // cachedMedianRate returns the median rate of a step's tasks, including those that have ended, and
 // whether enough rates are known. The rate is recomputed after medianRateTTL.
-func (s *step) usualRate(now time.Time) (float64, bool) {
-	if s.usualAt.IsZero() || now.Sub(s.usualAt) >= usualTime {
-		s.usual, s.usualOf = s.medianRate(now)
-		s.usualAt = now
+func (s *phase) usualRate(now time.Time) (float64, bool) {
+	if s.cachedRateAt.IsZero() || now.Sub(s.cachedRateAt) >= usualTime {
+		s.cachedRate, s.cachedRateSamples = s.medianRate(now)
+		s.cachedRateAt = now
 	}
-	return s.usual, s.usualOf >= leastRates
+	return s.cachedRate, s.cachedRateSamples >= leastRates
 }
 
 // medianRate returns the median rate and the number of rates it is computed from.
-func (s *step) medianRate(now time.Time) (float64, int) {
+func (s *phase) medianRate(now time.Time) (float64, int) {
 	var rates []float64
 	for _, t := range s.tasks {
-		if r := t.wanted(); r != nil {
+		if r := t.activeRun(); r != nil {
 			if rate, ok := r.rate(now); ok {
 				rates = append(rates, rate)
 			}
 		}
 	}
 	for range s.samples {
-		rates = append(rates, 100/max(0.001, s.took.Seconds()))
+		rates = append(rates, 100/max(0.001, s.meanTime.Seconds()))
 	}
 	if len(rates) == 0 {
 		return 0, 0
@@ -113,7 +113,7 @@
 // another worker has capacity for it.
 func (p *Planner) restart(r *run, now time.Time) {
 	t := r.task
-	s := t.step
+	s := t.phase
 	if r.probe != nil {
 		return // Each start of a suspect may cost a worker.
 	}
@@ -122,7 +122,7 @@
 	}
 	rerun := s.spec.Estimate
 	if s.samples > 0 {
-		rerun = s.took
+		rerun = s.meanTime
 	}
 	if s.spec.Checkpoints {
 		rerun = time.Duration(float64(rerun) * (100 - r.percent) / 100)
@@ -134,20 +134,20 @@
 		return
 	}
 	t.restarts++
-	t.avoid = r.worker.vm.ID
+	t.avoidWorker = r.worker.vm.ID
 	p.counts.Restarted++
-	p.stop(r)
+	p.stopRun(r)
 }
 
 // fitsElsewhere reports whether another worker, at which the step is known to be allowed, has
 // capacity for a task of it.
-func (p *Planner) elsewhere(s *step, except *worker, now time.Time) bool {
+func (p *Planner) elsewhere(s *phase, except *worker, now time.Time) bool {
 	counts := s.perWorker()
 	fits := func(w *worker) bool {
 		return w != except && p.suits(s, w, now) && s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w])) > 0
 	}
 	if s.job.queue.Advice != nil {
-		return slices.ContainsFunc(s.known.allowed, func(t permit) bool { return fits(t.worker) })
+		return slices.ContainsFunc(s.advice.allowed, func(t permit) bool { return fits(t.worker) })
 	}
 	return slices.ContainsFunc(p.pool(s.job.queue.Service).workers, fits)
 }
--- a/coord/fleet/slow_test.go
+++ b/coord/fleet/slow_test.go
@@ -14,7 +14,7 @@
 // reportProgress makes each worker send the progress of its runs every half a second for the given
 // time, at the given rate in percent per second. It schedules after each update and returns the
 // starts.
-func (c *cell) report(length time.Duration, rate func(worker string) float64) []proto.Order {
+func (c *simRegion) report(length time.Duration, rate func(worker string) float64) []proto.Order {
 	var starts []proto.Order
 	done := make(map[runKey]float64)
 	for begin := time.Now(); time.Since(begin) < length; {
@@ -26,19 +26,19 @@
 			running[o.Worker] = append(running[o.Worker], winch.Running{Task: o.Task, Run: o.Run, Percent: done[key]})
 		}
 		for id, list := range running {
-			c.planner.Event(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: list})
+			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: list})
 		}
-		starts = append(starts, c.step()...)
+		starts = append(starts, c.schedule()...)
 	}
 	return starts
 }
 
 // startOnTwo starts a job of four tasks on two workers and returns the ID of one of them.
-func startOnTwo(c *cell, estimate time.Duration) string {
+func startOnTwo(c *simRegion, estimate time.Duration) string {
 	phase := tasks(4, 1000)
 	phase.Estimate, phase.MostPerVM = estimate, 2
 	c.add("a", "mix", "choir", phase)
-	return c.step()[0].Worker
+	return c.schedule()[0].Worker
 }
 
 // Guards against a job that never ends because tasks on one worker are stuck. The worker's
@@ -47,7 +47,7 @@
 	for _, on := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := newCell(t, 4, usualQueue())
+			c := newSimRegion(t, 4, usualQueue())
 			c.planner.Policy.Restart = on
 			stuck := startOnTwo(c, 4*time.Second)
 			starts := c.report(3*time.Second, func(worker string) float64 {
@@ -68,7 +68,7 @@
 func TestTaskOfASlowWorkerIsStartedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, usualQueue())
+		c := newSimRegion(t, 4, usualQueue())
 		slow := startOnTwo(c, 10*time.Second)
 		starts := c.report(3*time.Second, func(worker string) float64 {
 			if worker == slow {
@@ -88,7 +88,7 @@
 func TestTasksThatAreLongerThanTheirEstimateStay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 4, usualQueue())
+		c := newSimRegion(t, 4, usualQueue())
 		startOnTwo(c, time.Second)
 		is.Equal(len(c.report(6*time.Second, func(string) float64 { return 10 })), 0)
 	})
@@ -98,9 +98,9 @@
 func TestTaskThatStandsStillEverywhereIsLeftAfterAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 8, usualQueue())
+		c := newSimRegion(t, 8, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
-		c.step()
+		c.schedule()
 		is.True(len(c.report(40*time.Second, func(string) float64 { return 0 })) <= mostRestarts)
 	})
 }
@@ -109,9 +109,9 @@
 func TestSlowTaskStaysWhereNoOtherWorkerHasRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
-		c.step()
+		c.schedule()
 		is.Equal(len(c.report(5*time.Second, func(string) float64 { return 0 })), 0)
 		is.Equal(len(c.running), 1)
 	})
--- a/coord/fleet/suspect.go
+++ b/coord/fleet/suspect.go
@@ -14,31 +14,31 @@
 	clearFactor = 2
 	clearMargin = time.Second
 	// minWeakCrashes is how many weak crashes make a task a suspect.
-	weakCrashes = 2
+	minWeakCrashes = 2
 )
 
 // suspicion holds the crashes counted against a task or a whole gang. A suspect is started only as
 // a probe: at first one per job at a time, on the worker where a crash would cost least, and
 // nothing else is started on that worker until the probe has lived long enough.
 type suspicion struct {
-	step    *step
+	phase   *phase
 	key     string // key is the failureKey of the task or gang.
 	crashes []winch.Crash
 	// probe is the number of the current or next probe run; zero if none is chosen.
 	probe uint64
 	// chosenAt is the change count of the job at which probe is recorded.
-	chosen uint64
+	chosenAt uint64
 	// searchedSince is when a worker for the probe was first searched for.
-	since time.Time
+	searchedSince time.Time
 }
 
 // suspected reports whether the next run must be a probe.
 func (x *suspicion) suspected() bool {
-	return x != nil && x.step.job.planner.Policy.Isolate && (x.strong() > 0 || len(x.crashes) >= weakCrashes)
+	return x != nil && x.phase.job.planner.Policy.Isolate && (x.strongCrashes() > 0 || len(x.crashes) >= minWeakCrashes)
 }
 
 // clearanceTime returns how long a run must live to clear the task.
-func (x *suspicion) clearance() time.Duration {
+func (x *suspicion) clearanceTime() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range x.crashes {
 		longest = max(longest, c.Lived)
@@ -48,33 +48,33 @@
 
 // suspicion returns the suspicion of a task, or nil.
 func (t *task) suspicion() *suspicion {
-	if t.step.job.suspects == nil {
+	if t.phase.job.suspects == nil {
 		return nil
 	}
-	return t.step.job.suspects[t.failKey()]
+	return t.phase.job.suspects[t.failureKey()]
 }
 
 // suspected reports whether any task of the phase must run as a probe.
-func (s *step) suspected() bool {
+func (s *phase) suspected() bool {
 	return s.job.suspects != nil && slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.done && t.suspicion().suspected() })
 }
 
 // suspect returns the suspicion of a task and creates it if there is none.
 func (t *task) suspect() *suspicion {
-	j := t.step.job
+	j := t.phase.job
 	if j.suspects == nil {
 		j.suspects = make(map[string]*suspicion)
 	}
-	key := t.failKey()
+	key := t.failureKey()
 	if j.suspects[key] == nil {
-		j.suspects[key] = &suspicion{step: t.step, key: key}
+		j.suspects[key] = &suspicion{phase: t.phase, key: key}
 	}
 	return j.suspects[key]
 }
 
 // clearSuspicion drops a suspicion, since a run lived long enough or the task is done.
-func (p *Planner) clear(x *suspicion) {
-	j := x.step.job
+func (p *Planner) clearSuspicion(x *suspicion) {
+	j := x.phase.job
 	if j.suspects[x.key] != x {
 		return
 	}
@@ -88,27 +88,27 @@
 			p.endProbe(w)
 		}
 	}
-	p.change(j)
-	j.consider()
+	p.markChanged(j)
+	j.enqueueReady()
 }
 
 // clearIfSurvived clears the task of a run that has lived long enough at the given time.
-func (p *Planner) lives(r *run, at time.Time) {
+func (p *Planner) clearIfSurvived(r *run, at time.Time) {
 	if r == nil || r.task == nil || !r.started {
 		return
 	}
 	x := r.task.suspicion()
-	if x == nil || at.Sub(r.since) < x.clearance() || r.task.step.spec.Gang && r.task.step.live < len(r.task.step.tasks) {
+	if x == nil || at.Sub(r.since) < x.clearanceTime() || r.task.phase.spec.Gang && r.task.phase.live < len(r.task.phase.tasks) {
 		return
 	}
-	p.clear(x)
+	p.clearSuspicion(x)
 }
 
 // restoreCrashes applies the recorded crashes and probes.
 func (j *job) restoreCrashes(progress *winch.Progress) {
-	for _, s := range j.steps {
+	for _, s := range j.phases {
 		for _, t := range s.tasks {
-			key := t.failKey()
+			key := t.failureKey()
 			crashes, probe := progress.Crashes[key], progress.Probes[key]
 			if len(crashes) == 0 && probe == 0 {
 				continue
--- a/coord/fleet/throttle.go
+++ b/coord/fleet/throttle.go
@@ -36,27 +36,27 @@
 	}
 	maxLoad := 0.0
 	for _, r := range w.runs {
-		if r.task == nil || r.task.step.spec.Target == 0 || !r.started {
+		if r.task == nil || r.task.phase.spec.Target == 0 || !r.started {
 			continue
 		}
-		target := float64(r.task.step.spec.Target.Milliseconds())
+		target := float64(r.task.phase.spec.Target.Milliseconds())
 		maxLoad = max(maxLoad, r.load/target)
 	}
 	switch {
 	case maxLoad >= 1:
 		p.paceAll(w, 0, now)
-		w.heldBack = now.Add(2 * paceWait)
+		w.raiseAfter = now.Add(2 * paceWait)
 	case maxLoad >= paceNear:
 		p.paceAll(w, max(0, w.paceNow()-40), now)
-		w.heldBack = now.Add(paceWait)
-	case maxLoad < paceBack && now.After(w.heldBack):
+		w.raiseAfter = now.Add(paceWait)
+	case maxLoad < paceBack && now.After(w.raiseAfter):
 		percent := w.paceNow()
 		if w.paceUnsure() {
 			percent = min(percent, paceAssumed)
 		}
 		if percent < 100 {
 			p.paceAll(w, min(100, percent+paceStep), now)
-			w.heldBack = now.Add(paceWait)
+			w.raiseAfter = now.Add(paceWait)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 func (w *worker) paceNow() int {
 	percent := 100
 	for _, r := range w.runs {
-		if r.fills() && r.pace != paceUnknown {
-			percent = min(percent, r.pace)
+		if r.fills() && r.throttle != paceUnknown {
+			percent = min(percent, r.throttle)
 		}
 	}
 	return percent
@@ -75,7 +75,7 @@
 // hasUnknownThrottle reports whether the throttle percentage of a filling run is unknown.
 func (w *worker) paceUnsure() bool {
 	for _, r := range w.runs {
-		if r.fills() && r.pace == paceUnknown {
+		if r.fills() && r.throttle == paceUnknown {
 			return true
 		}
 	}
@@ -83,15 +83,15 @@
 }
 
 func (r *run) fills() bool {
-	return r.task != nil && r.task.step.spec.Fills && r.started && !r.stopping
+	return r.task != nil && r.task.phase.spec.Fills && r.started && !r.stopping
 }
 
 func (p *Planner) paceAll(w *worker, percent int, now time.Time) {
 	for _, r := range w.runs {
-		if !r.fills() || r.pace == percent || now.Sub(r.pacedAt) < paceWait/4 {
+		if !r.fills() || r.throttle == percent || now.Sub(r.throttledAt) < paceWait/4 {
 			continue
 		}
-		r.pace, r.pacedAt = percent, now
+		r.throttle, r.throttledAt = percent, now
 		p.orders = append(p.orders, proto.Order{
 			Kind: proto.OrderPace, Worker: w.vm.ID, Task: r.key.task, Run: r.key.run, Percent: percent,
 		})
--- a/coord/fleet/throttle_test.go
+++ b/coord/fleet/throttle_test.go
@@ -20,19 +20,19 @@
 		is := is.New(t)
 		fill := tasks(1, 1000)
 		fill.Fills = true
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", fill)
-		start := c.step()
+		start := c.schedule()
 		is.Equal(len(start), 1)
 
-		next := newCell(t, 1, usualQueue())
+		next := newSimRegion(t, 1, usualQueue())
 		next.add("a", "mix", "choir", fill)
 		run := winch.Running{Task: start[0].Task, Run: start[0].Run}
-		next.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: []winch.Running{run}})
+		next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: []winch.Running{run}})
 		speed := 0 // As the earlier planner left it.
 		for range 10 {
 			time.Sleep(time.Second)
-			next.planner.Event(proto.KeepEvent{Kind: proto.EventStatus, Worker: "w0", Running: []winch.Running{run}})
+			next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: "w0", Running: []winch.Running{run}})
 			for _, o := range next.planner.Orders() {
 				if o.Kind == proto.OrderPace {
 					speed = o.Percent
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -133,17 +133,17 @@
 // updateContact updates since when the worker has been unresponsive. It must be called after each
 // change of the fields that this depends on.
 func (w *worker) noteSilence() {
-	responsive := w.ready && !w.gone && (!w.quiet || w.answers)
+	responsive := w.ready && !w.removed && (!w.unresponsive || w.respondsAgain)
 	switch {
 	case responsive:
-		w.silent = time.Time{}
-	case w.silent.IsZero():
-		w.silent = w.planner.now()
+		w.unresponsiveSince = time.Time{}
+	case w.unresponsiveSince.IsZero():
+		w.unresponsiveSince = w.planner.now()
 	}
 }
 
 func (w *worker) sign() Sign {
-	return Sign{Worker: w.vm.ID, Listed: !w.gone, Ready: w.ready, Quiet: w.quiet && !w.answers, Silent: w.silent}
+	return Sign{Worker: w.vm.ID, Listed: !w.removed, Ready: w.ready, Quiet: w.unresponsive && !w.respondsAgain, Silent: w.unresponsiveSince}
 }
 
 func later(a, b time.Time) time.Time {
@@ -158,26 +158,26 @@
 	switch {
 	case !r.started:
 		return time.Time{}
-	case !r.until.IsZero():
-		return r.until
-	case r.worker.silent.IsZero():
+	case !r.workedUntil.IsZero():
+		return r.workedUntil
+	case r.worker.unresponsiveSince.IsZero():
 		return now
 	}
-	return later(r.worker.silent, r.since)
+	return later(r.worker.unresponsiveSince, r.since)
 }
 
 // confirmed reports whether a run does the task's work and its worker is responsive.
 func (t *task) confirmed() bool {
-	r := t.wanted()
-	return r != nil && r.started && r.worker.silent.IsZero()
+	r := t.activeRun()
+	return r != nil && r.started && r.worker.unresponsiveSince.IsZero()
 }
 
 // waitingSince returns the time from which the task has waited.
 func (t *task) since(now time.Time) time.Time {
-	s := t.step
-	at := later(later(s.job.heard, s.due), t.seen)
+	s := t.phase
+	at := later(later(s.job.addedAt, s.due), t.lastWorkedAt)
 	for _, a := range s.after {
-		at = later(at, a.finished)
+		at = later(at, a.finishedAt)
 	}
 	for _, r := range t.runs {
 		at = later(at, r.seen(now))
@@ -194,8 +194,8 @@
 		if j.cancelled || j.state.Final() {
 			continue
 		}
-		for _, s := range j.steps {
-			if s.spec.Lasting && s.turn() {
+		for _, s := range j.phases {
+			if s.spec.Lasting && s.isDue() {
 				out = append(out, p.stepWaits(s, now, minWait)...)
 			}
 		}
@@ -209,7 +209,7 @@
 
 // stepWaitingTasks returns the waiting tasks of a step. A reason that applies to all of them is
 // computed once.
-func (p *Planner) stepWaits(s *step, now time.Time, minWait time.Duration) []Wait {
+func (p *Planner) stepWaits(s *phase, now time.Time, minWait time.Duration) []Wait {
 	var out []Wait
 	var common *Wait
 	for _, t := range s.tasks {
@@ -241,7 +241,7 @@
 // of a gang wait until the previous runs of all members have ended.
 func (t *task) heldByRun() (Wait, bool) {
 	runs := slices.Clone(t.runs)
-	if s := t.step; len(runs) == 0 && s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
+	if s := t.phase; len(runs) == 0 && s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
 		for _, x := range s.tasks {
 			runs = append(runs, x.runs...)
 		}
@@ -251,16 +251,16 @@
 	}
 	r := slices.MinFunc(runs, func(a, b *run) int { return cmp.Compare(a.key.run, b.key.run) })
 	w := Wait{Reason: WaitRun, Run: r.key.run, Ordered: r.since, Stopping: r.stopping, Sign: r.worker.sign()}
-	if !r.started && !r.stopping && r.worker.silent.IsZero() {
+	if !r.started && !r.stopping && r.worker.unresponsiveSince.IsZero() {
 		w.Reason = WaitStart
 	}
 	return w, true
 }
 
 // explainWait returns why tasks of a step that have no run are not started.
-func (p *Planner) stepWait(s *step, now time.Time) Wait {
+func (p *Planner) stepWait(s *phase, now time.Time) Wait {
 	j := s.job
-	held := p.heldBack(j, p.awaitsEarlier(now))
+	held := p.deferReason(j, p.awaitsEarlier(now))
 	switch {
 	case j.queue == nil:
 		return Wait{Reason: WaitQueue}
@@ -276,7 +276,7 @@
 
 // nextStartNeed returns what the next start of the step needs: one task, or all missing members of
 // a gang.
-func (s *step) wantsAtOnce() winch.Room {
+func (s *phase) wantsAtOnce() winch.Room {
 	if !s.spec.Gang {
 		return s.spec.Need
 	}
@@ -285,7 +285,7 @@
 
 // explainAdopting names one of the workers that have not reported their runs.
 func (p *Planner) adoptingWait(j *job) Wait {
-	w := Wait{Reason: WaitAdopting, Unheard: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.Fresh}
+	w := Wait{Reason: WaitAdopting, Unheard: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.AdoptedRevision}
 	for id := range p.roster {
 		if w.Sign.Worker == "" || id < w.Sign.Worker {
 			w.Sign = Sign{Worker: id}
@@ -301,7 +301,7 @@
 func (p *Planner) doubtful(t *team) winch.Room {
 	var out winch.Room
 	for _, w := range p.workers {
-		if w.silent.IsZero() {
+		if w.unresponsiveSince.IsZero() {
 			continue
 		}
 		for _, r := range w.runs {
@@ -314,7 +314,7 @@
 }
 
 // countOffer counts the workers that could run a step.
-func (p *Planner) offer(s *step, now time.Time) Offer {
+func (p *Planner) offer(s *phase, now time.Time) Offer {
 	var out Offer
 	counts := s.perWorker()
 	for _, w := range p.workers {
@@ -326,14 +326,14 @@
 			continue
 		}
 		out.Usable++
-		ticketed := s.job.queue.Advice == nil || s.known.permit(w).good(now)
+		ticketed := s.job.queue.Advice == nil || s.advice.permit(w).good(now)
 		switch {
-		case w.health.resting(now):
+		case w.health.quarantined(now):
 			out.Resting++
 		case ticketed:
 			out.Ticketed++
 			out.Fits += s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))
-		case s.known.isDenied(w):
+		case s.advice.isDenied(w):
 			out.Denied++
 		case s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w])) > 0:
 			out.Unasked++
@@ -344,8 +344,8 @@
 
 // explainOffer returns what prevents the step from being started, given the workers that could run
 // it.
-func (s *step) offerWait(o Offer, now time.Time) Wait {
-	w := Wait{Offer: o, Asked: s.known.asked}
+func (s *phase) offerWait(o Offer, now time.Time) Wait {
+	w := Wait{Offer: o, Asked: s.advice.asked}
 	wants := 1
 	if s.spec.Gang {
 		wants = s.waiting
@@ -357,10 +357,10 @@
 		w.Reason = WaitRest
 	case o.Fits >= wants:
 		w.Reason = WaitDecision
-	case o.Unasked > 0 && s.known.asking:
+	case o.Unasked > 0 && s.advice.asking:
 		w.Reason = WaitAsked
-	case o.Unasked > 0 && now.Before(s.known.retry):
-		w.Reason, w.Until = WaitRetry, s.known.retry
+	case o.Unasked > 0 && now.Before(s.advice.retry):
+		w.Reason, w.Until = WaitRetry, s.advice.retry
 	case o.Unasked > 0:
 		w.Reason = WaitTicket
 	case o.Denied == o.Usable-o.Resting:
@@ -377,7 +377,7 @@
 	now := p.now()
 	var out []Charged
 	for _, w := range p.workers {
-		if len(w.runs) > 0 && !w.silent.IsZero() && now.Sub(w.silent) > minPeriod {
+		if len(w.runs) > 0 && !w.unresponsiveSince.IsZero() && now.Sub(w.unresponsiveSince) > minPeriod {
 			out = append(out, Charged{w.sign(), len(w.runs)})
 		}
 	}
--- a/coord/fleet/waits_test.go
+++ b/coord/fleet/waits_test.go
@@ -33,13 +33,13 @@
 func TestTaskAtASilentWorkerWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, usualQueue())
+		c := newSimRegion(t, 2, usualQueue())
 		c.add("a", "mix", "choir", service(1, 1000))
-		start := c.step()[0]
+		start := c.schedule()[0]
 		time.Sleep(10 * time.Second)
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
 		lostContact := time.Now()
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
 		w := onlyWait(is, c.planner)
 		is.Equal(w.Task, start.Task)
@@ -50,12 +50,12 @@
 		is.Equal(w.Sign, Sign{Worker: start.Worker, Listed: true, Ready: true, Quiet: true, Silent: lostContact})
 		is.Equal(c.planner.Unheard(time.Second), []Charged{{w.Sign, 1}})
 
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: start.Worker})
 		w = onlyWait(is, c.planner)
 		is.Equal(w.Reason, WaitDecision)
 		is.Equal(w.Since, lostContact)
 		is.Equal(len(c.planner.Unheard(time.Second)), 0)
-		is.Equal(len(c.step()), 1)
+		is.Equal(len(c.schedule()), 1)
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
 	})
 }
@@ -65,17 +65,17 @@
 func TestTaskAtAWorkerThatAnswersAgainDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", service(1, 1000))
-		start := c.step()[0]
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
+		start := c.schedule()[0]
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventBack, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventBack, Worker: start.Worker})
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
 		is.Equal(len(c.planner.Unheard(0)), 0)
 		time.Sleep(10 * time.Second)
 		vanished := time.Now()
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventVanished, Worker: start.Worker, Task: start.Task, Run: start.Run})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventVanished, Worker: start.Worker, Task: start.Task, Run: start.Run})
 		time.Sleep(2 * time.Second)
 		is.Equal(onlyWait(is, c.planner).Since, vanished)
 	})
@@ -86,15 +86,15 @@
 func TestWorkersThatAreNotHeardAreToldApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, usualQueue())
+		c := newSimRegion(t, 2, usualQueue())
 		phase := service(2, 1000)
 		phase.MostPerVM = 1
 		c.add("a", "mix", "choir", phase)
-		is.Equal(len(c.step()), 2)
+		is.Equal(len(c.schedule()), 2)
 		left := time.Now()
-		c.planner.SetWorkers(c.planner.Held()[:0])
+		c.planner.SetWorkers(c.planner.WorkersToHold()[:0])
 		time.Sleep(time.Second)
-		c.planner.Unready([]string{"w1"})
+		c.planner.SetUnready([]string{"w1"})
 		time.Sleep(time.Second)
 		got := c.planner.Unheard(time.Second)
 		is.Equal(len(got), 2)
@@ -112,21 +112,21 @@
 func TestWhatAnEarlierPlannerKnewIsNotSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 0, usualQueue())
+		c := newSimRegion(t, 0, usualQueue())
 		c.planner.SetRoster([]string{"w0"})
 		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Room{Milli: 1000, Memory: gigabyte}}})
 		c.add("a", "mix", "choir", service(1, 1000))
 		learnt := time.Now()
 		task := winch.RunID{Job: "a"}
 		run := []winch.Running{{Task: task, Run: 5}}
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventKnown, Worker: "w0", Running: run})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: "w0", Running: run})
 		time.Sleep(2 * time.Second)
 		w := onlyWait(is, c.planner)
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, uint64(5))
 		is.Equal(w.Since, learnt)
 		is.Equal(w.Sign.Ready, false)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
 	})
 }
@@ -136,7 +136,7 @@
 func TestOrderedStartWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", service(1, 1000))
 		c.planner.Schedule()
 		ordered := time.Now()
@@ -155,43 +155,43 @@
 	for _, x := range []struct {
 		reason Reason
 		queue  winch.Queue
-		setup  func(c *cell)
+		setup  func(c *simRegion)
 		check  func(is *is.I, w Wait)
 	}{
-		{WaitQueue, urgentQueue(), func(*cell) {}, nil},
-		{WaitAdopting, usualQueue(), func(c *cell) {
+		{WaitQueue, urgentQueue(), func(*simRegion) {}, nil},
+		{WaitAdopting, usualQueue(), func(c *simRegion) {
 			c.planner.SetRoster([]string{"x", "b"})
-			c.planner.Barrier, c.planner.Fresh = time.Now().Add(8*time.Second), 9
+			c.planner.Barrier, c.planner.AdoptedRevision = time.Now().Add(8*time.Second), 9
 		}, func(is *is.I, w Wait) {
 			is.Equal(w.Unheard, 2)
 			is.Equal(w.Sign.Worker, "b")
 			is.Equal(w.Revision, uint64(7))
 			is.Equal(w.Fresh, uint64(9))
 		}},
-		{WaitOffice, usualQueue(), func(c *cell) { c.planner.KnownBefore = time.Now().Add(-time.Second) }, nil},
-		{WaitLimit, usualQueue(), func(c *cell) {
+		{WaitOffice, usualQueue(), func(c *simRegion) { c.planner.LeaseExpiry = time.Now().Add(-time.Second) }, nil},
+		{WaitLimit, usualQueue(), func(c *simRegion) {
 			c.planner.team("choir").Cap = winch.Room{Milli: 1500}
 			c.add("first", "mix", "choir", tasks(1, 1000))
-			o := c.step()[0]
-			c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: o.Worker})
+			o := c.schedule()[0]
+			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: o.Worker})
 		}, func(is *is.I, w Wait) {
 			is.Equal(w.Used.Milli, int64(1000))
 			is.Equal(w.Limit.Milli, int64(1500))
 			is.Equal(w.Doubtful.Milli, int64(1000)) // The limit is reached because of runs that may have ended.
 		}},
-		{WaitWorker, usualQueue(), func(c *cell) {
-			c.planner.Unready([]string{"w0", "w1"})
+		{WaitWorker, usualQueue(), func(c *simRegion) {
+			c.planner.SetUnready([]string{"w0", "w1"})
 		}, func(is *is.I, w Wait) { is.Equal(w.Offer, Offer{Workers: 2}) }},
-		{WaitRest, usualQueue(), func(c *cell) {
+		{WaitRest, usualQueue(), func(c *simRegion) {
 			for _, w := range c.planner.workers {
-				w.health.rest(time.Now(), 10*time.Second)
+				w.health.quarantine(time.Now(), 10*time.Second)
 			}
 		}, func(is *is.I, w Wait) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Resting: 2}) }},
-		{WaitRoom, usualQueue(), func(c *cell) {
+		{WaitRoom, usualQueue(), func(c *simRegion) {
 			c.add("first", "mix", "duct", tasks(2, 16000))
-			c.step()
+			c.schedule()
 		}, func(is *is.I, w Wait) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Ticketed: 2}) }},
-		{WaitAsked, advised, func(*cell) {}, func(is *is.I, w Wait) {
+		{WaitAsked, advised, func(*simRegion) {}, func(is *is.I, w Wait) {
 			is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Unasked: 2})
 			is.True(!w.Asked.IsZero())
 		}},
@@ -199,11 +199,11 @@
 		t.Run(x.reason.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, 2, x.queue)
+				c := newSimRegion(t, 2, x.queue)
 				x.setup(c)
 				c.add("a", "mix", "choir", service(1, 1000))
 				added := time.Now()
-				c.step()
+				c.schedule()
 				time.Sleep(2 * time.Second)
 				w := onlyWait(is, c.planner)
 				is.Equal(w.Reason, x.reason)
@@ -223,13 +223,13 @@
 		is := is.New(t)
 		queue := usualQueue()
 		queue.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
-		c := newCell(t, 1, queue)
+		c := newSimRegion(t, 1, queue)
 		c.add("a", "mix", "choir", service(1, 1000))
 		time.Sleep(2 * time.Second)
 		is.Equal(onlyWait(is, c.planner).Reason, WaitTicket)
-		request := func() Ask {
+		request := func() AdviceRequest {
 			c.planner.Schedule()
-			requests := c.planner.Asks()
+			requests := c.planner.AdviceRequests()
 			is.Equal(len(requests), 1)
 			return requests[0]
 		}
@@ -241,7 +241,7 @@
 		time.Sleep(time.Second)
 		is.Equal(onlyWait(is, c.planner).Reason, WaitTicket)
 
-		c = newCell(t, 1, queue)
+		c = newSimRegion(t, 1, queue)
 		c.add("a", "mix", "choir", service(1, 1000))
 		c.planner.Advice(request(), nil, time.Second, time.Now())
 		time.Sleep(2 * time.Second)
@@ -254,14 +254,14 @@
 func TestGangWaitsForItsLastRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 2, usualQueue())
+		c := newSimRegion(t, 2, usualQueue())
 		phase := service(2, 1000)
 		phase.Gang, phase.MostPerVM = true, 1
 		c.add("a", "mix", "choir", phase)
-		starts := c.step()
+		starts := c.schedule()
 		is.Equal(len(starts), 2)
-		c.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: starts[0].Worker})
-		c.end(starts[1], winch.EndFailed)
+		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: starts[0].Worker})
+		c.endRun(starts[1], winch.EndFailed)
 		time.Sleep(2 * time.Second)
 		c.planner.Schedule() // The gang cannot be completed, so its run is given up.
 		waits := c.planner.Waits(time.Second)
@@ -279,18 +279,18 @@
 func TestOnlyLastingTasksWhoseTurnHasComeWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, usualQueue())
+		c := newSimRegion(t, 1, usualQueue())
 		behind := service(1, 1000)
 		behind.After = []int{0}
 		c.add("a", "mix", "choir", tasks(1, 1000), behind)
 		c.add("b", "mix", "choir", service(1, 1000))
 		c.planner.Cancel("b")
 		c.add("c", "mix", "choir", tasks(1, 32000))
-		first := c.step()
+		first := c.schedule()
 		is.Equal(len(first), 1)
 		time.Sleep(10 * time.Second)
 		is.Equal(len(c.planner.Waits(time.Second)), 0)
-		c.end(first[0], winch.EndDone)
+		c.endRun(first[0], winch.EndDone)
 		done := time.Now()
 		time.Sleep(2 * time.Second)
 		w := onlyWait(is, c.planner)
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -33,17 +33,17 @@
 	// since is when the start was ordered or, once started is set, when it was confirmed.
 	since time.Time
 	// workedUntil is when a run that is being stopped was last known to do its task's work.
-	until time.Time
+	workedUntil time.Time
 	// percent is the progress last reported, progressedAt the time of its last change.
-	percent float64
-	moved   time.Time
+	percent      float64
+	progressedAt time.Time
 	// basePercent is the first progress reported, at baseAt.
-	base   float64
-	baseAt time.Time
+	basePercent float64
+	baseAt      time.Time
 	// load is the load last reported, see winch.Running.
-	load    float64
-	pace    int // throttle is the percentage in force, 100 at the start; negative if it is not known.
-	pacedAt time.Time
+	load        float64
+	throttle    int // throttle is the percentage in force, 100 at the start; negative if it is not known.
+	throttledAt time.Time
 }
 
 // worker is one boot of a worker VM.
@@ -54,44 +54,44 @@
 	// ready is set once the worker's lists of runs and completions were received in this session.
 	ready bool
 	// removed is set if the worker is no longer in the platform's list.
-	gone bool
+	removed bool
 	// replaced is set if another boot responds at the worker's address. The platform's list names
 	// the new boot later; until then every call to the old one would be refused.
-	over bool
+	replaced bool
 	// unresponsive is set while the worker gets no work because it did not respond. respondsAgain
 	// is set once it responds again; it gets work after SetResponsive.
-	quiet, answers bool
+	unresponsive, respondsAgain bool
 	// unresponsiveSince is when contact with the worker was lost; zero while it is responsive.
-	silent time.Time
+	unresponsiveSince time.Time
 	// lastContact is when the last report arrived that shows that the boot was alive.
-	told time.Time
+	lastContact time.Time
 	// empty is set if the worker is guaranteed to run nothing: the boot is new to the region, or
 	// all its runs have ended, and nothing was ordered since.
 	empty bool
 	runs  map[runKey]*run
 	// completions holds the completions that are not recorded yet, in the order of their numbers.
-	ends []endMark
+	completions []pendingCompletion
 	// lastCompletion is the highest completion number received, forgottenUpTo the highest one that
 	// the worker was ordered to forget.
-	lastEnd uint64
-	forgot  uint64
-	fills   int64 // fillMilli is the sum of what backfill runs could use, in thousandths of a processor.
-	serving int   // serving counts the runs with a latency target.
-	lasting int   // lasting counts the runs of lasting tasks.
+	lastCompletion uint64
+	forgottenUpTo  uint64
+	fillMilli      int64 // fillMilli is the sum of what backfill runs could use, in thousandths of a processor.
+	serving        int   // serving counts the runs with a latency target.
+	lasting        int   // lasting counts the runs of lasting tasks.
 	// reportsOften is set while the worker is ordered to report more often.
-	closely bool
+	reportsOften bool
 	// probe is set while nothing else may be started beside a probe.
-	probe    *suspicion
-	health   health
-	heldBack time.Time // raiseAfter is the earliest time at which the throttle of backfill runs may be raised.
+	probe      *suspicion
+	health     health
+	raiseAfter time.Time // raiseAfter is the earliest time at which the throttle of backfill runs may be raised.
 	// reserved is the capacity that the last Schedule reserved for phases of higher rank.
-	kept reservation
+	reserved reservation
 	// changes counts the changes of the worker's runs. expectedEnds is a cache of the expected
 	// ends, computed at expectedAt after expectedOf changes.
-	changes, endsOf uint64
-	expects         []expectedEnd
-	endsAt          time.Time
-	order           int // index is the worker's position in the list of workers by ID.
+	changes, expectedOf uint64
+	expectedEnds        []expectedEnd
+	expectedAt          time.Time
+	index               int // index is the worker's position in the list of workers by ID.
 	// mark is the number of the last search that marked the worker, markedAs the mark.
 	mark     uint64
 	markedAs int
@@ -99,7 +99,7 @@
 
 // pendingCompletion is a completion that the worker may forget once the job's record has reached
 // changes.
-type endMark struct {
+type pendingCompletion struct {
 	number  uint64
 	key     runKey
 	job     *job
@@ -108,7 +108,7 @@
 
 // ClosedRun is a run that no longer exists and whose result, if it must be recorded, is in the
 // store. Another planner need not know of it.
-type Gone struct {
+type ClosedRun struct {
 	Worker string
 	Task   winch.RunID
 	Run    uint64
@@ -120,7 +120,7 @@
 
 // usable reports whether the worker may be given work.
 func (w *worker) usable() bool {
-	return w.ready && !w.quiet && !w.gone && !w.vm.Draining
+	return w.ready && !w.unresponsive && !w.removed && !w.vm.Draining
 }
 
 // SetWorkers sets the platform's list of workers. Workers that are missing get no new work; their
@@ -129,10 +129,10 @@
 	listed := make(map[string]bool, len(list))
 	for _, vm := range list {
 		listed[vm.ID] = true
-		p.bootSeen(vm)
+		p.noteBoot(vm)
 		w := p.workers[vm.ID]
 		if w != nil && w.vm.Born != vm.Born && vm.Born != 0 {
-			p.Lost(vm.ID, true)
+			p.WorkerLost(vm.ID, true)
 			delete(p.workers, vm.ID)
 			p.unsorted = true
 			w = nil
@@ -142,16 +142,16 @@
 			p.workers[vm.ID] = w
 			p.unsorted = true
 		}
-		w.over = w.over && w.vm.Born == vm.Born
+		w.replaced = w.replaced && w.vm.Born == vm.Born
 		w.vm = vm
-		w.gone = false
+		w.removed = false
 		w.noteSilence()
 	}
 	for id, w := range p.workers {
 		if listed[id] {
 			continue
 		}
-		w.gone = true
+		w.removed = true
 		w.noteSilence()
 		if len(w.runs) == 0 && (w.ready || w.empty) {
 			delete(p.workers, id)
@@ -168,10 +168,10 @@
 
 // SetRemoved adds workers that earlier planners may have used and that are no longer in the
 // platform's list: work may still run there.
-func (p *Planner) SetGone(vms []winch.WorkerVM) {
+func (p *Planner) SetRemoved(vms []winch.WorkerVM) {
 	for _, vm := range vms {
 		if p.workers[vm.ID] == nil && p.roster[vm.ID] {
-			p.workers[vm.ID] = &worker{planner: p, vm: vm, gone: true, runs: make(map[runKey]*run), silent: p.now()}
+			p.workers[vm.ID] = &worker{planner: p, vm: vm, removed: true, runs: make(map[runKey]*run), unresponsiveSince: p.now()}
 			p.unsorted = true
 		}
 	}
@@ -190,7 +190,7 @@
 		return true
 	}
 	for id := range p.roster {
-		p.Lost(id, false)
+		p.WorkerLost(id, false)
 	}
 	clear(p.roster)
 	return false
@@ -200,7 +200,7 @@
 // runs, and these are not guaranteed to have ended. If this planner may have lost the office,
 // another planner may use those workers.
 func (p *Planner) awaitsEarlier(now time.Time) bool {
-	return len(p.roster) > 0 && (now.Before(p.Barrier) || !p.KnownBefore.IsZero())
+	return len(p.roster) > 0 && (now.Before(p.Barrier) || !p.LeaseExpiry.IsZero())
 }
 
 // RunsAt returns the runs that may exist at a worker, and those whose completions are not recorded
@@ -211,7 +211,7 @@
 		for key := range w.runs {
 			out = append(out, winch.Running{Task: key.task, Run: key.run})
 		}
-		for _, e := range w.ends {
+		for _, e := range w.completions {
 			out = append(out, winch.Running{Task: e.key.task, Run: e.key.run})
 		}
 	}
@@ -219,61 +219,61 @@
 }
 
 // RunsKnown reports whether all runs that may exist at a worker are known.
-func (p *Planner) Heard(id string) bool {
+func (p *Planner) RunsKnown(id string) bool {
 	return !p.roster[id]
 }
 
 // AllRunsKnown reports whether all runs that may exist at any worker are known.
-func (p *Planner) AllHeard() bool {
+func (p *Planner) AllRunsKnown() bool {
 	return len(p.roster) == 0
 }
 
 // Unresponsive reports whether a worker gets no work because it does not respond, and whether it
 // responds again.
-func (p *Planner) Quiet(id string) (unresponsive, respondsAgain bool) {
+func (p *Planner) Unresponsive(id string) (unresponsive, respondsAgain bool) {
 	if w := p.workers[id]; w != nil {
-		return w.quiet, w.answers
+		return w.unresponsive, w.respondsAgain
 	}
 	return false, false
 }
 
 // SetUnresponsive marks a worker as one that gets no work until SetResponsive.
-func (p *Planner) SetQuiet(id string) {
+func (p *Planner) SetUnresponsive(id string) {
 	if w := p.workers[id]; w != nil {
-		w.quiet = true
+		w.unresponsive = true
 		w.noteSilence()
 	}
 }
 
 // SetResponsive lets a worker that responds again get work.
-func (p *Planner) Awake(id string) {
+func (p *Planner) SetResponsive(id string) {
 	if w := p.workers[id]; w != nil {
-		w.quiet = false
+		w.unresponsive = false
 		w.noteSilence()
 	}
 }
 
 // ClosedRuns returns the runs closed since the last call.
-func (p *Planner) Gone() []Gone {
-	p.noteRecorded()
-	out := p.gone
-	p.gone = nil
+func (p *Planner) ClosedRuns() []ClosedRun {
+	p.closeRecorded()
+	out := p.closedRuns
+	p.closedRuns = nil
 	return out
 }
 
 // closeRun closes a run, unless it crashed its worker and the crash is not recorded yet.
-func (p *Planner) noteGone(w *worker, key runKey) {
-	if p.waitsForRecord(w, key) {
+func (p *Planner) closeRun(w *worker, key runKey) {
+	if p.crashUnrecorded(w, key) {
 		return
 	}
-	p.gone = append(p.gone, Gone{w.vm.ID, key.task, key.run})
+	p.closedRuns = append(p.closedRuns, ClosedRun{w.vm.ID, key.task, key.run})
 }
 
 // WorkersToHold returns the VMs of the workers whose leases must be renewed by the call hold.
-func (p *Planner) Held() []winch.WorkerVM {
+func (p *Planner) WorkersToHold() []winch.WorkerVM {
 	out := make([]winch.WorkerVM, 0, len(p.workers))
 	for _, w := range p.workers {
-		if !w.over {
+		if !w.replaced {
 			out = append(out, w.vm)
 		}
 	}
@@ -282,7 +282,7 @@
 
 // SetUnready marks workers whose keeper is lost: nothing is started there until their lists have
 // been received again.
-func (p *Planner) Unready(ids []string) {
+func (p *Planner) SetUnready(ids []string) {
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
 			w.ready = false
@@ -293,14 +293,14 @@
 
 // addRun charges a run to the worker and the team.
 func (p *Planner) addRun(w *worker, t *task, id winch.RunID, number uint64) *run {
-	r := &run{key: runKey{id, number}, task: t, worker: w, since: p.now(), moved: p.now(), pace: 100}
+	r := &run{key: runKey{id, number}, task: t, worker: w, since: p.now(), progressedAt: p.now(), throttle: 100}
 	if t != nil {
-		spec := t.step.spec
-		r.need, r.charge, r.team = spec.Need, spec.Charge(), t.step.job.team
+		spec := t.phase.spec
+		r.need, r.charge, r.team = spec.Need, spec.Charge(), t.phase.job.team
 		r.team.used = r.team.used.Add(r.need)
 		t.runs = append(t.runs, r)
-		t.recount()
-		w.count(spec, 1)
+		t.updateCounts()
+		w.countRun(spec, 1)
 	} else {
 		// The needs of a run of an unknown job are not known, so it takes all free capacity.
 		r.charge = w.free().Positive()
@@ -311,24 +311,24 @@
 	w.empty = false
 	r.countUrgent(true)
 	p.beginProbe(r)
-	p.watch(w)
+	p.updateReporting(w)
 	return r
 }
 
 // updateReporting makes a worker report more often while backfill runs beside tasks with a latency
 // target, and while a probe runs.
-func (p *Planner) watch(w *worker) {
-	closely := w.serving > 0 && w.fills > 0 || w.probe != nil
-	if closely != w.closely {
-		w.closely = closely
+func (p *Planner) updateReporting(w *worker) {
+	closely := w.serving > 0 && w.fillMilli > 0 || w.probe != nil
+	if closely != w.reportsOften {
+		w.reportsOften = closely
 		p.orders = append(p.orders, proto.Order{Kind: proto.OrderLook, Worker: w.vm.ID, Closely: closely})
 	}
 }
 
 // countRun updates the worker's totals for n runs of a phase that start or, if n is negative, end.
-func (w *worker) count(spec *winch.Phase, n int) {
+func (w *worker) countRun(spec *winch.Phase, n int) {
 	if spec.Fills {
-		w.fills += int64(n) * spec.Need.Milli
+		w.fillMilli += int64(n) * spec.Need.Milli
 	}
 	if spec.Target > 0 {
 		w.serving += n
@@ -351,56 +351,56 @@
 	if r.task == nil {
 		return
 	}
-	w.count(r.task.step.spec, -1)
-	p.watch(w)
+	w.countRun(r.task.phase.spec, -1)
+	p.updateReporting(w)
 	r.team.used = r.team.used.Sub(r.need)
-	r.task.seen = later(r.task.seen, r.seen(p.now()))
+	r.task.lastWorkedAt = later(r.task.lastWorkedAt, r.seen(p.now()))
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(x *run) bool { return x == r })
 	p.probeEnded(r)
-	r.task.recount()
+	r.task.updateCounts()
 }
 
 // stopRun sends the order to end a run. Its capacity stays charged until the worker reports the
 // completion.
-func (p *Planner) stop(r *run) {
+func (p *Planner) stopRun(r *run) {
 	if r.stopping {
 		return
 	}
-	r.until = r.seen(p.now())
+	r.workedUntil = r.seen(p.now())
 	r.stopping = true
 	r.worker.changes++
 	r.countUrgent(false)
 	if r.task != nil {
-		r.task.recount()
+		r.task.updateCounts()
 	}
 	p.counts.Stopped++
 	p.orders = append(p.orders, proto.Order{Kind: proto.OrderStop, Worker: r.worker.vm.ID, Task: r.key.task, Run: r.key.run})
 }
 
 // forgetRecorded lets a worker drop the completions that are recorded.
-func (p *Planner) forget(w *worker) {
-	upTo := w.forgot
-	for len(w.ends) > 0 {
-		e := w.ends[0]
-		if e.job != nil && e.job.saved < e.changes && p.jobs[e.job.rec.ID] == e.job {
+func (p *Planner) forgetRecorded(w *worker) {
+	upTo := w.forgottenUpTo
+	for len(w.completions) > 0 {
+		e := w.completions[0]
+		if e.job != nil && e.job.savedChanges < e.changes && p.jobs[e.job.rec.ID] == e.job {
 			break
 		}
 		upTo = e.number
-		p.noteGone(w, e.key)
-		w.ends = w.ends[1:]
+		p.closeRun(w, e.key)
+		w.completions = w.completions[1:]
 	}
-	if len(w.ends) == 0 {
-		delete(p.ending, w)
+	if len(w.completions) == 0 {
+		delete(p.pendingWorkers, w)
 	}
-	if upTo > w.forgot {
-		w.forgot = upTo
+	if upTo > w.forgottenUpTo {
+		w.forgottenUpTo = upTo
 		p.orders = append(p.orders, proto.Order{Kind: proto.OrderForget, Worker: w.vm.ID, Forget: upTo})
 	}
 }
 
 // WorkerLost notes that all runs at a worker are guaranteed to have ended. crashed means that its
 // boot is known to have ended.
-func (p *Planner) Lost(id string, crashed bool) {
+func (p *Planner) WorkerLost(id string, crashed bool) {
 	delete(p.roster, id)
 	w := p.workers[id]
 	if w == nil {
@@ -413,18 +413,18 @@
 	for _, r := range w.runs {
 		p.counts.Lost++
 		p.endRun(r)
-		p.noteGone(w, r.key)
+		p.closeRun(w, r.key)
 		if r.task != nil {
 			p.gangBroken(r)
 		}
 	}
-	for _, e := range w.ends {
-		p.noteGone(w, e.key)
+	for _, e := range w.completions {
+		p.closeRun(w, e.key)
 	}
-	w.ends = nil
-	delete(p.ending, w)
+	w.completions = nil
+	delete(p.pendingWorkers, w)
 	w.empty = true
-	if w.gone {
+	if w.removed {
 		delete(p.workers, id)
 		p.unsorted = true
 	}
--- a/region/assign.go
+++ b/region/assign.go
@@ -50,7 +50,7 @@
 		}
 	}
 	l.chooseStandby(live)
-	held := l.planner.Held()
+	held := l.planner.WorkersToHold()
 	l.chooseKeepers(held, live)
 	l.expireEndedKeepers()
 	l.activateKeepers(held, live)
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	if unresponsive, responds := l.planner.Quiet(vm.ID); unresponsive && !responds && l.planner.Heard(vm.ID) {
+	if unresponsive, responds := l.planner.Unresponsive(vm.ID); unresponsive && !responds && l.planner.RunsKnown(vm.ID) {
 		out.Settled, out.Runs = true, l.planner.RunsAt(vm.ID)
 	}
 	out.Bound = l.recordedBound(vm.ID)
@@ -157,8 +157,8 @@
 // record as settled.
 func (l *leadership) resumeResponsive() {
 	for id := range l.roster {
-		if unresponsive, responds := l.planner.Quiet(id); unresponsive && responds && !l.maybeSettled[id] && !l.maybeBound[id] {
-			l.planner.Awake(id)
+		if unresponsive, responds := l.planner.Unresponsive(id); unresponsive && responds && !l.maybeSettled[id] && !l.maybeBound[id] {
+			l.planner.SetResponsive(id)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 			changed[old] = true
 			l.expiries.endAssignment(vm.ID, old, l.kept[vm.ID].Token, l.authority())
 			l.expiriesChanged = true
-			l.planner.Unready([]string{vm.ID})
+			l.planner.SetUnready([]string{vm.ID})
 		}
 		changed[name] = true
 		l.tokens++
--- a/region/handover.go
+++ b/region/handover.go
@@ -66,7 +66,7 @@
 // crashesUnrecorded reports whether crashes have been counted that are not in the store yet: the next
 // planner would count them again.
 func (l *leadership) crashesUnrecorded(ctx context.Context) (yes bool) {
-	_ = l.duty.Do(ctx, func() { yes = len(l.planner.Unrecorded()) > 0 }) // An error means that the leadership is over.
+	_ = l.duty.Do(ctx, func() { yes = len(l.planner.UnrecordedCrashes()) > 0 }) // An error means that the leadership is over.
 	return yes
 }
 
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -25,7 +25,7 @@
 	all := make(map[string]*storedJob)
 	for _, v := range values {
 		id, what := parseJobKey(v.Key)
-		if what == partNone || what != partCancel && l.planner.Known(id) {
+		if what == partNone || what != partCancel && l.planner.HasJob(id) {
 			continue
 		}
 		s := all[id]
@@ -41,7 +41,7 @@
 	for id, s := range all {
 		if s.job != nil {
 			jobs = append(jobs, fleet.Stored{Job: s.job, Progress: s.progress, Revision: s.revision})
-		} else if !l.planner.Known(id) {
+		} else if !l.planner.HasJob(id) {
 			orphans = append(orphans, id)
 		}
 	}
@@ -107,7 +107,7 @@
 			return
 		}
 		resp.State, resp.Known = l.planner.State(id)
-		if l.planner.Ending(id) {
+		if l.planner.EndsSoon(id) {
 			ended = make(chan struct{})
 			l.stateWaiters[id] = append(l.stateWaiters[id], ended)
 		}
--- a/region/jobs_test.go
+++ b/region/jobs_test.go
@@ -30,7 +30,7 @@
 			}
 			l := w.planner().node.lead.Load()
 			ended := false
-			_ = l.duty.Do(w.ctx, func() { ended = l.planner.Unsaved() || l.planner.Counts().Done+l.planner.Counts().Failed > 0 })
+			_ = l.duty.Do(w.ctx, func() { ended = l.planner.HasUnsaved() || l.planner.Counts().Done+l.planner.Counts().Failed > 0 })
 			is.True(!ended) // A request after the end gets the final state.
 			time.Sleep(time.Millisecond)
 		}
