--- a/region/leadership.go
+++ b/region/leadership.go
@@ -84,7 +84,7 @@
 	jobsRevision  uint64
 	orphans       []string
 	planner       *fleet.Planner
-	lanes         lanes.Lanes[fleet.Ask]
+	lanes         lanes.Lanes[fleet.AdviceRequest]
 	proxies       map[string]*proxy
 	keepers       map[string]string     // keepers holds the name of each worker's keeper.
 	kept          map[string]proto.Kept // kept holds the fencing token of each worker's assignment.
@@ -191,7 +191,7 @@
 	v := newValidity(until)
 	l.validity.Store(&v)
 	l.planner.Barrier = time.Now().Add(barrier())
-	l.planner.Fresh = math.MaxUint64
+	l.planner.AdoptedRevision = math.MaxUint64
 	l.planner.SetConfig(n.Config())
 	return l
 }
@@ -319,20 +319,20 @@
 // planner may start the same.
 func (l *leadership) mayStart() bool {
 	left := l.validity.Load().remaining()
-	l.planner.KnownBefore = time.Time{}
+	l.planner.LeaseExpiry = time.Time{}
 	if left > 0 {
 		return true
 	}
-	l.planner.KnownBefore = time.Now().Add(left)
+	l.planner.LeaseExpiry = time.Now().Add(left)
 	return left > -maxOfficeOverrun && l.standby != nil && l.standby.synced && time.Since(l.listAsOf) < maxListAge
 }
 
 // signalSave wakes the goroutines that write changed records.
 func (l *leadership) signalSave() {
 	switch {
-	case l.planner.Pressing():
+	case l.planner.RecordAwaited():
 		duty.Signal(l.urgentSave)
-	case l.planner.Unsaved():
+	case l.planner.HasUnsaved():
 		duty.Signal(l.unsaved)
 	}
 }
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -240,13 +240,13 @@
 	}
 	if l.standby == nil {
 		l.ackedExpiries = nil // The next standby is sent all expiries again.
-		l.planner.Gone()
+		l.planner.ClosedRuns()
 		l.mirroredOrders, l.queuedOrders = append(l.mirroredOrders, l.queuedOrders...), nil
 		l.release()
 		return
 	}
 	s := l.standby
-	for _, g := range l.planner.Gone() {
+	for _, g := range l.planner.ClosedRuns() {
 		l.removedRuns = append(l.removedRuns, proto.MirrorRun{Worker: g.Worker, Task: g.Task, Run: g.Run})
 	}
 	if s.synced && len(l.queuedOrders) == 0 && !l.expiriesChanged {
@@ -315,12 +315,12 @@
 // allRuns returns all runs that may exist, including those of queued starts.
 func (l *leadership) allRuns() []proto.MirrorRun {
 	var out []proto.MirrorRun
-	for _, vm := range l.planner.Held() {
+	for _, vm := range l.planner.WorkersToHold() {
 		for _, r := range l.planner.RunsAt(vm.ID) {
 			out = append(out, proto.MirrorRun{Worker: vm.ID, Task: r.Task, Run: r.Run})
 		}
 	}
-	for _, g := range l.planner.Unrecorded() {
+	for _, g := range l.planner.UnrecordedCrashes() {
 		out = append(out, proto.MirrorRun{Worker: g.Worker, Task: g.Task, Run: g.Run})
 	}
 	return out
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -154,7 +154,7 @@
 		}
 	}
 	l.expiriesChanged = true
-	l.planner.Unready(ids)
+	l.planner.SetUnready(ids)
 }
 
 // handleEvents handles what a keeper has reported. Reports of an ended session are stale and
@@ -183,7 +183,7 @@
 		if e.Kind == proto.EventLost && e.Result != winch.StartOtherBoot && l.validity.Load().remaining() <= 0 {
 			// The office's lease has expired: another planner may have assigned the worker, and
 			// its runs may continue.
-			l.planner.Unready([]string{e.Worker})
+			l.planner.SetUnready([]string{e.Worker})
 			l.unassignLost(e.Worker)
 			l.expiries.add(e.Worker, assignment{expiry: time.Now().Add(barrier())})
 			continue
@@ -194,7 +194,7 @@
 			l.unassignLost(e.Worker)
 			continue
 		}
-		l.planner.Event(e)
+		l.planner.HandleEvent(e)
 		switch e.Kind {
 		case proto.EventFenced:
 			l.node.Log.Info("worker knows a higher fencing token; ending this term", zap.String("worker", e.Worker))
@@ -203,7 +203,7 @@
 		case proto.EventLost:
 			l.unassignLost(e.Worker)
 		case proto.EventSilent, proto.EventBack, proto.EventListed:
-			quiet, _ := l.planner.Quiet(e.Worker)
+			quiet, _ := l.planner.Unresponsive(e.Worker)
 			changed = changed || quiet || len(l.roster[e.Worker].Earlier) > 0
 		}
 	}
@@ -219,7 +219,7 @@
 // the roster names the keeper with the same generation, that is all that may run there.
 func (l *leadership) handleKnown(keeper string, e proto.KeepEvent) {
 	if w := l.previousRoster[e.Worker]; w.Keeper == keeper && w.Generation == e.Turn {
-		l.planner.Event(e)
+		l.planner.HandleEvent(e)
 	}
 }
 
@@ -293,7 +293,7 @@
 // effect after those lists and yet be considered never started.
 func (l *leadership) handleUnsent(o proto.Order) {
 	if o.Kind == proto.OrderStart {
-		l.planner.Event(proto.KeepEvent{
+		l.planner.HandleEvent(proto.KeepEvent{
 			Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused,
 		})
 	}
@@ -308,8 +308,8 @@
 
 // requestAdvice distributes the planner's requests to the advice service over the lanes.
 func (l *leadership) requestAdvice() {
-	for _, a := range l.planner.Asks() {
-		l.lanes.Add(lanes.Question[fleet.Ask]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
+	for _, a := range l.planner.AdviceRequests() {
+		l.lanes.Add(lanes.Question[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
 	for {
 		name, q, ok := l.lanes.Next(time.Now())
@@ -322,7 +322,7 @@
 
 // callAdvice sends one request to the advice service through a lane and passes the response to
 // the planner.
-func (l *leadership) callAdvice(lane string, a fleet.Ask) {
+func (l *leadership) callAdvice(lane string, a fleet.AdviceRequest) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceTimeout)
 	defer cancel()
@@ -339,7 +339,7 @@
 		l.node.Log.Info("advice request failed", zap.String("lane", lane), zap.String("job", a.Phase.Job), zap.String("failed", response.Failed), zap.Error(err))
 	}
 	l.node.Log.Info("advice request finished", zap.String("job", a.Phase.Job), zap.Int("phase", a.Phase.Phase), zap.String("lane", lane), zap.Int("asked", len(a.Workers)),
-		zap.Int("allowed", len(response.Tickets)), zap.Duration("took", time.Since(sent)), zap.Duration("waited", sent.Sub(a.Asked)))
+		zap.Int("allowed", len(response.Tickets)), zap.Duration("took", time.Since(sent)), zap.Duration("waited", sent.Sub(a.Created)))
 	l.post(func() {
 		l.lanes.Done(lane, ok, time.Now())
 		if ok {
--- a/region/record.go
+++ b/region/record.go
@@ -88,7 +88,7 @@
 		if r.Progress.State.Final() {
 			end := endedRecord{State: r.Progress.State, At: r.Progress.Ended}
 			txn.Writes = append(txn.Writes, winch.Write{Key: keyEnded(r.Job), Data: encode(end)})
-			if !r.Rest {
+			if !r.Retain {
 				txn.Remove = append(txn.Remove, keyJob(r.Job), keyCancel(r.Job), keyProgress(r.Job), keyCommand(r.Job))
 				continue
 			}
@@ -125,7 +125,7 @@
 			if conflict != nil {
 				current = conflict.Current[keyProgress(r.Job)].Version
 			}
-			l.planner.Unwritten(r, current)
+			l.planner.SaveFailed(r, current)
 		}
 		l.logCompletions()
 		l.wake()
@@ -144,7 +144,7 @@
 		duty.Pause(ctx, sweepInterval)
 		before := time.Now().Add(-l.node.Timing.Keep - retentionMargin)
 		var ids []string
-		if l.duty.Do(ctx, func() { ids = l.planner.Expired(before) }) != nil {
+		if l.duty.Do(ctx, func() { ids = l.planner.ExpiredJobs(before) }) != nil {
 			return
 		}
 		for id, at := range old {
@@ -227,7 +227,7 @@
 		if l.duty.Do(ctx, func() {
 			wanted = maps.Clone(l.desired)
 			for id, w := range wanted {
-				if w.Bound != 0 && l.planner.Heard(id) {
+				if w.Bound != 0 && l.planner.RunsKnown(id) {
 					w.Bound = 0 // The worker has answered since.
 					wanted[id] = w
 				}
@@ -236,7 +236,7 @@
 				}
 				if w.Bound != 0 {
 					l.maybeBound[id] = true
-					l.planner.SetQuiet(id)
+					l.planner.SetUnresponsive(id)
 				}
 			}
 		}) != nil {
@@ -298,7 +298,7 @@
 	if l.duty.Do(ctx, func() {
 		l.runsRecorded = true
 		for id, w := range l.roster {
-			w.Settled, w.Runs, w.Left = l.planner.Heard(id), nil, l.expiries.expiresIn(id)
+			w.Settled, w.Runs, w.Left = l.planner.RunsKnown(id), nil, l.expiries.expiresIn(id)
 			if w.Settled {
 				w.Runs, w.Bound = l.planner.RunsAt(id), 0
 			}
--- a/region/report.go
+++ b/region/report.go
@@ -65,7 +65,7 @@
 // logCompletions logs for each job that has ended what its time was spent on.
 func (l *leadership) logCompletions() {
 	l.dropWaiters()
-	for _, e := range l.planner.Endings() {
+	for _, e := range l.planner.JobSummaries() {
 		l.notifyWaiters(e.Job)
 		waited := make(map[string]float64, len(e.Waited))
 		for reason, d := range e.Waited {
@@ -89,15 +89,15 @@
 		var runs []string
 		for _, r := range x.Runs[:min(maxLossRuns, len(x.Runs))] {
 			runs = append(runs, fmt.Sprintf("%s.%d.%d.%d/%d lived %v confirmed %t", r.Task.Job, r.Task.K,
-				r.Task.Phase, r.Task.Index, r.Run, r.Lived, r.Confirmed))
+				r.Task.Phase, r.Task.Index, r.Run, r.Age, r.Confirmed))
 		}
 		l.node.Log.Info("runs lost with their worker", zap.String("worker", x.Worker),
 			zap.Bool("crashed", x.Crashed), zap.Int("count", len(x.Runs)), zap.Strings("runs", runs))
 	}
-	for _, b := range l.planner.Blames() {
+	for _, b := range l.planner.CountedCrashes() {
 		l.node.Log.Info("crash counted", zap.String("job", b.Task.Job), zap.Int("phase", b.Task.Phase),
 			zap.Int("index", b.Task.Index),
-			zap.Uint64("run", b.Run), zap.String("worker", b.Worker), zap.Duration("lived", b.Lived),
+			zap.Uint64("run", b.Run), zap.String("worker", b.Worker), zap.Duration("lived", b.Age),
 			zap.Bool("weak", b.Weak),
 			zap.Bool("probe", b.Probe), zap.Int("crashes", b.Crashes), zap.Bool("givenUp", b.GivenUp))
 	}
--- a/region/takeover.go
+++ b/region/takeover.go
@@ -118,7 +118,7 @@
 		_, asOf, err := l.node.Table.Read(ctx, keyTerm)
 		if err == nil {
 			l.post(func() {
-				l.planner.Fresh = asOf
+				l.planner.AdoptedRevision = asOf
 				l.wake()
 			})
 			return
@@ -131,16 +131,16 @@
 // standby, or it recorded the running work when it handed the office over.
 func (l *leadership) applyInherited() {
 	l.inheritExpiries()
-	l.planner.SetGone(l.earlierWorkers())
+	l.planner.SetRemoved(l.earlierWorkers())
 	for id, w := range l.previousRoster {
 		if w.Settled || w.Bound != 0 {
-			l.planner.SetQuiet(id) // Nothing may start there until the record is changed.
+			l.planner.SetUnresponsive(id) // Nothing may start there until the record is changed.
 		}
 		if l.copiedRuns != nil {
 			w.Settled, w.Runs = true, l.copiedRuns[id]
 		}
 		if w.Settled {
-			l.planner.Event(proto.KeepEvent{Kind: proto.EventKnown, Worker: id, Running: w.Runs})
+			l.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: id, Running: w.Runs})
 		}
 	}
 }
--- a/region/termbound.go
+++ b/region/termbound.go
@@ -39,7 +39,7 @@
 // worker has responded; a new one is added once most workers have had the time to respond.
 func (l *leadership) recordedBound(worker string) uint64 {
 	before := l.previousRoster[worker]
-	if l.planner.Heard(worker) || before.Bound == 0 && time.Since(l.startedAt) <= firstContactTimeout {
+	if l.planner.RunsKnown(worker) || before.Bound == 0 && time.Since(l.startedAt) <= firstContactTimeout {
 		return 0
 	}
 	return l.boundOf(before)
@@ -92,13 +92,13 @@
 		return
 	}
 	l.boundsRequested = true
-	if l.planner.AllHeard() {
+	if l.planner.AllRunsKnown() {
 		return
 	}
 	l.reassignPending = true
 	terms := make(map[uint64]bool)
 	for id, w := range l.previousRoster {
-		if !l.planner.Heard(id) {
+		if !l.planner.RunsKnown(id) {
 			terms[l.boundOf(w)] = true
 		}
 	}
@@ -133,7 +133,7 @@
 // applyTermBegan shortens the expiries bounded by a term, which had begun by the given time.
 func (l *leadership) applyTermBegan(term uint64, at time.Time) {
 	for id, w := range l.previousRoster {
-		if l.planner.Heard(id) || l.boundOf(w) != term {
+		if l.planner.RunsKnown(id) || l.boundOf(w) != term {
 			continue
 		}
 		earlierPlanners := func(h assignment) bool { return h.token == 0 }
--- a/region/workerlist.go
+++ b/region/workerlist.go
@@ -83,6 +83,6 @@
 		list = append(list, vm)
 	}
 	l.planner.SetWorkers(list)
-	l.planner.SetGone(l.earlierWorkers())
+	l.planner.SetRemoved(l.earlierWorkers())
 	l.reassignSoon()
 }
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -163,16 +163,16 @@
 		}
 	}
 	r.at(tripTime, func() {
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
 		r.wake()
 	})
 	r.at(rebootTime, func() {
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: winch.StartOtherBoot})
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: winch.StartOtherBoot})
 		b.vm.Born++
 		b.down = false
 		delete(r.ends, id)
 		r.list()
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: id})
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: id})
 		r.wake()
 	})
 }
@@ -189,7 +189,7 @@
 // refused tells the planner that a start has not reached its worker.
 func (r *region) refused(o proto.Order) {
 	r.at(tripTime, func() {
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
 		r.wake()
 	})
 }
--- a/trial/region.go
+++ b/trial/region.go
@@ -96,7 +96,7 @@
 	timers  timers
 	seq     int
 	planner *fleet.Planner
-	lanes   lanes.Lanes[fleet.Ask]
+	lanes   lanes.Lanes[fleet.AdviceRequest]
 	jobs    map[string]*arrivalOf
 	runs    map[taskRun]*active
 	// saved is the work that a task has left by its last checkpoint.
@@ -105,7 +105,7 @@
 	armed  bool
 	lag    time.Duration // lag is how long the last decision took.
 	use    use
-	ended  []fleet.Ending
+	ended  []fleet.JobSummary
 	record bool
 	boots  map[string]*boot
 	harm   harm
@@ -155,7 +155,7 @@
 	r.planner.SetWorkers(list)
 	r.setUpFaults()
 	for _, vm := range list {
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	var names []string
 	for i := range r.pattern.Lanes {
@@ -192,9 +192,9 @@
 	r.armed = false
 	urgent, usual := r.lanes.Openings(r.now)
 	r.planner.Openings = fleet.Openings{Urgent: urgent, Usual: usual}
-	before := r.planner.Counts().Looks
+	before := r.planner.Counts().Examined
 	r.planner.Schedule()
-	r.lag = time.Duration(r.planner.Counts().Looks-before) * r.pattern.Look
+	r.lag = time.Duration(r.planner.Counts().Examined-before) * r.pattern.Look
 	for _, o := range r.planner.Orders() {
 		switch o.Kind {
 		case proto.OrderStart:
@@ -203,17 +203,17 @@
 			r.at(r.lag+tripTime, func() { r.stop(o) })
 		}
 	}
-	for _, a := range r.planner.Asks() {
-		r.lanes.Add(lanes.Question[fleet.Ask]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
+	for _, a := range r.planner.AdviceRequests() {
+		r.lanes.Add(lanes.Question[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
 	r.ask()
-	if r.planner.Unsaved() && !r.record {
+	if r.planner.HasUnsaved() && !r.record {
 		r.record = true
 		r.at(recordTime, r.save)
 	}
-	r.ended = append(r.ended, r.planner.Endings()...)
+	r.ended = append(r.ended, r.planner.JobSummaries()...)
 	r.planner.Losses()
-	r.planner.Blames()
+	r.planner.CountedCrashes()
 }
 
 func (r *region) save() {
@@ -244,7 +244,7 @@
 
 // tickets are the answer to a question: who may run a step depends on both alone. As
 // many workers are allowed at least as the step has tasks.
-func (r *region) tickets(a fleet.Ask) []winch.Ticket {
+func (r *region) tickets(a fleet.AdviceRequest) []winch.Ticket {
 	job := r.jobs[a.Phase.Job].job
 	order := make(map[string]uint64)
 	for _, s := range r.pattern.Services {
@@ -292,7 +292,7 @@
 	}
 	if !job.job.Phases[o.Task.Phase].Gang && r.lost() {
 		r.at(lostTime, func() {
-			r.planner.Event(proto.KeepEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartUncertain})
+			r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartUncertain})
 			r.wake()
 		})
 		return
@@ -307,7 +307,7 @@
 	r.checkRoom(o)
 	r.crashAfter(job, key, run)
 	r.at(tripTime, func() {
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
 	})
 	r.at(left+tripTime, func() { r.end(key, run, winch.EndDone) })
 }
@@ -330,7 +330,7 @@
 	}
 	r.at(late, func() {
 		r.ends[run.worker]++
-		r.planner.Event(proto.KeepEvent{Kind: proto.EventEnded, Worker: run.worker, Ended: []winch.Ended{
+		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventEnded, Worker: run.worker, Ended: []winch.Ended{
 			{Number: r.ends[run.worker], Task: key.task, Run: key.run, Kind: kind, Checkpoint: checkpoint},
 		}})
 		r.wake()
@@ -360,7 +360,7 @@
 			if r.boots[id].down {
 				continue
 			}
-			r.planner.Event(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: running[id]})
+			r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: running[id]})
 		}
 		if r.now.Sub(r.begin) <= r.pattern.Length {
 			for _, s := range r.pattern.Services {
