--- a/coord/fleet/account.go
+++ b/coord/fleet/account.go
@@ -70,14 +70,14 @@
 		return WaitRun
 	case s.suspected():
 		return WaitProbe
-	case !s.job.team.allows(s.wantsAtOnce()):
+	case !s.job.team.allows(s.nextStartNeed()):
 		return WaitLimit
-	case !p.spare(s):
-		return WaitUrgentRoom
-	case s.advice.asking:
-		return WaitAsked
+	case !p.sparesUrgent(s):
+		return WaitUrgentCapacity
+	case s.advice.pending:
+		return WaitAdvice
 	}
-	return WaitRoom
+	return WaitCapacity
 }
 
 // JobSummaries returns the summaries of the jobs whose end was recorded since the last call.
--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -12,86 +12,86 @@
 const (
 	// initialAllowedShare is the share of workers assumed to be allowed before a queue's first
 	// response from the advice service.
-	firstShare = 0.4
+	initialAllowedShare = 0.4
 	// allowedShareWeight is the weight of one response in a queue's moving average of the share of
 	// workers allowed.
-	shareStep = 0.2
+	allowedShareWeight = 0.2
 	// turnaroundWeight is the weight of one response in a queue's moving average of the
 	// turnaround.
-	turnStep = 0.2
+	turnaroundWeight = 0.2
 	// minRequestWorkers and maxRequestWorkers bound the number of workers in one request; the
 	// service takes at most 100.
-	askLeast = 8
-	askMost  = 100
+	minRequestWorkers = 8
+	maxRequestWorkers = 100
 	// capacityFactor is the ratio of the capacity that a request covers to the capacity that the
 	// step needs, since other work takes some of it before the response arrives.
-	askSpare = 2.0
+	capacityFactor = 2.0
 	// objectiveWorkers is the number of workers in the request that objectives allow for.
-	adviceWorkers = 30
+	objectiveWorkers = 30
 	// adviceRetryDelay is the delay after a failed request.
-	askAgain = 100 * time.Millisecond
+	adviceRetryDelay = 100 * time.Millisecond
 	// starvationThreshold is the time without a request after which a step counts as starving. One
 	// in starvingDivisor of the allowed requests is reserved for such steps.
-	starvingAfter = 3 * time.Second
-	starvingShare = 8
+	starvationThreshold = 3 * time.Second
+	starvingDivisor     = 8
 )
 
 // RequestQuota is the number of requests that may be sent to the advice service now, for urgent
 // and for other work.
-type Openings struct {
-	Urgent, Usual int
+type RequestQuota struct {
+	Urgent, Normal int
 }
 
 // unlimitedQuota sets no limit on requests.
-var unbounded = Openings{math.MaxInt, math.MaxInt}
+var unlimitedQuota = RequestQuota{math.MaxInt, math.MaxInt}
 
 // forStep returns the quota that a step's requests count against.
-func (o *Openings) of(s *phase) *int {
-	if s.job.quick() {
+func (o *RequestQuota) forStep(s *phase) *int {
+	if s.job.inUrgentQueue() {
 		return &o.Urgent
 	}
-	return &o.Usual
+	return &o.Normal
 }
 
 // requestAdvice asks the advice service which workers may run a step if the step has waiting
 // tasks, or some more that are to move, and too few workers with free capacity and a valid ticket.
-func (p *Planner) advise(s *phase, now time.Time, r rank, moving int) {
-	if !p.wantsAdvice(s, now, moving) {
+func (p *Planner) requestAdvice(s *phase, now time.Time, r rank, moving int) {
+	if !p.needsAdvice(s, now, moving) {
 		return
 	}
-	if left := *p.Openings.of(s); left > p.starvingPart(s) || moving > 0 && left > 0 {
-		p.askFor(s, now, r, moving)
-	} else if now.Sub(later(s.readySince, s.advice.asked)) > starvingAfter {
-		p.starving = append(p.starving, waiting{s, r})
+	if left := *p.Openings.forStep(s); left > p.starvingQuota(s) || moving > 0 && left > 0 {
+		p.sendRequest(s, now, r, moving)
+	} else if now.Sub(later(s.readySince, s.advice.requested)) > starvationThreshold {
+		p.starving = append(p.starving, waitingStep{s, r})
 	}
 }
 
 // needsAdvice reports whether a request about a step is due.
-func (p *Planner) wantsAdvice(s *phase, now time.Time, moving int) bool {
-	if s.job.queue.Advice == nil || s.waiting+moving == 0 || s.advice.asking || now.Before(s.advice.retry) {
+func (p *Planner) needsAdvice(s *phase, now time.Time, moving int) bool {
+	if s.job.queue.Advice == nil || s.waiting+moving == 0 || s.advice.pending || now.Before(s.advice.retryAt) {
 		return false
 	}
 	// Tasks that move are charged to their team already.
-	return (moving > 0 || s.job.team.allows(s.spec.Need)) && p.spare(s)
+	return (moving > 0 || s.job.team.allows(s.spec.Need)) && p.sparesUrgent(s)
 }
 
 // starvingQuota returns how much of the quota is reserved for starving steps.
-func (p *Planner) starvingPart(s *phase) int {
-	if *p.initialOpenings.of(s) == math.MaxInt {
+func (p *Planner) starvingQuota(s *phase) int {
+	if *p.initialOpenings.forStep(s) == math.MaxInt {
 		return 0
 	}
-	return *p.initialOpenings.of(s) / starvingShare
+	return *p.initialOpenings.forStep(s) / starvingDivisor
 }
 
 // requestForStarving sends requests for starving steps, the longest waiting first. With few lanes,
 // ordering by rank alone would never reach those with the lowest rank.
-func (p *Planner) askStarving(now time.Time) {
-	slices.SortFunc(p.starving, func(a, b waiting) int {
-		return cmp.Or(later(a.step.readySince, a.step.advice.asked).Compare(later(b.step.readySince, b.step.advice.asked)), compareWaiting(a, b))
+func (p *Planner) requestForStarving(now time.Time) {
+	slices.SortFunc(p.starving, func(a, b waitingStep) int {
+		return cmp.Or(later(a.step.readySince, a.step.advice.requested).Compare(later(b.step.readySince, b.step.advice.requested)), compareWaitingSteps(a, b))
 	})
 	for _, e := range p.starving {
-		if *p.Openings.of(e.step) > 0 {
-			p.askFor(e.step, now, e.rank, 0)
+		if *p.Openings.forStep(e.step) > 0 {
+			p.sendRequest(e.step, now, e.rank, 0)
 		}
 	}
 	clear(p.starving)
@@ -100,35 +100,35 @@
 
 // sendRequest queues a request about a step, unless workers with free capacity and valid tickets
 // suffice.
-func (p *Planner) askFor(s *phase, now time.Time, r rank, moving int) {
+func (p *Planner) sendRequest(s *phase, now time.Time, r rank, moving int) {
 	cost := s.job.queue.Advice
 	wanted := s.waiting + moving
-	covered := p.covered(s, now)
+	covered := p.ticketedTasks(s, now)
 	if covered >= wanted {
 		return
 	}
-	ids := p.toAsk(s, now, wanted-covered)
+	ids := p.workersToRequest(s, now, wanted-covered)
 	if len(ids) == 0 {
 		return
 	}
-	*p.Openings.of(s)--
-	s.advice.asking, s.advice.asked = true, now
+	*p.Openings.forStep(s)--
+	s.advice.pending, s.advice.requested = true, now
 	p.counts.AdviceRequests++
 	p.adviceRequests = append(p.adviceRequests, AdviceRequest{
-		Phase: s.id(), Workers: ids, Urgent: s.job.quick(), Rank: float64(r.class)*1e6 + r.key,
+		Phase: s.id(), Workers: ids, Urgent: s.job.inUrgentQueue(), Rank: float64(r.class)*1e6 + r.key,
 		Cost: cost.Call + time.Duration(len(ids))*cost.Worker, Created: now,
 	})
 }
 
 // ticketedTasks counts the tasks that fit into workers with valid tickets.
-func (p *Planner) covered(s *phase, now time.Time) int {
+func (p *Planner) ticketedTasks(s *phase, now time.Time) int {
 	n := 0
-	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most) {
+	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).maxFree) {
 		return 0
 	}
-	counts := s.perWorker()
-	p.eachCandidate(s, now, func(w *worker) {
-		n += s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))
+	counts := s.runsPerWorker()
+	p.eachEligible(s, now, func(w *worker) {
+		n += s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w]))
 	})
 	return n
 }
@@ -151,41 +151,41 @@
 }
 
 // candidate is a worker that a request may name.
-type option struct {
-	w     *worker
-	fit   int
-	known bool // allowed says that the step is known to be allowed there and only needs a ticket.
-	score float64
+type candidate struct {
+	w       *worker
+	slots   int
+	allowed bool // allowed says that the step is known to be allowed there and only needs a ticket.
+	score   float64
 }
 
 // workersToRequest chooses the workers to name in a request for the given number of tasks: those
 // with free capacity and, where the step is known to be allowed, those expected to have some when
 // the response arrives, as many as probably suffice. A first request names as many workers as can
 // be added before they cost more than the request itself.
-func (p *Planner) toAsk(s *phase, now time.Time, wanted int) []string {
-	first := p.Policy.AskAll && s.advice.asked.IsZero()
-	full := !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most)
+func (p *Planner) workersToRequest(s *phase, now time.Time, wanted int) []string {
+	first := p.Policy.AskAll && s.advice.requested.IsZero()
+	full := !s.spec.Charge().Fits(p.pool(s.job.queue.Service).maxFree)
 	if full && len(s.slots) == 0 && !first {
 		return nil
 	}
-	candidates := p.options(s, now, first)
+	candidates := p.candidates(s, now, first)
 	var out []string
 	covered := 0.0
-	need := askSpare * float64(wanted)
+	need := capacityFactor * float64(wanted)
 	for _, o := range candidates {
-		if o.fit == 0 || len(out) == askMost || len(out) >= askLeast && covered >= need {
+		if o.slots == 0 || len(out) == maxRequestWorkers || len(out) >= minRequestWorkers && covered >= need {
 			break
 		}
 		out = append(out, o.w.vm.ID)
-		if o.known {
-			covered += float64(o.fit)
+		if o.allowed {
+			covered += float64(o.slots)
 		} else {
-			covered += float64(o.fit) * max(0.1, s.job.queue.allowedShare)
+			covered += float64(o.slots) * max(0.1, s.job.queue.allowedShare)
 		}
 	}
 	if first {
 		for _, o := range candidates[len(out):] {
-			if len(out) >= askMost || time.Duration(len(out))*s.job.queue.Advice.Worker >= s.job.queue.Advice.Call {
+			if len(out) >= maxRequestWorkers || time.Duration(len(out))*s.job.queue.Advice.Worker >= s.job.queue.Advice.Call {
 				break
 			}
 			out = append(out, o.w.vm.ID)
@@ -197,12 +197,12 @@
 // Marks that a search puts on workers.
 const (
 	markDenied = iota + 1
-	markGood
-	markKnown
+	markTicketed
+	markAllowed
 )
 
 // markByAdvice marks the workers that the advice service is known to allow or to deny.
-func (p *Planner) markAsked(s *phase, now time.Time) {
+func (p *Planner) markByAdvice(s *phase, now time.Time) {
 	p.marks++
 	mark := func(w *worker, value int) { w.mark, w.markedAs = p.marks, value }
 	for _, w := range s.advice.denied {
@@ -210,52 +210,52 @@
 	}
 	for i := range s.advice.allowed {
 		t := &s.advice.allowed[i]
-		if t.good(now) && !s.outlasts(t.worker, *t) {
-			mark(t.worker, markGood)
+		if t.valid(now) && !s.ticketExpiresFirst(t.worker, *t) {
+			mark(t.worker, markTicketed)
 		} else {
-			mark(t.worker, markKnown)
+			mark(t.worker, markAllowed)
 		}
 	}
 }
 
 // candidates returns the workers that a request may name, the best first: those with free capacity
 // and, if all is set, those without.
-func (p *Planner) options(s *phase, now time.Time, all bool) []option {
+func (p *Planner) candidates(s *phase, now time.Time, all bool) []candidate {
 	response := now.Add(s.job.queue.turnaround)
-	p.markAsked(s, now)
-	counts := s.perWorker()
+	p.markByAdvice(s, now)
+	counts := s.runsPerWorker()
 	workers := p.pool(s.job.queue.Service).workers
 	p.examined += len(workers)
-	out := topK[option]{most: askMost, before: better}
+	out := topK[candidate]{limit: maxRequestWorkers, before: betterCandidate}
 	for _, w := range workers {
 		mark := 0
 		if w.mark == p.marks {
 			mark = w.markedAs
 		}
-		if mark == markDenied || mark == markGood || !p.suits(s, w, now) {
+		if mark == markDenied || mark == markTicketed || !p.suits(s, w, now) {
 			continue
 		}
-		o := option{w: w, known: mark == markKnown, fit: s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))}
-		if o.known && p.Policy.Reserve && len(s.slots) > 0 {
-			o.fit = max(o.fit, s.slotsBy(w, response))
+		o := candidate{w: w, allowed: mark == markAllowed, slots: s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w]))}
+		if o.allowed && p.Policy.Reserve && len(s.slots) > 0 {
+			o.slots = max(o.slots, s.slotsBy(w, response))
 		}
-		if o.fit == 0 && !all {
+		if o.slots == 0 && !all {
 			continue
 		}
 		o.score = p.score(s, w, w.free())
-		if o.known {
+		if o.allowed {
 			o.score++
 		}
 		out.add(o)
 	}
-	return out.list
+	return out.values
 }
 
 // betterCandidate reports whether a should be named in a request before b.
-func better(a, b option) bool {
+func betterCandidate(a, b candidate) bool {
 	switch {
-	case (a.fit > 0) != (b.fit > 0):
-		return a.fit > 0
+	case (a.slots > 0) != (b.slots > 0):
+		return a.slots > 0
 	case a.score != b.score:
 		return a.score > b.score
 	}
@@ -264,8 +264,8 @@
 
 // ticketExpiresFirst reports whether a slot planned for the step at a worker becomes free only
 // after the ticket has expired.
-func (s *phase) outlasts(w *worker, t permit) bool {
-	return slices.ContainsFunc(s.slots, func(x slot) bool { return x.w == w && !t.good(x.at) })
+func (s *phase) ticketExpiresFirst(w *worker, t permit) bool {
+	return slices.ContainsFunc(s.slots, func(x slot) bool { return x.w == w && !t.valid(x.at) })
 }
 
 // slotsBy counts the slots planned for the step at a worker that become free by the given time.
@@ -281,15 +281,15 @@
 
 // AdviceReceived handles the response to an advice request: the tickets, how long they are valid,
 // and when the request was sent.
-func (p *Planner) Advice(a AdviceRequest, tickets []winch.Ticket, valid time.Duration, requested time.Time) {
-	s := p.asked(a)
+func (p *Planner) AdviceReceived(a AdviceRequest, tickets []winch.Ticket, valid time.Duration, requested time.Time) {
+	s := p.takeRequest(a)
 	if s == nil {
 		return
 	}
 	if s.job.queue != nil && valid == 0 && s.job.queue.Advice != nil {
 		valid = s.job.queue.Advice.Valid
 	}
-	p.markAsked(s, p.now())
+	p.markByAdvice(s, p.now())
 	const markNamed = -1
 	answered, allowed := 0, 0
 	var named []*worker
@@ -311,9 +311,9 @@
 		}
 		if w.mark == p.marks && w.markedAs == markNamed {
 			allowed++
-			w.markedAs = markKnown
+			w.markedAs = markAllowed
 		}
-		s.advice.allow(permit{w, t.Value, requested.Add(valid)})
+		s.advice.addPermit(permit{w, t.Value, requested.Add(valid)})
 	}
 	for _, w := range named {
 		if w.markedAs == markNamed && !s.advice.isDenied(w) {
@@ -321,31 +321,31 @@
 		}
 	}
 	if q := s.job.queue; q != nil {
-		q.turnaround += time.Duration(turnStep * float64(p.now().Sub(a.Created)-q.turnaround))
+		q.turnaround += time.Duration(turnaroundWeight * float64(p.now().Sub(a.Created)-q.turnaround))
 	}
 	if answered > 0 && s.job.queue != nil {
 		q := s.job.queue
-		q.allowedShare += shareStep * (float64(allowed)/float64(answered) - q.allowedShare)
+		q.allowedShare += allowedShareWeight * (float64(allowed)/float64(answered) - q.allowedShare)
 	}
 }
 
 // AdviceFailed schedules a retry of a request that failed.
 func (p *Planner) AdviceFailed(a AdviceRequest) {
-	if s := p.asked(a); s != nil {
-		s.advice.retry = p.now().Add(askAgain)
+	if s := p.takeRequest(a); s != nil {
+		s.advice.retryAt = p.now().Add(adviceRetryDelay)
 	}
 }
 
 // takeRequest returns the step that a request is about, if it still exists, and marks the request
 // as no longer pending.
-func (p *Planner) asked(a AdviceRequest) *phase {
+func (p *Planner) takeRequest(a AdviceRequest) *phase {
 	j := p.jobs[a.Phase.Job]
 	if j == nil {
 		return nil
 	}
 	s := j.phase(a.Phase.K, a.Phase.Phase)
 	if s != nil {
-		s.advice.asking = false
+		s.advice.pending = false
 	}
 	return s
 }
--- a/coord/fleet/ahead.go
+++ b/coord/fleet/ahead.go
@@ -4,16 +4,16 @@
 
 // aheadFraction is the largest fraction of a ticket's validity that may pass before the step it is
 // requested for is expected to start.
-const aheadPart = 0.5
+const aheadFraction = 0.5
 
 // anticipate lists the urgent steps that follow a step whose tasks all run or have ended. For
 // other work, such requests would occupy lanes for longer than the time they save.
 func (s *phase) anticipate() {
-	if !s.job.quick() || s.job.queue.Advice == nil {
+	if !s.job.inUrgentQueue() || s.job.queue.Advice == nil {
 		return
 	}
 	for _, next := range s.next {
-		if !next.ahead && next.advice.asked.IsZero() {
+		if !next.ahead && next.advice.requested.IsZero() {
 			next.ahead = true
 			s.job.planner.ahead = append(s.job.planner.ahead, next)
 		}
@@ -22,20 +22,20 @@
 
 // requestAhead sends requests about steps that will start soon, within what is left of the quota,
 // so that their tickets have arrived when the preceding steps end and are still valid then.
-func (p *Planner) askAhead(now time.Time) {
+func (p *Planner) requestAhead(now time.Time) {
 	kept := p.ahead[:0]
 	for _, s := range p.ahead {
-		if s.enqueued || s.dependenciesDone() || s.job.cancelled || s.job.state.Final() || !s.advice.asked.IsZero() {
+		if s.enqueued || s.dependenciesDone() || s.job.cancelled || s.job.state.Final() || !s.advice.requested.IsZero() {
 			s.ahead = false
 			continue
 		}
 		kept = append(kept, s)
 		left, soon := s.startsIn(now)
-		if !soon || left > time.Duration(aheadPart*float64(s.job.queue.Advice.Valid)) {
+		if !soon || left > time.Duration(aheadFraction*float64(s.job.queue.Advice.Valid)) {
 			continue
 		}
-		if p.wantsAdvice(s, now, 0) && *p.Openings.of(s) > p.starvingPart(s) {
-			p.askFor(s, now, p.rank(s, now), 0)
+		if p.needsAdvice(s, now, 0) && *p.Openings.forStep(s) > p.starvingQuota(s) {
+			p.sendRequest(s, now, p.rank(s, now), 0)
 		}
 	}
 	clear(p.ahead[len(kept):])
@@ -55,7 +55,7 @@
 			if r == nil {
 				return 0, false
 			}
-			at, ends := r.expectedEnd(now)
+			at, ends := r.expectedCompletion(now)
 			if !ends {
 				return 0, false
 			}
--- a/coord/fleet/ahead_test.go
+++ b/coord/fleet/ahead_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a job's second phase requesting advice only when the first has ended, so that the
 // job's caller waits for a response that could have been there by then.
-func TestNextPhaseIsAskedAboutWhileTheFirstRuns(t *testing.T) {
+func TestAdviceAboutNextPhaseIsRequestedWhileFirstRuns(t *testing.T) {
 	for _, ahead := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -24,11 +24,11 @@
 			second.After = []int{0}
 			c.add("a", "preview", "choir", tasks(2, 1000), second)
 			c.planner.Schedule()
-			answerWith(c, 0)
+			answerPhase(c, 0)
 			first := c.schedule()
 			is.Equal(len(first), 2)
 			c.schedule()
-			answerWith(c, 1)
+			answerPhase(c, 1)
 			time.Sleep(time.Second)
 			for _, o := range first {
 				c.endRun(o, winch.EndDone)
@@ -39,7 +39,7 @@
 }
 
 // answerPhase allows all workers named in the requests about a phase.
-func answerWith(c *simRegion, phase int) {
+func answerPhase(c *simRegion, phase int) {
 	for _, a := range c.planner.AdviceRequests() {
 		if a.Phase.Phase != phase {
 			continue
@@ -48,13 +48,13 @@
 		for _, id := range a.Workers {
 			tickets = append(tickets, winch.Ticket{Worker: id, Value: "t"})
 		}
-		c.planner.Advice(a, tickets, 0, time.Now())
+		c.planner.AdviceReceived(a, tickets, 0, time.Now())
 	}
 }
 
 // Advice about the phase after a long one must be requested only when the end of the long one is
 // near, as the tickets would expire before.
-func TestNextPhaseIsNotAskedAboutTooSoon(t *testing.T) {
+func TestAdviceAboutNextPhaseIsNotRequestedTooEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		queue := urgentQueue()
@@ -65,7 +65,7 @@
 		second.After = []int{0}
 		c.add("a", "preview", "choir", long, second)
 		c.planner.Schedule()
-		answerWith(c, 0)
+		answerPhase(c, 0)
 		c.schedule()
 		time.Sleep(8 * time.Second)
 		c.schedule()
--- a/coord/fleet/bench_test.go
+++ b/coord/fleet/bench_test.go
@@ -43,7 +43,7 @@
 				tickets = append(tickets, winch.Ticket{Worker: id, Value: "t"})
 			}
 		}
-		p.Advice(a, tickets, time.Hour, p.now())
+		p.AdviceReceived(a, tickets, time.Hour, p.now())
 	}
 }
 
@@ -66,7 +66,7 @@
 		p.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	for i := range workers {
-		addTo(p, fmt.Sprintf("run%04d", i), "mix", 4, 4000, false)
+		addJob(p, fmt.Sprintf("run%04d", i), "mix", 4, 4000, false)
 	}
 	for range 40 {
 		p.Schedule()
@@ -79,12 +79,12 @@
 		if i%2 == 0 {
 			queue = "preview"
 		}
-		addTo(p, fmt.Sprintf("wait%04d", i), queue, width, 5000, i%10 == 0)
+		addJob(p, fmt.Sprintf("wait%04d", i), queue, width, 5000, i%10 == 0)
 	}
 	return p
 }
 
-func addTo(p *Planner, id, queue string, count int, milli int64, gang bool) {
+func addJob(p *Planner, id, queue string, count int, milli int64, gang bool) {
 	phase := winch.Phase{Count: count, Need: winch.Room{Milli: milli, Memory: gigabyte}, Estimate: 10 * time.Second, Gang: gang}
 	p.Add(&winch.PhasedJob{ID: id, Queue: queue, Team: "choir", Phases: []winch.Phase{phase}, Accepted: time.Now(), Revision: 7}, nil, 0)
 }
--- a/coord/fleet/bound_test.go
+++ b/coord/fleet/bound_test.go
@@ -20,7 +20,7 @@
 			time.Sleep(10 * time.Millisecond)
 			p.Schedule()
 			// The last phase may examine all workers of its pool once for each of four reasons.
-			is.True(p.examined <= mostLooks+4*1100)
+			is.True(p.examined <= maxLooks+4*1100)
 			answerAll(p)
 		}
 	})
@@ -72,11 +72,11 @@
 		c.planner.jobs["late"].excess = true
 		asked := false
 		for range 100 {
-			c.planner.Openings = Openings{Urgent: 8, Usual: 8}
+			c.planner.Openings = RequestQuota{Urgent: 8, Normal: 8}
 			c.planner.Schedule()
 			for _, a := range c.planner.AdviceRequests() {
 				asked = asked || a.Phase.Job == "late"
-				c.planner.Advice(a, nil, 0, time.Now())
+				c.planner.AdviceReceived(a, nil, 0, time.Now())
 				c.planner.jobs[a.Phase.Job].phases[0].advice.denied = nil // The others request advice again.
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/coord/fleet/crash_test.go
+++ b/coord/fleet/crash_test.go
@@ -61,7 +61,7 @@
 
 // fillWithLasting starts lasting tasks, so that each worker has some beside its other runs.
 func (c *simRegion) fillWithLasting(count int) {
-	c.add("busy", "mix", "duct", lasting(count, 500))
+	c.add("busy", "mix", "duct", lastingPhase(count, 500))
 	c.schedule()
 	time.Sleep(time.Minute)
 }
@@ -317,9 +317,9 @@
 		c.stopResponding(first.Worker)
 		time.Sleep(6 * time.Second)
 		c.lose(first.Worker, winch.StartUncertain)
-		c.list()
+		c.setDraining()
 		second := c.settle()[0]
-		c.list(second.Worker)
+		c.setDraining(second.Worker)
 		time.Sleep(rebootTime)
 		c.crash(second.Worker)
 		is.Equal(len(c.planner.jobs["a"].suspects), 0)
@@ -431,7 +431,7 @@
 			}})
 			is.Equal(len(c.settle()), 0)
 		}
-		is.Equal(c.at(probe.Worker), 1)
+		is.Equal(c.runsAt(probe.Worker), 1)
 	})
 }
 
@@ -441,7 +441,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 2, urgentQueue(), usualQueue())
-		c.add("a", "mix", "duct", lasting(6, 10))
+		c.add("a", "mix", "duct", lastingPhase(6, 10))
 		for _, x := range c.planner.jobs["a"].phases[0].tasks {
 			for run := range uint64(minWeakCrashes) {
 				s := x.suspect()
--- a/coord/fleet/demand.go
+++ b/coord/fleet/demand.go
@@ -14,27 +14,27 @@
 	// peakHalfLife is the half-life of a past peak of urgent demand. Urgent jobs run for seconds
 	// and come in waves of some ten seconds; capacity reserved for much longer than that would
 	// stay idle.
-	peakHalf = 6 * time.Second
+	peakHalfLife = 6 * time.Second
 	// maxPoolReserve is the largest fraction of the capacity of a service's workers that is
 	// reserved for urgent work; otherwise one team that sends many times its usual load would keep
 	// all other work waiting beside idle machines. Of its own limit, a team's urgent work may have
 	// everything reserved (maxTeamReserve): long work started there would delay the next burst by
 	// seconds.
-	poolPart = 0.5
-	teamPart = 1.0
+	maxPoolReserve = 0.5
+	maxTeamReserve = 1.0
 )
 
 // pool is the set of workers of one service.
 type pool struct {
 	// capacity is the total of all usable workers; free is what was free of it at the last
 	// Schedule, less what has been started since.
-	room, free winch.Room
-	urgent     demand
+	capacity, free winch.Room
+	urgent         demand
 	// workers are those that may be given work, by ID, as of the last Schedule.
 	workers []*worker
 	// maxFree is the largest free capacity of each kind at any one worker as of the last Schedule:
 	// a task that exceeds it fits nowhere.
-	most winch.Room
+	maxFree winch.Room
 	// misses are the shapes that no worker had capacity for in the last Schedule.
 	misses []shape
 }
@@ -52,28 +52,28 @@
 // work leaves that much capacity free: it runs for long, and an urgent task that found the limit
 // reached because of it would have to wait for its end.
 type demand struct {
-	used winch.Room // used is what runs now.
-	want winch.Room // wanted is used plus what waits.
-	peak winch.Room
-	at   time.Time
+	used    winch.Room // used is what runs now.
+	wanted  winch.Room // wanted is used plus what waits.
+	peak    winch.Room
+	updated time.Time
 }
 
 // beginCount starts a new count of the wanted capacity.
-func (d *demand) begin() {
-	d.want = d.used
+func (d *demand) beginCount() {
+	d.wanted = d.used
 }
 
 // endCount updates the decaying peak with the new count.
-func (d *demand) end(now time.Time) {
+func (d *demand) endCount(now time.Time) {
 	decay := 1.0
-	if !d.at.IsZero() {
-		decay = math.Exp2(-now.Sub(d.at).Seconds() / peakHalf.Seconds())
+	if !d.updated.IsZero() {
+		decay = math.Exp2(-now.Sub(d.updated).Seconds() / peakHalfLife.Seconds())
 	}
-	d.at = now
+	d.updated = now
 	d.peak = winch.Room{
-		Milli:        max(d.want.Milli, int64(decay*float64(d.peak.Milli))),
-		Memory:       max(d.want.Memory, winch.Bytes(decay*float64(d.peak.Memory))),
-		Accelerators: max(d.want.Accelerators, int(decay*float64(d.peak.Accelerators))),
+		Milli:        max(d.wanted.Milli, int64(decay*float64(d.peak.Milli))),
+		Memory:       max(d.wanted.Memory, winch.Bytes(decay*float64(d.peak.Memory))),
+		Accelerators: max(d.wanted.Accelerators, int(decay*float64(d.peak.Accelerators))),
 	}
 }
 
@@ -81,52 +81,52 @@
 // most the given fraction of it.
 func (d *demand) reserve(whole winch.Room, fraction float64) winch.Room {
 	return winch.Room{
-		Milli:        max(0, min(d.peak.Milli, share(whole.Milli, fraction))-d.used.Milli),
-		Memory:       max(0, min(d.peak.Memory, share(whole.Memory, fraction))-d.used.Memory),
-		Accelerators: max(0, min(d.peak.Accelerators, share(whole.Accelerators, fraction))-d.used.Accelerators),
+		Milli:        max(0, min(d.peak.Milli, scale(whole.Milli, fraction))-d.used.Milli),
+		Memory:       max(0, min(d.peak.Memory, scale(whole.Memory, fraction))-d.used.Memory),
+		Accelerators: max(0, min(d.peak.Accelerators, scale(whole.Accelerators, fraction))-d.used.Accelerators),
 	}
 }
 
-func share[T ~int | ~int64](whole T, fraction float64) T {
+func scale[T ~int | ~int64](whole T, fraction float64) T {
 	return T(fraction * float64(whole))
 }
 
 // inUrgentQueue reports whether the job's queue is for urgent work. Such a job runs for seconds at
 // most, so it need not leave capacity free for other urgent work.
-func (j *job) quick() bool {
+func (j *job) inUrgentQueue() bool {
 	return j.queue != nil && j.queue.Priority == 0
 }
 
 // urgent reports whether the job takes precedence over others. Jobs that a team submits beyond its
 // share do not, since the others would wait behind them.
 func (j *job) urgent() bool {
-	return j.quick() && !j.excess
+	return j.inUrgentQueue() && !j.excess
 }
 
 // measure updates the capacity of all pools, sorts the ready steps, and counts the urgent demand
 // of all services and teams.
 func (p *Planner) measure(now time.Time, adopting bool) {
 	for _, x := range p.pools {
-		x.urgent.begin()
-		x.room, x.free, x.most = winch.Room{}, winch.Room{}, winch.Room{}
+		x.urgent.beginCount()
+		x.capacity, x.free, x.maxFree = winch.Room{}, winch.Room{}, winch.Room{}
 		clear(x.workers)
 		x.workers, x.misses = x.workers[:0], x.misses[:0]
 	}
 	for _, t := range p.teams {
-		t.urgent.begin()
+		t.urgent.beginCount()
 	}
-	p.measureRoom()
-	p.order(now, adopting)
+	p.measurePools()
+	p.sortReady(now, adopting)
 	for _, x := range p.pools {
-		x.urgent.end(now)
+		x.urgent.endCount(now)
 	}
 	for _, t := range p.teams {
-		t.urgent.end(now)
+		t.urgent.endCount(now)
 	}
 }
 
 // measurePools updates the capacity of the workers that may be given work.
-func (p *Planner) measureRoom() {
+func (p *Planner) measurePools() {
 	if p.unsorted {
 		p.unsorted = false
 		p.byID = slices.SortedFunc(maps.Values(p.workers), func(a, b *worker) int { return cmp.Compare(a.vm.ID, b.vm.ID) })
@@ -145,10 +145,10 @@
 			x = p.pool(service)
 		}
 		free := w.free()
-		x.room, x.free = x.room.Add(w.vm.Room), x.free.Add(free)
+		x.capacity, x.free = x.capacity.Add(w.vm.Room), x.free.Add(free)
 		x.workers = append(x.workers, w)
-		x.most = winch.Room{
-			Milli: max(x.most.Milli, free.Milli), Memory: max(x.most.Memory, free.Memory), Accelerators: max(x.most.Accelerators, free.Accelerators),
+		x.maxFree = winch.Room{
+			Milli: max(x.maxFree.Milli, free.Milli), Memory: max(x.maxFree.Memory, free.Memory), Accelerators: max(x.maxFree.Accelerators, free.Accelerators),
 		}
 	}
 }
@@ -160,7 +160,7 @@
 	}
 	need := s.spec.Need.Times(s.waiting)
 	for _, d := range s.job.demands() {
-		d.want = d.want.Add(need)
+		d.wanted = d.wanted.Add(need)
 	}
 }
 
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -15,7 +15,7 @@
 		delete(p.roster, e.Worker)
 		return
 	}
-	defer w.noteSilence()
+	defer w.updateContact()
 	switch e.Kind {
 	case proto.EventListed, proto.EventStarted, proto.EventEnded, proto.EventStatus, proto.EventFound, proto.EventBack:
 		w.lastContact = p.now()
@@ -101,18 +101,18 @@
 			continue
 		}
 		t := p.task(x.Task)
-		adopt := t != nil && t.startable() && !t.phase.job.cancelled && !t.phase.job.state.Final() && t.phase.fits(x.Run)
+		adopt := t != nil && t.startable() && !t.phase.job.cancelled && !t.phase.job.state.Final() && t.phase.acceptsRun(x.Run)
 		if t != nil {
 			t.phase.job.adopted = true
 		}
 		r := p.addRun(w, t, x.Task, x.Run)
-		r.started, r.adopted, r.throttle = true, true, paceUnknown
+		r.started, r.adopted, r.throttle = true, true, throttleUnknown
 		if !adopt {
 			p.stopRun(r)
 			continue
 		}
 		t.checkpoint = x.Checkpoint
-		t.phase.adopt(x.Run)
+		t.phase.adoptRun(x.Run)
 		t.phase.job.updateState()
 	}
 }
@@ -158,7 +158,7 @@
 	r.task.phase.addParallelWait(WaitStart, p.now().Sub(r.since))
 	switch e.Result {
 	case winch.StartTicket:
-		r.task.phase.advice.expire(w)
+		r.task.phase.advice.expireTicket(w)
 	case winch.StartNoRoom, winch.StartRefused, winch.StartUncertain:
 		w.health.quarantine(p.now(), refusedQuarantine)
 		r.task.phase.job.unanswered++
@@ -169,7 +169,7 @@
 func (p *Planner) handleLostRun(r *run) {
 	p.counts.Lost++
 	if r.task != nil {
-		p.gangBroken(r)
+		p.gangMemberFailed(r)
 	}
 }
 
@@ -186,7 +186,7 @@
 func (p *Planner) accountLateCompletions(e proto.KeepEvent) {
 	for _, x := range e.Ended {
 		if t := p.task(x.Task); t != nil && e.Blind > 0 {
-			t.phase.addParallelWait(WaitUnheard, e.Blind)
+			t.phase.addParallelWait(WaitLostResponse, e.Blind)
 		}
 	}
 }
@@ -243,7 +243,7 @@
 		p.counts.Done++
 		w.health.succeeded()
 		if s.spec.Lasting {
-			p.gangBroken(r)
+			p.gangMemberFailed(r)
 			return false
 		}
 		s.recordRunTime(r)
@@ -256,9 +256,9 @@
 			return false
 		}
 		p.failTask(t, e.Run)
-		p.gangBroken(r)
+		p.gangMemberFailed(r)
 	default:
-		p.gangBroken(r)
+		p.gangMemberFailed(r)
 		return false
 	}
 	p.markChanged(j)
@@ -334,6 +334,6 @@
 		}
 		p.clearIfSurvived(r, now)
 	}
-	p.pace(w, now)
-	p.judgeSpeed(w, now)
+	p.throttle(w, now)
+	p.checkProgress(w, now)
 }
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -46,13 +46,13 @@
 	// Policy selects the scheduling mechanisms in use; New sets DefaultPolicy.
 	Policy Policy
 	// Openings limits the advice requests of the next Schedule; New sets no limit.
-	Openings Openings
+	Openings RequestQuota
 
 	jobs map[string]*job
 	// active holds the jobs that have not ended; most jobs in memory have ended.
 	active map[string]*job
 	// ready holds the phases that may have waiting tasks, in the order of the last Schedule.
-	ready []waiting
+	ready []waitingStep
 	// ahead holds the phases for which advice may be requested before their dependencies are done.
 	ahead   []*phase
 	workers map[string]*worker
@@ -80,8 +80,8 @@
 	marks uint64
 	// initialOpenings is Openings at the start of the last Schedule; starving lists the phases
 	// that have waited long for advice and got no request.
-	initialOpenings Openings
-	starving        []waiting
+	initialOpenings RequestQuota
+	starving        []waitingStep
 	// pendingWorkers holds the workers with completions that have not been forgotten yet.
 	pendingWorkers map[*worker]bool
 	// probes holds the workers on which nothing may be started beside a probe; lostBoots holds the
@@ -116,7 +116,7 @@
 	return &Planner{
 		Term: term, Policy: DefaultPolicy(), Clock: time.Now, jobs: make(map[string]*job), active: make(map[string]*job), workers: make(map[string]*worker),
 		queues: make(map[string]*queue), teams: make(map[string]*team), roster: make(map[string]bool),
-		pendingWorkers: make(map[*worker]bool), probes: make(map[*worker]*suspicion), pools: make(map[string]*pool), Openings: unbounded,
+		pendingWorkers: make(map[*worker]bool), probes: make(map[*worker]*suspicion), pools: make(map[string]*pool), Openings: unlimitedQuota,
 	}
 }
 
@@ -136,7 +136,7 @@
 	if q == nil || q.Advice == nil {
 		return 0
 	}
-	return q.Advice.Call + adviceWorkers*q.Advice.Worker
+	return q.Advice.Call + objectiveWorkers*q.Advice.Worker
 }
 
 type team struct {
@@ -144,7 +144,7 @@
 	// used is the capacity of all runs of the team that may exist, including those being stopped.
 	used   winch.Room
 	urgent demand
-	share  shareUse
+	share  shareBucket
 }
 
 // SetConfig applies a configuration.
@@ -152,7 +152,7 @@
 	for _, q := range c.Queues {
 		known := p.queues[q.Name]
 		if known == nil {
-			known = &queue{allowedShare: firstShare}
+			known = &queue{allowedShare: initialAllowedShare}
 			p.queues[q.Name] = known
 		}
 		known.Queue = q
--- a/coord/fleet/fleet_test.go
+++ b/coord/fleet/fleet_test.go
@@ -449,10 +449,10 @@
 	p := New(1)
 	p.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{usualQueue()}, Teams: []winch.RegionTeam{{Name: "choir", Weight: 1}}})
 	at := time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
-	job := func(id string, after time.Duration) Stored {
-		return Stored{Job: &winch.PhasedJob{ID: id, Queue: "mix", Team: "choir", Phases: []winch.Phase{tasks(1, 1000)}, Accepted: at.Add(after)}}
+	job := func(id string, after time.Duration) StoredJob {
+		return StoredJob{Job: &winch.PhasedJob{ID: id, Queue: "mix", Team: "choir", Phases: []winch.Phase{tasks(1, 1000)}, Accepted: at.Add(after)}}
 	}
-	p.AddAll([]Stored{job("c", 2*time.Second), job("b", 100*time.Millisecond), job("a", 0)})
+	p.AddAll([]StoredJob{job("c", 2*time.Second), job("b", 100*time.Millisecond), job("a", 0)})
 	is.Equal(p.jobs["a"].excess, false)
 	is.Equal(p.jobs["b"].excess, true)
 	is.Equal(p.jobs["c"].excess, false)
--- a/coord/fleet/gang.go
+++ b/coord/fleet/gang.go
@@ -4,24 +4,24 @@
 
 // gangStartTimeout bounds how long a gang may be incomplete before its members are stopped.
 // Workers end a member that is alone after three seconds or more.
-const gangWait = 1500 * time.Millisecond
+const gangStartTimeout = 1500 * time.Millisecond
 
 // gangRun is the run that the members of a gang share, with one number and one checkpoint.
 type gangRun struct {
 	number     uint64
 	checkpoint string
 	begun      time.Time
-	ending     bool
+	stopping   bool
 }
 
 // acceptsRun reports whether a run found at a worker can belong to the step: members of a gang
 // share one run, other tasks have runs of their own.
-func (s *phase) fits(number uint64) bool {
-	return !s.spec.Gang || s.gang.number == 0 || s.gang.number == number && !s.gang.ending
+func (s *phase) acceptsRun(number uint64) bool {
+	return !s.spec.Gang || s.gang.number == 0 || s.gang.number == number && !s.gang.stopping
 }
 
 // adoptRun takes over the run of a gang member that an earlier planner started.
-func (s *phase) adopt(number uint64) {
+func (s *phase) adoptRun(number uint64) {
 	if s.spec.Gang && s.gang.number == 0 {
 		s.gang.number = number
 		s.gang.begun = s.job.planner.now()
@@ -30,7 +30,7 @@
 
 // gangMemberFailed handles a member's run that did not end successfully: the gang's run is over,
 // and the remaining members are stopped.
-func (p *Planner) gangBroken(r *run) {
+func (p *Planner) gangMemberFailed(r *run) {
 	if r == nil || r.task == nil || !r.task.phase.spec.Gang {
 		return
 	}
@@ -38,7 +38,7 @@
 	if s.gang.number != r.key.run || s.done > 0 {
 		return
 	}
-	s.gang.ending = true
+	s.gang.stopping = true
 	if s.gang.checkpoint == "" || r.task.checkpoint != "" {
 		s.gang.checkpoint = r.task.checkpoint
 	}
@@ -55,15 +55,15 @@
 	if s.done > 0 {
 		return
 	}
-	if s.gang.ending || s.gang.number == 0 {
+	if s.gang.stopping || s.gang.number == 0 {
 		p.startGang(s, now)
 		return
 	}
 	if s.live == len(s.tasks) {
 		return
 	}
-	if now.Sub(s.gang.begun) > gangWait || s.job.adopted && s.gang.number < p.Term*runsPerTerm {
-		p.endGang(s)
+	if now.Sub(s.gang.begun) > gangStartTimeout || s.job.adopted && s.gang.number < p.Term*runsPerTerm {
+		p.stopGang(s)
 		return
 	}
 	pick := p.newPicker(s, now)
@@ -75,8 +75,8 @@
 }
 
 // stopGang stops a run that cannot be completed.
-func (p *Planner) endGang(s *phase) {
-	s.gang.ending = true
+func (p *Planner) stopGang(s *phase) {
+	s.gang.stopping = true
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
 			p.stopRun(r)
@@ -104,7 +104,7 @@
 			checkpoint = t.checkpoint
 		}
 	}
-	number := p.nextRun()
+	number := p.nextRunNumber()
 	if x.suspected() {
 		number = x.probe
 	}
@@ -116,7 +116,7 @@
 
 // pickGang chooses a worker for each member, or returns nil if not all members fit.
 func (p *Planner) pickGang(s *phase, now time.Time) []*worker {
-	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most) || !s.job.team.allows(s.wantsAtOnce()) {
+	if !s.spec.Charge().Fits(p.pool(s.job.queue.Service).maxFree) || !s.job.team.allows(s.nextStartNeed()) {
 		return nil
 	}
 	pick := p.newPicker(s, now)
@@ -127,7 +127,7 @@
 			return nil
 		}
 		out = append(out, pick.choices[i].w)
-		pick.took(i)
+		pick.assigned(i)
 	}
 	return out
 }
--- a/coord/fleet/job.go
+++ b/coord/fleet/job.go
@@ -189,7 +189,7 @@
 func (p *Planner) enqueueIfReady(s *phase) {
 	if !s.enqueued && s.waiting > 0 && s.job.queue != nil && s.dependenciesDone() {
 		s.enqueued, s.readySince = true, time.Time{}
-		p.ready = append(p.ready, waiting{step: s})
+		p.ready = append(p.ready, waitingStep{step: s})
 	}
 }
 
--- a/coord/fleet/move.go
+++ b/coord/fleet/move.go
@@ -11,8 +11,8 @@
 // be restarted only after the worker's lease had expired: their users would get no service for
 // seconds although the leave was announced. A task is stopped only once other workers have
 // capacity for it, and the advice service's permission where it is needed.
-func (p *Planner) move(now time.Time) {
-	leavingRuns := p.leaving()
+func (p *Planner) moveLasting(now time.Time) {
+	leavingRuns := p.runsToMove()
 	steps := make([]*phase, 0, len(leavingRuns))
 	for s := range leavingRuns {
 		steps = append(steps, s)
@@ -22,25 +22,25 @@
 	})
 	for _, s := range steps {
 		runs := leavingRuns[s]
-		slots := max(0, p.covered(s, now)-s.waiting)
+		slots := max(0, p.ticketedTasks(s, now)-s.waiting)
 		for _, r := range runs[:min(slots, len(runs))] {
 			p.stopRun(r)
 		}
 		if slots < len(runs) {
-			p.advise(s, now, p.rank(s, now), len(runs)-slots)
+			p.requestAdvice(s, now, p.rank(s, now), len(runs)-slots)
 		}
 	}
 }
 
 // runsToMove returns the runs of lasting tasks at workers that are about to leave.
-func (p *Planner) leaving() map[*phase][]*run {
+func (p *Planner) runsToMove() map[*phase][]*run {
 	out := make(map[*phase][]*run)
 	for _, w := range p.workers {
 		if !w.vm.Draining || !w.ready || w.lasting == 0 {
 			continue
 		}
 		for _, r := range w.runs {
-			if r.moves() {
+			if r.movable() {
 				out[r.task.phase] = append(out[r.task.phase], r)
 			}
 		}
@@ -53,7 +53,7 @@
 
 // movable reports whether a run is to continue at another worker. Gangs are not moved, since all
 // members would have to move.
-func (r *run) moves() bool {
+func (r *run) movable() bool {
 	if r.task == nil || r.stopping || !r.started {
 		return false
 	}
--- a/coord/fleet/permit.go
+++ b/coord/fleet/permit.go
@@ -9,26 +9,26 @@
 // advice is what is known about which workers may run a step. Permission does not change; a ticket
 // expires, and ends with the worker's boot.
 type advice struct {
-	allowed []permit // allowed is sorted by worker ID.
-	denied  []*worker
-	asking  bool
-	asked   time.Time // requested is when the last request was sent.
-	retry   time.Time
+	allowed   []permit // allowed is sorted by worker ID.
+	denied    []*worker
+	pending   bool
+	requested time.Time // requested is when the last request was sent.
+	retryAt   time.Time
 }
 
 // permit is the permission to run a step at a worker, with a ticket for a start there.
 type permit struct {
-	worker *worker
-	value  string
-	until  time.Time
+	worker  *worker
+	ticket  string
+	expires time.Time
 }
 
-func (t permit) good(now time.Time) bool {
-	return now.Add(ticketMargin).Before(t.until)
+func (t permit) valid(now time.Time) bool {
+	return now.Add(ticketMargin).Before(t.expires)
 }
 
 // permitFor returns the element of allowed for a worker, or the zero value if there is none.
-func (a *advice) permit(w *worker) permit {
+func (a *advice) permitFor(w *worker) permit {
 	for i := range a.allowed {
 		if a.allowed[i].worker == w {
 			return a.allowed[i]
@@ -41,16 +41,16 @@
 	return slices.Contains(a.denied, w)
 }
 
-func (a *advice) expire(w *worker) {
+func (a *advice) expireTicket(w *worker) {
 	for i := range a.allowed {
 		if a.allowed[i].worker == w {
-			a.allowed[i].until = time.Time{}
+			a.allowed[i].expires = time.Time{}
 		}
 	}
 }
 
 // addPermit adds a permit or replaces the worker's previous one.
-func (a *advice) allow(t permit) {
+func (a *advice) addPermit(t permit) {
 	for i := range a.allowed {
 		if a.allowed[i].worker == t.worker {
 			a.allowed[i] = t
--- a/coord/fleet/pick.go
+++ b/coord/fleet/pick.go
@@ -19,10 +19,10 @@
 
 // choice is a worker that a task may be started at.
 type choice struct {
-	w     *worker
-	left  winch.Room // free is the capacity there that the step may use.
-	tasks int        // maxTasks is the number of further tasks of the step that may run there.
-	score float64
+	w        *worker
+	free     winch.Room // free is the capacity there that the step may use.
+	maxTasks int        // maxTasks is the number of further tasks of the step that may run there.
+	score    float64
 }
 
 // shape is what determines which workers have capacity for a task that needs no advice.
@@ -43,10 +43,10 @@
 }
 
 // maxMisses bounds the number of shapes remembered per service as misses.
-const mostMisses = 16
+const maxMisses = 16
 
 // knownMiss reports whether it is known that no worker has capacity for a task of the step.
-func (p *Planner) missed(s *phase) bool {
+func (p *Planner) knownMiss(s *phase) bool {
 	if s.job.queue.Advice != nil {
 		return false
 	}
@@ -60,37 +60,37 @@
 }
 
 // recordMiss records until the next Schedule that no worker has capacity for a task of the step.
-func (p *Planner) noteMiss(s *phase) {
+func (p *Planner) recordMiss(s *phase) {
 	x := p.pool(s.job.queue.Service)
-	if s.job.queue.Advice == nil && s.spec.MostPerVM == 0 && len(x.misses) < mostMisses {
+	if s.job.queue.Advice == nil && s.spec.MostPerVM == 0 && len(x.misses) < maxMisses {
 		x.misses = append(x.misses, s.shape())
 	}
 }
 
 func (p *Planner) newPicker(s *phase, now time.Time) *picker {
 	k := &picker{planner: p, step: s, charge: s.spec.Charge()}
-	if p.missed(s) {
+	if p.knownMiss(s) {
 		return k
 	}
-	counts := s.perWorker()
-	p.eachCandidate(s, now, func(w *worker) {
-		free := p.openRoom(s, w, now)
-		maxTasks := roomFor(s.spec.MostPerVM, counts[w])
+	counts := s.runsPerWorker()
+	p.eachEligible(s, now, func(w *worker) {
+		free := p.availableCapacity(s, w, now)
+		maxTasks := remainingPerVM(s.spec.MostPerVM, counts[w])
 		if !k.charge.Fits(free) || maxTasks <= 0 {
 			return
 		}
-		k.choices = append(k.choices, choice{w: w, left: free, tasks: maxTasks, score: p.score(s, w, free)})
+		k.choices = append(k.choices, choice{w: w, free: free, maxTasks: maxTasks, score: p.score(s, w, free)})
 	})
 	k.heapify()
 	if len(k.choices) == 0 {
-		p.noteMiss(s)
+		p.recordMiss(s)
 	}
 	return k
 }
 
 // eachEligible calls f for the workers that may run the step now, regardless of their free
 // capacity, in the order of their IDs.
-func (p *Planner) eachCandidate(s *phase, now time.Time, f func(*worker)) {
+func (p *Planner) eachEligible(s *phase, now time.Time, f func(*worker)) {
 	if s.job.queue.Advice == nil {
 		workers := p.pool(s.job.queue.Service).workers
 		p.examined += len(workers)
@@ -104,7 +104,7 @@
 	p.examined += len(s.advice.allowed)
 	for i := range s.advice.allowed {
 		t := &s.advice.allowed[i]
-		if t.good(now) && p.suits(s, t.worker, now) {
+		if t.valid(now) && p.suits(s, t.worker, now) {
 			f(t.worker)
 		}
 	}
@@ -112,7 +112,7 @@
 
 // runsPerWorker counts the runs of the step at each worker, including those being stopped. It
 // returns nil if the step has no limit per worker.
-func (s *phase) perWorker() map[*worker]int {
+func (s *phase) runsPerWorker() map[*worker]int {
 	if s.spec.MostPerVM == 0 {
 		return nil
 	}
@@ -139,39 +139,39 @@
 	if n > 2 && k.before(2, 1) {
 		next = 2
 	}
-	if k.choices[next].score >= k.choices[0].score-avoidCost {
+	if k.choices[next].score >= k.choices[0].score-retryPenalty {
 		return next
 	}
 	return 0
 }
 
 // assigned updates the choices after a task has been given to choice i.
-func (k *picker) took(i int) {
+func (k *picker) assigned(i int) {
 	c := &k.choices[i]
-	c.left = c.left.Sub(k.charge)
-	c.tasks--
-	if k.charge.Fits(c.left) && c.tasks > 0 {
-		c.score = k.planner.score(k.step, c.w, c.left)
-		k.down(i)
-		k.up(i)
+	c.free = c.free.Sub(k.charge)
+	c.maxTasks--
+	if k.charge.Fits(c.free) && c.maxTasks > 0 {
+		c.score = k.planner.score(k.step, c.w, c.free)
+		k.siftDown(i)
+		k.siftUp(i)
 	} else {
-		k.drop(i)
+		k.remove(i)
 	}
 	if k.step.spec.SameRack {
 		for i := range k.choices {
-			k.choices[i].score = k.planner.score(k.step, k.choices[i].w, k.choices[i].left)
+			k.choices[i].score = k.planner.score(k.step, k.choices[i].w, k.choices[i].free)
 		}
 		k.heapify()
 	}
 }
 
-func (k *picker) drop(i int) {
+func (k *picker) remove(i int) {
 	last := len(k.choices) - 1
 	k.choices[i] = k.choices[last]
 	k.choices = k.choices[:last]
 	if i < last {
-		k.down(i)
-		k.up(i)
+		k.siftDown(i)
+		k.siftUp(i)
 	}
 }
 
@@ -183,18 +183,18 @@
 
 func (k *picker) heapify() {
 	for i := len(k.choices)/2 - 1; i >= 0; i-- {
-		k.down(i)
+		k.siftDown(i)
 	}
 }
 
-func (k *picker) up(i int) {
+func (k *picker) siftUp(i int) {
 	for i > 0 && k.before(i, (i-1)/2) {
 		k.choices[i], k.choices[(i-1)/2] = k.choices[(i-1)/2], k.choices[i]
 		i = (i - 1) / 2
 	}
 }
 
-func (k *picker) down(i int) {
+func (k *picker) siftDown(i int) {
 	for {
 		best := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(k.choices); child++ {
@@ -212,7 +212,7 @@
 
 // remainingPerVM returns how many more tasks of a step may run at a worker, given the limit per
 // worker (0 is no limit) and the number of tasks that run there.
-func roomFor(limit, running int) int {
+func remainingPerVM(limit, running int) int {
 	if limit == 0 {
 		return math.MaxInt
 	}
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -17,7 +17,7 @@
 	ticketMargin = 60 * time.Millisecond
 )
 
-func (p *Planner) nextRun() uint64 {
+func (p *Planner) nextRunNumber() uint64 {
 	p.runs++
 	return p.Term*runsPerTerm + p.runs
 }
@@ -33,10 +33,10 @@
 	rankUrgent = iota
 	rankLasting
 	rankUrgentLate // rankUrgentLate is urgent work that will miss its objective.
-	rankUsual
-	rankExcess // rankExcess is work beyond its team's share.
-	rankLate   // rankAbandoned is work so late that its caller no longer waits for it; it still runs.
-	rankHeld   // rankHeld is work that must not start yet.
+	rankNormal
+	rankExcess    // rankExcess is work beyond its team's share.
+	rankAbandoned // rankAbandoned is work so late that its caller no longer waits for it; it still runs.
+	rankHeld      // rankHeld is work that must not start yet.
 )
 
 // A step counts as able to meet its objective if its remaining chain of estimates, multiplied by
@@ -45,8 +45,8 @@
 // objective, so work that has not begun needs that much spare time, while work that has begun is
 // given up only when it can hardly meet its objective.
 const (
-	chanceFresh = 1.2
-	chanceBegun = 0.8
+	newChainFactor   = 1.2
+	begunChainFactor = 0.8
 )
 
 func (p *Planner) rank(s *phase, now time.Time) rank {
@@ -54,53 +54,53 @@
 	objective := s.objective()
 	left := objective.Sub(now).Seconds()
 	slack := left - s.remainingPath.Seconds()
-	deadline := s.limit(objective)
+	deadline := s.callerDeadline(objective)
 	switch {
 	case s.spec.Lasting:
 		return rank{rankLasting, j.rec.Accepted.Sub(now).Seconds()}
 	case p.Policy.LateLast && now.After(deadline):
-		return rank{rankLate, slack}
+		return rank{rankAbandoned, slack}
 	case j.excess:
 		return rank{rankExcess, slack}
-	case p.Policy.Chance && j.urgent() && left < s.chance()*s.remainingPath.Seconds():
+	case p.Policy.Chance && j.urgent() && left < s.chainFactor()*s.remainingPath.Seconds():
 		// In an overload, serving the work closest to its objective first makes all of it late.
 		return rank{rankUrgentLate, slack}
 	case j.urgent():
 		return rank{rankUrgent, slack}
 	case left < s.remainingPath.Seconds()/2 && p.Policy.LastCall:
 		// It can no longer meet its objective, but its caller still waits.
-		return rank{rankUsual, deadline.Sub(now).Seconds() - s.remainingPath.Seconds()}
+		return rank{rankNormal, deadline.Sub(now).Seconds() - s.remainingPath.Seconds()}
 	case left < s.remainingPath.Seconds()/2:
-		return rank{rankUsual, 1e4 + slack}
+		return rank{rankNormal, 1e4 + slack}
 	}
-	return rank{rankUsual, slack}
+	return rank{rankNormal, slack}
 }
 
 // callerDeadline returns when the caller stops waiting for the job, given the objective of the
 // step's run.
-func (s *phase) limit(objective time.Time) time.Time {
+func (s *phase) callerDeadline(objective time.Time) time.Time {
 	begin := s.beginsAt()
 	return begin.Add(winch.LateFactor * objective.Sub(begin))
 }
 
 // chainFactor returns the factor by which the remaining chain is multiplied.
-func (s *phase) chance() float64 {
+func (s *phase) chainFactor() float64 {
 	if s.job.begun {
-		return chanceBegun
+		return begunChainFactor
 	}
-	return chanceFresh
+	return newChainFactor
 }
 
 // maxLooks bounds the workers that one Schedule examines for waiting steps, so that a decision
 // takes a few milliseconds however many steps wait. The next Schedule resumes where the last one
 // stopped; one in resumeDivisor of its looks is reserved for the remaining steps.
 const (
-	mostLooks  = 100_000
-	resumePart = 8
+	maxLooks      = 100_000
+	resumeDivisor = 8
 )
 
 // waitingStep is a step that may have tasks to start, with its rank as of the last Schedule.
-type waiting struct {
+type waitingStep struct {
 	step *phase
 	rank rank
 }
@@ -110,33 +110,33 @@
 func (p *Planner) Schedule() {
 	now := p.now()
 	adopting := p.Adopting()
-	p.clearKept()
+	p.clearReservations()
 	p.planned, p.searched, p.examined, p.initialOpenings = 0, 0, 0, p.Openings
 	p.endLongProbes(now)
 	p.measure(now, adopting)
-	p.tryAll(now)
+	p.startReady(now)
 	if p.Policy.Moves && !adopting && p.LeaseExpiry.IsZero() {
-		p.move(now)
+		p.moveLasting(now)
 	}
-	p.askStarving(now)
+	p.requestForStarving(now)
 	if p.Policy.Ahead && !adopting {
-		p.askAhead(now)
+		p.requestAhead(now)
 	}
 	p.counts.Examined += int64(p.examined)
 }
 
 // startReady starts tasks of the ready steps in order of rank. For those that cannot start yet it
 // requests advice and reserves capacity.
-func (p *Planner) tryAll(now time.Time) {
+func (p *Planner) startReady(now time.Time) {
 	resume := p.resume
 	p.resume = nil
-	limit := mostLooks - mostLooks/resumePart
+	limit := maxLooks - maxLooks/resumeDivisor
 	for _, e := range p.ready {
 		if e.rank.class == rankHeld {
 			break
 		}
 		if e.step == resume {
-			limit, resume = mostLooks, nil
+			limit, resume = maxLooks, nil
 		}
 		if p.examined >= limit {
 			if resume == nil {
@@ -148,16 +148,16 @@
 			}
 			continue // The step at which the last Schedule stopped comes later.
 		}
-		p.place(e.step, now)
+		p.placeStep(e.step, now)
 		p.reserve(e.step, now, e.rank)
-		p.advise(e.step, now, e.rank, 0)
+		p.requestAdvice(e.step, now, e.rank, 0)
 		e.step.accountWait(now, p.waitReason(e.step))
 	}
 }
 
 // sortReady sorts the ready steps by rank, drops those that are no longer ready, and adds waiting
 // tasks to the demand of urgent work.
-func (p *Planner) order(now time.Time, adopting bool) {
+func (p *Planner) sortReady(now time.Time, adopting bool) {
 	kept := p.ready[:0]
 	for _, e := range p.ready {
 		s := e.step
@@ -184,10 +184,10 @@
 	}
 	clear(p.ready[len(kept):])
 	p.ready = kept
-	slices.SortFunc(p.ready, compareWaiting)
+	slices.SortFunc(p.ready, compareWaitingSteps)
 }
 
-func compareWaiting(a, b waiting) int {
+func compareWaitingSteps(a, b waitingStep) int {
 	if a.rank.class != b.rank.class {
 		return cmp.Compare(a.rank.class, b.rank.class)
 	}
@@ -197,12 +197,12 @@
 	return cmp.Or(cmp.Compare(a.step.job.rec.ID, b.step.job.rec.ID), cmp.Compare(a.step.index, b.step.index), cmp.Compare(a.step.repetition, b.step.repetition))
 }
 
-func (p *Planner) place(s *phase, now time.Time) {
+func (p *Planner) placeStep(s *phase, now time.Time) {
 	if s.spec.Gang {
 		p.placeGang(s, now)
 		return
 	}
-	if p.hopeless(s) || s.job.suspects != nil && p.probeSuspects(s, now) {
+	if p.cannotStart(s) || s.job.suspects != nil && p.probeSuspects(s, now) {
 		return
 	}
 	var pick *picker
@@ -221,8 +221,8 @@
 
 // cannotStart reports whether it is known without examining workers that no task of the step can
 // start now.
-func (p *Planner) hopeless(s *phase) bool {
-	return !s.job.team.allows(s.spec.Need) || !p.spare(s) || !s.spec.Charge().Fits(p.pool(s.job.queue.Service).most)
+func (p *Planner) cannotStart(s *phase) bool {
+	return !s.job.team.allows(s.spec.Need) || !p.sparesUrgent(s) || !s.spec.Charge().Fits(p.pool(s.job.queue.Service).maxFree)
 }
 
 // allows reports whether the team's limit allows it more running work.
@@ -237,19 +237,19 @@
 // placeTask starts a task at the picker's best worker and reports whether there was one.
 func (p *Planner) placeTask(t *task, pick *picker, number uint64, checkpoint string) bool {
 	s := t.phase
-	if !s.job.team.allows(s.spec.Need) || !p.spare(s) {
+	if !s.job.team.allows(s.spec.Need) || !p.sparesUrgent(s) {
 		return false
 	}
 	i := pick.best(t.avoidWorker)
 	if i < 0 {
-		p.noteMiss(s)
+		p.recordMiss(s)
 		return false
 	}
 	if number == 0 {
-		number = p.nextRun()
+		number = p.nextRunNumber()
 	}
 	p.start(t, pick.choices[i].w, number, checkpoint)
-	pick.took(i)
+	pick.assigned(i)
 	return true
 }
 
@@ -261,23 +261,23 @@
 	t.phase.job.begun = true
 	p.orders = append(p.orders, proto.Order{
 		Kind: proto.OrderStart, Worker: w.vm.ID, Task: t.id(), Run: number,
-		Checkpoint: checkpoint, Ticket: t.phase.advice.permit(w).value,
+		Checkpoint: checkpoint, Ticket: t.phase.advice.permitFor(w).ticket,
 	})
 }
 
 // sparesUrgent reports whether the step may take what it needs without using capacity reserved for
 // urgent work. Urgent and lasting work always may; other work must leave the reserve free, both of
 // its team's limit and of the capacity of its service's workers.
-func (p *Planner) spare(s *phase) bool {
-	if !p.Policy.UrgentRoom || s.job.quick() || s.spec.Lasting {
+func (p *Planner) sparesUrgent(s *phase) bool {
+	if !p.Policy.UrgentRoom || s.job.inUrgentQueue() || s.spec.Lasting {
 		return true
 	}
 	t := s.job.team
-	if !t.allows(s.spec.Need.Add(t.urgent.reserve(t.Cap, teamPart))) {
+	if !t.allows(s.spec.Need.Add(t.urgent.reserve(t.Cap, maxTeamReserve))) {
 		return false
 	}
 	x := p.pool(s.job.queue.Service)
-	reserved := x.urgent.reserve(x.room, poolPart)
+	reserved := x.urgent.reserve(x.capacity, maxPoolReserve)
 	return s.spec.Fills || reserved == (winch.Room{}) || s.spec.Need.Add(reserved).Fits(x.free)
 }
 
@@ -294,12 +294,12 @@
 // Penalties in a worker's score, in units of the worker's share of free processors (0 to 1).
 const (
 	// retryPenalty keeps a task away from the worker at which it last failed, if there is another.
-	avoidCost = 2.0
+	retryPenalty = 2.0
 	// remotePenalty keeps a task near its data: elsewhere it takes several times as long.
-	farCost = 4.0
+	remotePenalty = 4.0
 	// interferencePenalty keeps filling tasks off workers with serving tasks and vice versa,
 	// because they slow each other down.
-	besideCost = 3.0
+	interferencePenalty = 3.0
 )
 
 // score rates a worker for a task; the highest is best.
@@ -313,19 +313,19 @@
 		score = -float64(capacity.Accelerators) / float64(max(1, w.vm.Room.Accelerators))
 	}
 	if s.spec.Rack != "" && s.spec.Rack != w.vm.Rack {
-		score -= farCost
+		score -= remotePenalty
 	}
-	if s.spec.SameRack && s.rackElsewhere(w.vm.Rack) {
-		score -= farCost
+	if s.spec.SameRack && s.usesOtherRack(w.vm.Rack) {
+		score -= remotePenalty
 	}
 	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.fillMilli > 0 {
-		score -= besideCost
+		score -= interferencePenalty
 	}
 	return score
 }
 
 // usesOtherRack reports whether the step already runs on a rack other than the given one.
-func (s *phase) rackElsewhere(rack string) bool {
+func (s *phase) usesOtherRack(rack string) bool {
 	for _, t := range s.tasks {
 		if r := t.activeRun(); r != nil && r.worker.vm.Rack != rack {
 			return true
--- a/coord/fleet/policy_test.go
+++ b/coord/fleet/policy_test.go
@@ -13,7 +13,7 @@
 )
 
 // acceleratorCell returns a cell of identical workers with eight accelerators each.
-func accelerated(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
+func acceleratorCell(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
 	c := newSimRegion(t, workers, queues...)
 	for _, w := range c.planner.workers {
 		w.vm.Room = winch.Room{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}
@@ -22,13 +22,13 @@
 }
 
 // acceleratorPhase returns a phase of tasks with the given accelerator need and estimate.
-func accelerators(count, each int, estimate time.Duration) winch.Phase {
+func acceleratorPhase(count, each int, estimate time.Duration) winch.Phase {
 	return winch.Phase{Count: count, Need: winch.Room{Milli: 11_000, Memory: gigabyte, Accelerators: each}, Estimate: estimate}
 }
 
 // runUntil ends runs according to their estimates and schedules every 50 ms, until the time limit
 // or until done returns true. It calls each before each decision.
-func (c *simRegion) playUntil(limit time.Duration, each func(at time.Duration), done func() bool) time.Duration {
+func (c *simRegion) runUntil(limit time.Duration, each func(at time.Duration), done func() bool) time.Duration {
 	begin := time.Now()
 	for time.Since(begin) < limit && !done() {
 		each(time.Since(begin))
@@ -54,7 +54,7 @@
 // Guards against a job that has missed its objective being ranked behind all jobs that can still
 // meet theirs, so that its caller waits in vain. It happens when a quarter more work arrives than
 // the worker can do.
-func TestJobBeyondItsObjectiveRunsWhileItsCallerWaits(t *testing.T) {
+func TestJobThatMissedItsObjectiveRunsWhileItsCallerWaits(t *testing.T) {
 	for _, lastCall := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -68,11 +68,11 @@
 					c.add(fmt.Sprintf("j%03d", n), "mix", "duct", tasks(1, 8000))
 				}
 			}
-			c.playUntil(5*time.Second, arrive, never)
+			c.runUntil(5*time.Second, arrive, never)
 			c.add("held", "mix", "choir", tasks(1, 8000))
 			c.planner.jobs["held"].rec.Accepted = time.Now().Add(-3100 * time.Millisecond)
 			objective := 3400 * time.Millisecond
-			took := c.playUntil(20*time.Second, arrive, c.begun("held"))
+			took := c.runUntil(20*time.Second, arrive, c.begun("held"))
 			is.Equal(took+3100*time.Millisecond < winch.LateFactor*objective-time.Second, lastCall)
 		})
 	}
@@ -80,15 +80,15 @@
 
 // Guards against small tasks being spread over all workers, which leaves no whole worker for a
 // gang that needs all accelerators of two.
-func TestSmallTasksLeaveWholeWorkersToGangs(t *testing.T) {
+func TestSmallTasksLeaveWholeWorkersForGangs(t *testing.T) {
 	for _, pack := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := accelerated(t, 4, usualQueue())
+			c := acceleratorCell(t, 4, usualQueue())
 			c.planner.Policy.PackAccelerators = pack
-			c.add("a", "mix", "choir", accelerators(9, 1, 2*time.Second))
+			c.add("a", "mix", "choir", acceleratorPhase(9, 1, 2*time.Second))
 			is.Equal(len(c.schedule()), 9)
-			gang := accelerators(2, 8, 4*time.Second)
+			gang := acceleratorPhase(2, 8, 4*time.Second)
 			gang.Gang = true
 			c.add("b", "mix", "choir", gang)
 			is.Equal(len(c.schedule()) == 2, pack)
@@ -98,25 +98,25 @@
 
 // Guards against starvation of a gang that needs a whole worker: small tasks overtake it, each
 // taking an accelerator that has just become free.
-func TestSmallTasksDoNotOvertakeAGangForEver(t *testing.T) {
+func TestSmallTasksDoNotStarveGang(t *testing.T) {
 	for _, reserve := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := accelerated(t, 2, usualQueue())
+			c := acceleratorCell(t, 2, usualQueue())
 			c.planner.Policy.Reserve = reserve
 			n := 0
 			begin := time.Now()
 			small := func(time.Duration) {
 				for ; time.Duration(n)*150*time.Millisecond <= time.Since(begin); n++ { // 13 of 16 accelerators.
-					c.add(fmt.Sprintf("s%03d", n), "mix", "choir", accelerators(1, 1, 2*time.Second))
+					c.add(fmt.Sprintf("s%03d", n), "mix", "choir", acceleratorPhase(1, 1, 2*time.Second))
 				}
 			}
 			c.planner.Policy.PackAccelerators = false
-			c.playUntil(3*time.Second, small, never)
-			gang := accelerators(1, 8, 4*time.Second)
+			c.runUntil(3*time.Second, small, never)
+			gang := acceleratorPhase(1, 8, 4*time.Second)
 			gang.Gang = true
 			c.add("g", "mix", "choir", gang)
-			took := c.playUntil(30*time.Second, small, c.begun("g"))
+			took := c.runUntil(30*time.Second, small, c.begun("g"))
 			is.Equal(took <= 1200*time.Millisecond+8800*time.Millisecond, reserve) // The gang's objective.
 		})
 	}
@@ -124,19 +124,19 @@
 
 // Guards against capacity reserved for a gang staying idle until the gang's last worker is free,
 // although short tasks could use it in the meantime.
-func TestShortTasksUseRoomThatIsKept(t *testing.T) {
+func TestShortTasksUseReservedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := accelerated(t, 1, usualQueue())
-		c.add("a", "mix", "choir", accelerators(4, 1, 10*time.Second))
+		c := acceleratorCell(t, 1, usualQueue())
+		c.add("a", "mix", "choir", acceleratorPhase(4, 1, 10*time.Second))
 		is.Equal(len(c.schedule()), 4)
-		gang := accelerators(1, 8, time.Second)
+		gang := acceleratorPhase(1, 8, time.Second)
 		gang.Gang = true
 		c.add("gang", "mix", "choir", gang)
 		is.Equal(len(c.schedule()), 0)
-		c.add("long", "mix", "choir", accelerators(1, 1, 11*time.Second))
+		c.add("long", "mix", "choir", acceleratorPhase(1, 1, 11*time.Second))
 		is.Equal(len(c.schedule()), 0)
-		c.add("short", "mix", "choir", accelerators(1, 1, 2*time.Second))
+		c.add("short", "mix", "choir", acceleratorPhase(1, 1, 2*time.Second))
 		is.Equal(len(c.schedule()), 1)
 	})
 }
@@ -144,18 +144,18 @@
 // Guards against requests that name only the few workers with free capacity, each time other ones:
 // a step that is allowed at three workers of thirteen would send request after request, although
 // most of a request's cost does not depend on the number of workers.
-func TestFirstQuestionNamesAllWorkersOfASmallService(t *testing.T) {
+func TestFirstRequestNamesAllWorkersOfSmallService(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			queue := usualQueue()
-			c := accelerated(t, 13, queue)
+			c := acceleratorCell(t, 13, queue)
 			c.planner.Policy.AskAll = all
-			c.add("a", "mix", "choir", accelerators(11, 8, 4*time.Second))
+			c.add("a", "mix", "choir", acceleratorPhase(11, 8, 4*time.Second))
 			is.Equal(len(c.schedule()), 11)
 			queue.Advice = &winch.AdviceCost{Call: 430 * time.Millisecond, Worker: 6 * time.Millisecond, Valid: 2 * time.Second}
 			c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{queue}, Teams: []winch.RegionTeam{{Name: "choir"}}})
-			c.add("b", "mix", "choir", accelerators(1, 8, time.Second))
+			c.add("b", "mix", "choir", acceleratorPhase(1, 8, time.Second))
 			c.schedule()
 			requests := c.planner.AdviceRequests()
 			is.Equal(len(requests), 1)
@@ -166,7 +166,7 @@
 
 // Guards against long requests where each worker adds much to the cost: a first request must then
 // name only the minimum number of workers.
-func TestDearQuestionNamesFewWorkers(t *testing.T) {
+func TestExpensiveRequestNamesFewWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		queue := usualQueue()
@@ -176,30 +176,30 @@
 		c.schedule()
 		requests := c.planner.AdviceRequests()
 		is.Equal(len(requests), 1)
-		is.Equal(len(requests[0].Workers), askLeast)
+		is.Equal(len(requests[0].Workers), minRequestWorkers)
 	})
 }
 
 // A ticket ages while a gang waits for capacity. The next request must be sent in time for the
 // response to arrive when the capacity becomes free, and must name only workers that allow the
 // gang.
-func TestTicketIsRenewedForTheTimeOfTheRoom(t *testing.T) {
+func TestTicketIsRenewedBeforeCapacityIsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		queue := usualQueue()
-		c := accelerated(t, 4, queue)
-		c.add("a", "mix", "choir", accelerators(4, 8, 5*time.Second))
+		c := acceleratorCell(t, 4, queue)
+		c.add("a", "mix", "choir", acceleratorPhase(4, 8, 5*time.Second))
 		is.Equal(len(c.schedule()), 4)
 		queue.Advice = &winch.AdviceCost{Call: 400 * time.Millisecond, Worker: time.Millisecond, Valid: 2 * time.Second}
 		c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{queue}, Teams: []winch.RegionTeam{{Name: "choir"}}})
-		gang := accelerators(1, 8, time.Second)
+		gang := acceleratorPhase(1, 8, time.Second)
 		gang.Gang = true
 		c.add("g", "mix", "choir", gang)
 		var requested []time.Duration
 		var pending []AdviceRequest
-		took := c.playUntil(8*time.Second, func(at time.Duration) {
+		took := c.runUntil(8*time.Second, func(at time.Duration) {
 			for _, a := range pending {
-				c.planner.Advice(a, []winch.Ticket{{Worker: "w1", Value: "t"}}, 2*time.Second, time.Now())
+				c.planner.AdviceReceived(a, []winch.Ticket{{Worker: "w1", Value: "t"}}, 2*time.Second, time.Now())
 			}
 			pending = c.planner.AdviceRequests()
 			for range pending {
@@ -214,7 +214,7 @@
 
 // Guards against a burst of urgent work at one service reserving capacity of another service,
 // which it cannot use.
-func TestUrgentWorkOfAnotherServiceKeepsNoRoomFree(t *testing.T) {
+func TestUrgentWorkReservesNoCapacityOfOtherServices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		optics := winch.Queue{Name: "scan", Service: "optics", Priority: 2, Attempts: 2, Target: time.Second, Stretch: 2}
@@ -229,17 +229,17 @@
 }
 
 // The record of a job's completion must say for how long its tasks waited for which reason.
-func TestEndingTellsWhatTheTimeWentInto(t *testing.T) {
+func TestCompletionRecordsWaitingTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 16000))
 		c.add("b", "mix", "choir", tasks(1, 16000))
-		c.playUntil(5*time.Second, func(time.Duration) {}, func() bool { return c.state("b") == winch.JobDone })
+		c.runUntil(5*time.Second, func(time.Duration) {}, func() bool { return c.state("b") == winch.JobDone })
 		endings := c.planner.JobSummaries()
 		is.Equal(len(endings), 2)
-		is.Equal(endings[0].Waited[WaitRoom], time.Duration(0))
-		is.True(endings[1].Waited[WaitRoom] >= time.Second)
+		is.Equal(endings[0].Waited[WaitCapacity], time.Duration(0))
+		is.True(endings[1].Waited[WaitCapacity] >= time.Second)
 		is.True(endings[1].Took >= 2*time.Second)
 		is.Equal(len(c.planner.JobSummaries()), 0)
 	})
--- a/coord/fleet/probe.go
+++ b/coord/fleet/probe.go
@@ -132,7 +132,7 @@
 		if x.probe != 0 {
 			p.assumeCrash(x)
 		}
-		x.probe = p.nextRun()
+		x.probe = p.nextRunNumber()
 		j.awaited = true
 		p.markChanged(j)
 		x.chosenAt, x.searchedSince = j.changes, time.Time{}
@@ -185,9 +185,9 @@
 	}
 	var best *worker
 	lowest := 0
-	counts := s.perWorker()
-	p.eachCandidate(s, now, func(w *worker) {
-		if !s.spec.Charge().Fits(p.openRoom(s, w, now)) || roomFor(s.spec.MostPerVM, counts[w]) <= 0 {
+	counts := s.runsPerWorker()
+	p.eachEligible(s, now, func(w *worker) {
+		if !s.spec.Charge().Fits(p.availableCapacity(s, w, now)) || remainingPerVM(s.spec.MostPerVM, counts[w]) <= 0 {
 			return
 		}
 		if cost := s.crashCost(w, now); best == nil || cost < lowest {
--- a/coord/fleet/reserve.go
+++ b/coord/fleet/reserve.go
@@ -11,23 +11,23 @@
 const (
 	// largeFraction is the fraction of a worker's capacity from which a task counts as large: at
 	// most one more task of its kind fits beside it.
-	largePart = 0.5
+	largeFraction = 0.5
 	// slotsTTL is how long computed slots and expected releases are reused.
-	replanTime = 20 * time.Millisecond
+	slotsTTL = 20 * time.Millisecond
 	// maxPlannedSteps bounds the steps with reserved slots in one Schedule, maxSearchedSteps those
 	// whose slots are computed anew.
-	mostPlanned  = 64
-	mostSearched = 6
+	maxPlannedSteps  = 64
+	maxSearchedSteps = 6
 	// expectedStopTime is how long a run that is being stopped is expected to hold its capacity.
-	stopSoon = 300 * time.Millisecond
+	expectedStopTime = 300 * time.Millisecond
 	// minRemainingTime is the minimum time that a run is expected to take from now.
-	leastLeft = 50 * time.Millisecond
+	minRemainingTime = 50 * time.Millisecond
 )
 
 // reservation is capacity of a worker that is reserved for waiting steps.
 type reservation struct {
-	room winch.Room
-	from time.Time // from is when the first of the steps is expected to use it.
+	capacity winch.Room
+	from     time.Time // from is when the first of the steps is expected to use it.
 }
 
 // slot is space for one task of a step at a worker.
@@ -41,29 +41,29 @@
 // the step would wait for as long as small tasks keep arriving. Tasks that end before the step is
 // expected to start may still use the capacity.
 func (p *Planner) reserve(s *phase, now time.Time, r rank) {
-	if !p.Policy.Reserve || p.planned >= mostPlanned || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.wantsAtOnce()) || !p.spare(s) {
+	if !p.Policy.Reserve || p.planned >= maxPlannedSteps || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.nextStartNeed()) || !p.sparesUrgent(s) {
 		s.slots = nil
 		return
 	}
 	p.planned++
 	p.findSlots(s, now)
 	if len(s.slots) > 0 && (s.spec.Gang || s.large(s.slots[0].w)) {
-		p.keepRoom(s, now)
+		p.reserveSlots(s, now)
 	}
 }
 
 // findSlots finds slots for all waiting tasks of a step; a gang takes all or none.
 func (p *Planner) findSlots(s *phase, now time.Time) {
 	wants := s.waiting
-	if s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
+	if s.spec.Gang && (s.gang.stopping || s.gang.number == 0) {
 		wants = len(s.tasks)
 	}
-	if now.Sub(s.slotsFoundAt) < replanTime && len(s.slots) == wants {
+	if now.Sub(s.slotsFoundAt) < slotsTTL && len(s.slots) == wants {
 		return
 	}
-	if p.searched < mostSearched {
+	if p.searched < maxSearchedSteps {
 		p.searched++
-		s.slotsFoundAt, s.slots = now, p.slots(s, now, wants)
+		s.slotsFoundAt, s.slots = now, p.earliestSlots(s, now, wants)
 	}
 	if s.spec.Gang && len(s.slots) < wants {
 		s.slots = nil
@@ -73,9 +73,9 @@
 
 // reserveSlots reserves the capacity of a step's slots against the steps ranked after it, from
 // when the last slot is expected to be free and the step to have its tickets.
-func (p *Planner) keepRoom(s *phase, now time.Time) {
+func (p *Planner) reserveSlots(s *phase, now time.Time) {
 	from := s.slots[len(s.slots)-1].at
-	if response := s.advice.answerBy(s.job.queue, now); from.Before(response) {
+	if response := s.advice.responseExpected(s.job.queue, now); from.Before(response) {
 		from = response
 	}
 	for _, x := range s.slots {
@@ -86,12 +86,12 @@
 		if reserved.from.IsZero() || from.Before(reserved.from) {
 			reserved.from = from
 		}
-		reserved.room = reserved.room.Add(s.spec.Charge())
+		reserved.capacity = reserved.capacity.Add(s.spec.Charge())
 	}
 }
 
 // clearReservations drops the reservations of the last Schedule.
-func (p *Planner) clearKept() {
+func (p *Planner) clearReservations() {
 	for _, w := range p.reservedWorkers {
 		w.reserved = reservation{}
 	}
@@ -102,19 +102,19 @@
 // large reports whether a task of the step takes a large part of a worker.
 func (s *phase) large(w *worker) bool {
 	need, capacity := s.spec.Charge(), w.vm.Room
-	return float64(need.Milli) >= largePart*float64(capacity.Milli) ||
-		float64(need.Memory) >= largePart*float64(capacity.Memory) ||
-		need.Accelerators > 0 && float64(need.Accelerators) >= largePart*float64(capacity.Accelerators)
+	return float64(need.Milli) >= largeFraction*float64(capacity.Milli) ||
+		float64(need.Memory) >= largeFraction*float64(capacity.Memory) ||
+		need.Accelerators > 0 && float64(need.Accelerators) >= largeFraction*float64(capacity.Accelerators)
 }
 
 // earliestSlots returns a slot for each of at most limit tasks of the step, at workers where it is
 // known to be allowed, those that become free earliest first.
-func (p *Planner) slots(s *phase, now time.Time, limit int) []slot {
-	out := topK[slot]{most: limit, before: earlier}
-	counts := s.perWorker()
+func (p *Planner) earliestSlots(s *phase, now time.Time, limit int) []slot {
+	out := topK[slot]{limit: limit, before: earlierSlot}
+	counts := s.runsPerWorker()
 	add := func(w *worker) {
 		if p.suits(s, w, now) {
-			s.slotsAt(&out, w, now, roomFor(s.spec.MostPerVM, counts[w]))
+			s.addSlots(&out, w, now, remainingPerVM(s.spec.MostPerVM, counts[w]))
 		}
 	}
 	if s.job.queue.Advice == nil {
@@ -129,17 +129,17 @@
 			add(s.advice.allowed[i].worker)
 		}
 	}
-	return out.list
+	return out.values
 }
 
 // earlierSlot reports whether slot a becomes free before slot b.
-func earlier(a, b slot) bool {
+func earlierSlot(a, b slot) bool {
 	return a.at.Before(b.at) || a.at.Equal(b.at) && a.w.index < b.w.index
 }
 
 // addSlots adds the slots at one worker, at most the given number.
-func (s *phase) slotsAt(out *topK[slot], w *worker, now time.Time, limit int) {
-	free := w.free().Sub(w.reserved.room)
+func (s *phase) addSlots(out *topK[slot], w *worker, now time.Time, limit int) {
+	free := w.free().Sub(w.reserved.capacity)
 	n := 0
 	add := func(at time.Time) {
 		for fits := s.fitInto(free, limit); n < fits; n++ {
@@ -147,33 +147,33 @@
 		}
 	}
 	add(now)
-	for _, release := range w.expected(now) {
-		free = free.Add(release.room)
-		add(later(release.at, now.Add(leastLeft)))
+	for _, release := range w.expectedReleases(now) {
+		free = free.Add(release.capacity)
+		add(later(release.at, now.Add(minRemainingTime)))
 	}
 }
 
 // expectedRelease is capacity that is expected to become free.
-type expectedEnd struct {
-	at   time.Time
-	room winch.Room
+type expectedRelease struct {
+	at       time.Time
+	capacity winch.Room
 }
 
 // expectedReleases returns the capacity that is likely to become free at the worker, with the
 // times, the earliest first. The list is computed anew when the worker's runs have changed or
 // after slotsTTL.
-func (w *worker) expected(now time.Time) []expectedEnd {
-	if w.expectedOf == w.changes && now.Sub(w.expectedAt) < replanTime {
+func (w *worker) expectedReleases(now time.Time) []expectedRelease {
+	if w.expectedOf == w.changes && now.Sub(w.expectedAt) < slotsTTL {
 		return w.expectedEnds
 	}
 	out := w.expectedEnds[:0]
 	for _, r := range w.runs {
-		if at, ok := r.expectedEnd(now); ok {
-			out = append(out, expectedEnd{at, r.charge})
+		if at, ok := r.expectedCompletion(now); ok {
+			out = append(out, expectedRelease{at, r.charge})
 		}
 	}
-	slices.SortFunc(out, func(a, b expectedEnd) int {
-		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.room.Milli, b.room.Milli), cmp.Compare(a.room.Accelerators, b.room.Accelerators))
+	slices.SortFunc(out, func(a, b expectedRelease) int {
+		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.capacity.Milli, b.capacity.Milli), cmp.Compare(a.capacity.Accelerators, b.capacity.Accelerators))
 	})
 	w.expectedEnds, w.expectedOf, w.expectedAt = out, w.changes, now
 	return out
@@ -182,11 +182,11 @@
 // expectedCompletion returns when a run is expected to end: extrapolated from its progress if it
 // has reported any, otherwise from its estimate. Runs of lasting tasks and of unknown jobs are not
 // expected to end.
-func (r *run) expectedEnd(now time.Time) (time.Time, bool) {
-	earliest := now.Add(leastLeft)
+func (r *run) expectedCompletion(now time.Time) (time.Time, bool) {
+	earliest := now.Add(minRemainingTime)
 	switch {
 	case r.stopping:
-		return later(r.workedUntil.Add(stopSoon), earliest), true
+		return later(r.workedUntil.Add(expectedStopTime), earliest), true
 	case r.task == nil || r.task.phase.spec.Lasting:
 		return time.Time{}, false
 	}
@@ -198,25 +198,25 @@
 }
 
 // availableCapacity returns the capacity of a worker that a step may use now.
-func (p *Planner) openRoom(s *phase, w *worker, now time.Time) winch.Room {
+func (p *Planner) availableCapacity(s *phase, w *worker, now time.Time) winch.Room {
 	free := w.free()
 	if w.reserved.from.IsZero() || now.Add(s.spec.Estimate).Before(w.reserved.from) {
 		return free
 	}
-	return free.Sub(w.reserved.room)
+	return free.Sub(w.reserved.capacity)
 }
 
 // responseExpected returns when the response to an advice request about the step is expected, or
 // the zero time if the step needs none now.
-func (a *advice) answerBy(q *queue, now time.Time) time.Time {
+func (a *advice) responseExpected(q *queue, now time.Time) time.Time {
 	if q.Advice == nil {
 		return time.Time{}
 	}
-	if slices.ContainsFunc(a.allowed, func(t permit) bool { return t.good(now) }) {
+	if slices.ContainsFunc(a.allowed, func(t permit) bool { return t.valid(now) }) {
 		return time.Time{}
 	}
-	if a.asking {
-		return a.asked.Add(q.turnaround)
+	if a.pending {
+		return a.requested.Add(q.turnaround)
 	}
 	return now.Add(q.turnaround)
 }
--- a/coord/fleet/slow.go
+++ b/coord/fleet/slow.go
@@ -7,35 +7,35 @@
 
 const (
 	// noProgressTimeout is how long a run may report no progress until it counts as stuck.
-	stillTime = time.Second
+	noProgressTimeout = time.Second
 	// slowFactor is how many times slower than its siblings a run may be.
 	slowFactor = 3.0
 	// minRateTime is the minimum time over which a run's rate of progress is measured.
-	judgeAfter = 700 * time.Millisecond
+	minRateTime = 700 * time.Millisecond
 	// restartCost is what a restart costs in addition to the work: the stop and a new ticket.
-	restartTime = time.Second
+	restartCost = time.Second
 	// maxRestarts bounds how often one task is restarted because it was slow.
-	mostRestarts = 2
+	maxRestarts = 2
 	// medianRateTTL is how long the median rate of a step's tasks is reused; minRates is the
 	// number of tasks whose rates must be known.
-	usualTime  = 200 * time.Millisecond
-	leastRates = 3
+	medianRateTTL = 200 * time.Millisecond
+	minRates      = 3
 	// slowQuarantine is how long a worker with slow or stuck runs gets no new work; the runs there
 	// are still checked.
-	slowRest = 2 * time.Second
+	slowQuarantine = 2 * time.Second
 )
 
 // checkProgress checks the progress of the runs at a worker. If at least half of those with a
 // known rate are stuck or much slower than the other tasks of their steps, the worker gets no new
 // work for a while, and tasks that would end sooner elsewhere are restarted there.
-func (p *Planner) judgeSpeed(w *worker, now time.Time) {
+func (p *Planner) checkProgress(w *worker, now time.Time) {
 	if !p.Policy.Restart {
 		return
 	}
 	rated := 0
 	var slow []*run
 	for _, r := range w.runs {
-		known, isSlow := r.slow(now)
+		known, isSlow := r.isSlow(now)
 		if known {
 			rated++
 		}
@@ -46,7 +46,7 @@
 	if len(slow) == 0 || 2*len(slow) < rated {
 		return
 	}
-	w.health.quarantine(now, slowRest)
+	w.health.quarantine(now, slowQuarantine)
 	slices.SortFunc(slow, func(a, b *run) int { return a.since.Compare(b.since) })
 	for _, r := range slow {
 		p.restart(r, now)
@@ -55,15 +55,15 @@
 
 // isSlow reports whether a run's rate of progress is known, and whether it is stuck or much slower
 // than the other tasks of its step.
-func (r *run) slow(now time.Time) (known, slow bool) {
-	if r.task == nil || !r.started || r.stopping || r.task.phase.spec.Lasting || r.fills() || now.Sub(r.since) < judgeAfter {
+func (r *run) isSlow(now time.Time) (known, slow bool) {
+	if r.task == nil || !r.started || r.stopping || r.task.phase.spec.Lasting || r.isFilling() || now.Sub(r.since) < minRateTime {
 		return false, false
 	}
-	if now.Sub(r.progressedAt) >= stillTime {
+	if now.Sub(r.progressedAt) >= noProgressTimeout {
 		return true, true
 	}
 	rate, ok := r.rate(now)
-	median, enough := r.task.phase.usualRate(now)
+	median, enough := r.task.phase.cachedMedianRate(now)
 	if !ok || !enough {
 		return ok, false
 	}
@@ -73,7 +73,7 @@
 // rate returns the progress of a run in percent per second, and whether it is known.
 func (r *run) rate(now time.Time) (float64, bool) {
 	elapsed := now.Sub(r.baseAt)
-	if r.baseAt.IsZero() || elapsed < judgeAfter {
+	if r.baseAt.IsZero() || elapsed < minRateTime {
 		return 0, false
 	}
 	return (r.percent - r.basePercent) / elapsed.Seconds(), true
@@ -81,12 +81,12 @@
 
 // cachedMedianRate returns the median rate of a step's tasks, including those that have ended, and
 // whether enough rates are known. The rate is recomputed after medianRateTTL.
-func (s *phase) usualRate(now time.Time) (float64, bool) {
-	if s.cachedRateAt.IsZero() || now.Sub(s.cachedRateAt) >= usualTime {
+func (s *phase) cachedMedianRate(now time.Time) (float64, bool) {
+	if s.cachedRateAt.IsZero() || now.Sub(s.cachedRateAt) >= medianRateTTL {
 		s.cachedRate, s.cachedRateSamples = s.medianRate(now)
 		s.cachedRateAt = now
 	}
-	return s.cachedRate, s.cachedRateSamples >= leastRates
+	return s.cachedRate, s.cachedRateSamples >= minRates
 }
 
 // medianRate returns the median rate and the number of rates it is computed from.
@@ -117,7 +117,7 @@
 	if r.probe != nil {
 		return // Each start of a suspect may cost a worker.
 	}
-	if s.spec.Gang && len(s.tasks) > 1 || t.restarts >= mostRestarts || s.job.cancelled || s.job.state.Final() || s.job.queue == nil {
+	if s.spec.Gang && len(s.tasks) > 1 || t.restarts >= maxRestarts || s.job.cancelled || s.job.state.Final() || s.job.queue == nil {
 		return
 	}
 	rerun := s.spec.Estimate
@@ -127,10 +127,10 @@
 	if s.spec.Checkpoints {
 		rerun = time.Duration(float64(rerun) * (100 - r.percent) / 100)
 	}
-	if rate, ok := r.rate(now); ok && rate > 0 && (100-r.percent)/rate < (rerun+restartTime).Seconds() {
+	if rate, ok := r.rate(now); ok && rate > 0 && (100-r.percent)/rate < (rerun+restartCost).Seconds() {
 		return
 	}
-	if !p.elsewhere(s, r.worker, now) {
+	if !p.fitsElsewhere(s, r.worker, now) {
 		return
 	}
 	t.restarts++
@@ -141,10 +141,10 @@
 
 // fitsElsewhere reports whether another worker, at which the step is known to be allowed, has
 // capacity for a task of it.
-func (p *Planner) elsewhere(s *phase, except *worker, now time.Time) bool {
-	counts := s.perWorker()
+func (p *Planner) fitsElsewhere(s *phase, except *worker, now time.Time) bool {
+	counts := s.runsPerWorker()
 	fits := func(w *worker) bool {
-		return w != except && p.suits(s, w, now) && s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w])) > 0
+		return w != except && p.suits(s, w, now) && s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w])) > 0
 	}
 	if s.job.queue.Advice != nil {
 		return slices.ContainsFunc(s.advice.allowed, func(t permit) bool { return fits(t.worker) })
--- a/coord/fleet/slow_test.go
+++ b/coord/fleet/slow_test.go
@@ -14,7 +14,7 @@
 // reportProgress makes each worker send the progress of its runs every half a second for the given
 // time, at the given rate in percent per second. It schedules after each update and returns the
 // starts.
-func (c *simRegion) report(length time.Duration, rate func(worker string) float64) []proto.Order {
+func (c *simRegion) reportProgress(length time.Duration, rate func(worker string) float64) []proto.Order {
 	var starts []proto.Order
 	done := make(map[runKey]float64)
 	for begin := time.Now(); time.Since(begin) < length; {
@@ -43,14 +43,14 @@
 
 // Guards against a job that never ends because tasks on one worker are stuck. The worker's
 // responses are fine, so nothing else would end the tasks.
-func TestTaskThatStandsStillIsStartedElsewhere(t *testing.T) {
+func TestStuckTaskIsRestartedElsewhere(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			c := newSimRegion(t, 4, usualQueue())
 			c.planner.Policy.Restart = on
 			stuck := startOnTwo(c, 4*time.Second)
-			starts := c.report(3*time.Second, func(worker string) float64 {
+			starts := c.reportProgress(3*time.Second, func(worker string) float64 {
 				if worker == stuck {
 					return 0
 				}
@@ -65,12 +65,12 @@
 }
 
 // Guards against a step waiting for a worker that has become slow while other workers are idle.
-func TestTaskOfASlowWorkerIsStartedElsewhere(t *testing.T) {
+func TestTaskOfSlowWorkerIsRestartedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 4, usualQueue())
 		slow := startOnTwo(c, 10*time.Second)
-		starts := c.report(3*time.Second, func(worker string) float64 {
+		starts := c.reportProgress(3*time.Second, func(worker string) float64 {
 			if worker == slow {
 				return 2
 			}
@@ -85,34 +85,34 @@
 
 // Estimates may be wrong by a factor of several; that alone must not count as a sign of a slow
 // worker.
-func TestTasksThatAreLongerThanTheirEstimateStay(t *testing.T) {
+func TestTasksLongerThanTheirEstimateAreNotRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 4, usualQueue())
 		startOnTwo(c, time.Second)
-		is.Equal(len(c.report(6*time.Second, func(string) float64 { return 10 })), 0)
+		is.Equal(len(c.reportProgress(6*time.Second, func(string) float64 { return 10 })), 0)
 	})
 }
 
 // Guards against tasks that are stuck at every worker being stopped and restarted forever.
-func TestTaskThatStandsStillEverywhereIsLeftAfterAWhile(t *testing.T) {
+func TestRestartsOfStuckTaskAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 8, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		c.schedule()
-		is.True(len(c.report(40*time.Second, func(string) float64 { return 0 })) <= mostRestarts)
+		is.True(len(c.reportProgress(40*time.Second, func(string) float64 { return 0 })) <= maxRestarts)
 	})
 }
 
 // If no other worker has free capacity, a slow task must stay where it is.
-func TestSlowTaskStaysWhereNoOtherWorkerHasRoom(t *testing.T) {
+func TestSlowTaskStaysWithoutCapacityElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		c.schedule()
-		is.Equal(len(c.report(5*time.Second, func(string) float64 { return 0 })), 0)
+		is.Equal(len(c.reportProgress(5*time.Second, func(string) float64 { return 0 })), 0)
 		is.Equal(len(c.running), 1)
 	})
 }
--- a/coord/fleet/throttle_test.go
+++ b/coord/fleet/throttle_test.go
@@ -15,7 +15,7 @@
 // because a serving task beside it nears its target, and is then killed. A new planner that
 // assumed full speed would see no reason to change it and never send the worker a throttle
 // percentage.
-func TestFillingTaskThatAnEarlierPlannerSlowedGoesOn(t *testing.T) {
+func TestFillingTaskThrottledByEarlierPlannerContinues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fill := tasks(1, 1000)
--- a/coord/fleet/topk.go
+++ b/coord/fleet/topk.go
@@ -4,23 +4,23 @@
 
 // topK keeps the best of the values added, sorted, up to a limit.
 type topK[T any] struct {
-	most   int
+	limit  int
 	before func(a, b T) bool
-	list   []T
+	values []T
 }
 
 // add adds a value. Among equal values, the one added first comes first.
 func (k *topK[T]) add(x T) {
-	n := len(k.list)
-	if n == k.most {
-		if n == 0 || !k.before(x, k.list[n-1]) {
+	n := len(k.values)
+	if n == k.limit {
+		if n == 0 || !k.before(x, k.values[n-1]) {
 			return
 		}
 		n--
-		k.list = k.list[:n]
+		k.values = k.values[:n]
 	}
-	i := sort.Search(n, func(i int) bool { return k.before(x, k.list[i]) })
-	k.list = append(k.list, x)
-	copy(k.list[i+1:], k.list[i:n])
-	k.list[i] = x
+	i := sort.Search(n, func(i int) bool { return k.before(x, k.values[i]) })
+	k.values = append(k.values, x)
+	copy(k.values[i+1:], k.values[i:n])
+	k.values[i] = x
 }
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -30,28 +30,28 @@
 	// WaitWorker means that no worker of the required kind may be given work.
 	WaitWorker
 	// WaitQuarantine means that all workers of the required kind are in quarantine.
-	WaitRest
+	WaitQuarantine
 	// WaitDecision means that a worker has free capacity, so the next decision should start the
 	// task.
 	WaitDecision
 	// WaitAdvice means that a request to the advice service is pending.
-	WaitAsked
+	WaitAdvice
 	// WaitAdviceRetry means that the last advice request failed and is retried later.
-	WaitRetry
+	WaitAdviceRetry
 	// WaitTicket means that there is no valid ticket for a worker with free capacity, and no
 	// advice request about one is pending.
 	WaitTicket
 	// WaitDenied means that the advice service allows none of the workers.
 	WaitDenied
 	// WaitCapacity means that no worker that may run the task has free capacity.
-	WaitRoom
+	WaitCapacity
 	// WaitUrgentCapacity means that the free capacity is reserved for urgent work.
-	WaitUrgentRoom
+	WaitUrgentCapacity
 	// WaitRecord means that all tasks have ended, but the store does not hold that yet.
 	WaitRecord
 	// WaitLostResponse means that the completion of a run was listed late because the worker's
 	// responses were lost.
-	WaitUnheard
+	WaitLostResponse
 	// WaitProbe means that a worker crashed under a task of the step, and no such task may be
 	// started beside others until a probe has shown that it is not the cause.
 	WaitProbe
@@ -73,14 +73,14 @@
 
 // WorkerContact is the state of the planner's contact with a worker. The worker counts as
 // unresponsive while it is unlisted, not ready, or does not answer its keeper.
-type Sign struct {
-	Worker string
-	Listed bool // Listed says that the worker is in the platform's list.
-	Ready  bool // Ready says that the worker's lists of runs have been received in this session.
-	Quiet  bool // NoResponse says that the worker does not answer its keeper.
+type WorkerContact struct {
+	Worker     string
+	Listed     bool // Listed says that the worker is in the platform's list.
+	Ready      bool // Ready says that the worker's lists of runs have been received in this session.
+	NoResponse bool // NoResponse says that the worker does not answer its keeper.
 	// UnresponsiveSince is when this planner lost contact with the worker, and zero while it has
 	// contact.
-	Silent time.Time
+	UnresponsiveSince time.Time
 }
 
 // Offer counts the workers of the kind that a step needs, by what prevents them from running it.
@@ -96,7 +96,7 @@
 }
 
 // WaitingTask is a lasting task that, as far as the planner knows, does not run.
-type Wait struct {
+type WaitingTask struct {
 	Task   winch.RunID
 	Reason Reason
 	// Since is when a run of the task was last known to do its work, or when the task became ready
@@ -107,32 +107,32 @@
 	Run      uint64
 	Ordered  time.Time
 	Stopping bool
-	Sign     Sign
+	Contact  WorkerContact
 	// Unreported counts the workers of earlier planners that have not reported their runs yet.
 	// Until is when the work there is guaranteed to have ended, or when a failed advice request is
 	// retried.
-	Unheard int
-	Until   time.Time
+	Unreported int
+	Until      time.Time
 	// Revision is the job's revision. Jobs with a revision above Fresh do not wait for earlier
 	// planners; Fresh is the highest number until the planner knows the revision.
 	Revision, Fresh uint64
 	// AdviceRequested is when the last request went to the advice service.
-	Asked time.Time
+	AdviceRequested time.Time
 	// Used and Limit are the team's; UsedAtUnresponsive is the part of Used at unresponsive
 	// workers.
-	Used, Limit, Doubtful winch.Room
-	Offer                 Offer
+	Used, Limit, UsedAtUnresponsive winch.Room
+	Offer                           Offer
 }
 
 // UnresponsiveWorker is an unresponsive worker that still has runs charged to it.
-type Charged struct {
-	Sign Sign
-	Runs int
+type UnresponsiveWorker struct {
+	Contact WorkerContact
+	Runs    int
 }
 
 // updateContact updates since when the worker has been unresponsive. It must be called after each
 // change of the fields that this depends on.
-func (w *worker) noteSilence() {
+func (w *worker) updateContact() {
 	responsive := w.ready && !w.removed && (!w.unresponsive || w.respondsAgain)
 	switch {
 	case responsive:
@@ -142,8 +142,8 @@
 	}
 }
 
-func (w *worker) sign() Sign {
-	return Sign{Worker: w.vm.ID, Listed: !w.removed, Ready: w.ready, Quiet: w.unresponsive && !w.respondsAgain, Silent: w.unresponsiveSince}
+func (w *worker) contact() WorkerContact {
+	return WorkerContact{Worker: w.vm.ID, Listed: !w.removed, Ready: w.ready, NoResponse: w.unresponsive && !w.respondsAgain, UnresponsiveSince: w.unresponsiveSince}
 }
 
 func later(a, b time.Time) time.Time {
@@ -154,7 +154,7 @@
 }
 
 // lastActive returns when the run was last known to do its task's work.
-func (r *run) seen(now time.Time) time.Time {
+func (r *run) lastActive(now time.Time) time.Time {
 	switch {
 	case !r.started:
 		return time.Time{}
@@ -173,34 +173,34 @@
 }
 
 // waitingSince returns the time from which the task has waited.
-func (t *task) since(now time.Time) time.Time {
+func (t *task) waitingSince(now time.Time) time.Time {
 	s := t.phase
 	at := later(later(s.job.addedAt, s.due), t.lastWorkedAt)
 	for _, a := range s.after {
 		at = later(at, a.finishedAt)
 	}
 	for _, r := range t.runs {
-		at = later(at, r.seen(now))
+		at = later(at, r.lastActive(now))
 	}
 	return at
 }
 
 // WaitingTasks returns the lasting tasks that have waited longer than the given time, with the
 // reasons, those that have waited longest first. It changes nothing.
-func (p *Planner) Waits(minWait time.Duration) []Wait {
+func (p *Planner) WaitingTasks(minWait time.Duration) []WaitingTask {
 	now := p.now()
-	var out []Wait
+	var out []WaitingTask
 	for _, j := range p.active {
 		if j.cancelled || j.state.Final() {
 			continue
 		}
 		for _, s := range j.phases {
 			if s.spec.Lasting && s.isDue() {
-				out = append(out, p.stepWaits(s, now, minWait)...)
+				out = append(out, p.stepWaitingTasks(s, now, minWait)...)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Wait) int {
+	slices.SortFunc(out, func(a, b WaitingTask) int {
 		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.K, b.Task.K),
 			cmp.Compare(a.Task.Phase, b.Task.Phase), cmp.Compare(a.Task.Index, b.Task.Index))
 	})
@@ -209,24 +209,24 @@
 
 // stepWaitingTasks returns the waiting tasks of a step. A reason that applies to all of them is
 // computed once.
-func (p *Planner) stepWaits(s *phase, now time.Time, minWait time.Duration) []Wait {
-	var out []Wait
-	var common *Wait
+func (p *Planner) stepWaitingTasks(s *phase, now time.Time, minWait time.Duration) []WaitingTask {
+	var out []WaitingTask
+	var common *WaitingTask
 	for _, t := range s.tasks {
 		if t.done || t.confirmed() {
 			continue
 		}
-		since := t.since(now)
+		since := t.waitingSince(now)
 		if now.Sub(since) <= minWait {
 			continue
 		}
-		w, blocked := t.heldByRun()
+		w, blocked := t.blockedByRun()
 		if !blocked && t.suspicion().suspected() {
-			w, blocked = Wait{Reason: WaitProbe}, true
+			w, blocked = WaitingTask{Reason: WaitProbe}, true
 		}
 		if !blocked {
 			if common == nil {
-				x := p.stepWait(s, now)
+				x := p.explainWait(s, now)
 				common = &x
 			}
 			w = *common
@@ -239,18 +239,18 @@
 
 // blockedByRun returns the run that prevents a task from being started, if there is one. Members
 // of a gang wait until the previous runs of all members have ended.
-func (t *task) heldByRun() (Wait, bool) {
+func (t *task) blockedByRun() (WaitingTask, bool) {
 	runs := slices.Clone(t.runs)
-	if s := t.phase; len(runs) == 0 && s.spec.Gang && (s.gang.ending || s.gang.number == 0) {
+	if s := t.phase; len(runs) == 0 && s.spec.Gang && (s.gang.stopping || s.gang.number == 0) {
 		for _, x := range s.tasks {
 			runs = append(runs, x.runs...)
 		}
 	}
 	if len(runs) == 0 {
-		return Wait{}, false
+		return WaitingTask{}, false
 	}
 	r := slices.MinFunc(runs, func(a, b *run) int { return cmp.Compare(a.key.run, b.key.run) })
-	w := Wait{Reason: WaitRun, Run: r.key.run, Ordered: r.since, Stopping: r.stopping, Sign: r.worker.sign()}
+	w := WaitingTask{Reason: WaitRun, Run: r.key.run, Ordered: r.since, Stopping: r.stopping, Contact: r.worker.contact()}
 	if !r.started && !r.stopping && r.worker.unresponsiveSince.IsZero() {
 		w.Reason = WaitStart
 	}
@@ -258,25 +258,25 @@
 }
 
 // explainWait returns why tasks of a step that have no run are not started.
-func (p *Planner) stepWait(s *phase, now time.Time) Wait {
+func (p *Planner) explainWait(s *phase, now time.Time) WaitingTask {
 	j := s.job
 	held := p.deferReason(j, p.awaitsEarlier(now))
 	switch {
 	case j.queue == nil:
-		return Wait{Reason: WaitQueue}
+		return WaitingTask{Reason: WaitQueue}
 	case held == WaitAdopting:
-		return p.adoptingWait(j)
+		return p.explainAdopting(j)
 	case held != 0:
-		return Wait{Reason: held}
-	case !j.team.allows(s.wantsAtOnce()):
-		return Wait{Reason: WaitLimit, Used: j.team.used, Limit: j.team.Cap, Doubtful: p.doubtful(j.team)}
+		return WaitingTask{Reason: held}
+	case !j.team.allows(s.nextStartNeed()):
+		return WaitingTask{Reason: WaitLimit, Used: j.team.used, Limit: j.team.Cap, UsedAtUnresponsive: p.usedAtUnresponsive(j.team)}
 	}
-	return s.offerWait(p.offer(s, now), now)
+	return s.explainOffer(p.countOffer(s, now), now)
 }
 
 // nextStartNeed returns what the next start of the step needs: one task, or all missing members of
 // a gang.
-func (s *phase) wantsAtOnce() winch.Room {
+func (s *phase) nextStartNeed() winch.Room {
 	if !s.spec.Gang {
 		return s.spec.Need
 	}
@@ -284,21 +284,21 @@
 }
 
 // explainAdopting names one of the workers that have not reported their runs.
-func (p *Planner) adoptingWait(j *job) Wait {
-	w := Wait{Reason: WaitAdopting, Unheard: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.AdoptedRevision}
+func (p *Planner) explainAdopting(j *job) WaitingTask {
+	w := WaitingTask{Reason: WaitAdopting, Unreported: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.AdoptedRevision}
 	for id := range p.roster {
-		if w.Sign.Worker == "" || id < w.Sign.Worker {
-			w.Sign = Sign{Worker: id}
+		if w.Contact.Worker == "" || id < w.Contact.Worker {
+			w.Contact = WorkerContact{Worker: id}
 		}
 	}
-	if x := p.workers[w.Sign.Worker]; x != nil {
-		w.Sign = x.sign()
+	if x := p.workers[w.Contact.Worker]; x != nil {
+		w.Contact = x.contact()
 	}
 	return w
 }
 
 // usedAtUnresponsive returns the part of a team's use at unresponsive workers.
-func (p *Planner) doubtful(t *team) winch.Room {
+func (p *Planner) usedAtUnresponsive(t *team) winch.Room {
 	var out winch.Room
 	for _, w := range p.workers {
 		if w.unresponsiveSince.IsZero() {
@@ -314,9 +314,9 @@
 }
 
 // countOffer counts the workers that could run a step.
-func (p *Planner) offer(s *phase, now time.Time) Offer {
+func (p *Planner) countOffer(s *phase, now time.Time) Offer {
 	var out Offer
-	counts := s.perWorker()
+	counts := s.runsPerWorker()
 	for _, w := range p.workers {
 		if !s.ofKind(w) {
 			continue
@@ -326,16 +326,16 @@
 			continue
 		}
 		out.Usable++
-		ticketed := s.job.queue.Advice == nil || s.advice.permit(w).good(now)
+		ticketed := s.job.queue.Advice == nil || s.advice.permitFor(w).valid(now)
 		switch {
 		case w.health.quarantined(now):
 			out.Resting++
 		case ticketed:
 			out.Ticketed++
-			out.Fits += s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w]))
+			out.Fits += s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w]))
 		case s.advice.isDenied(w):
 			out.Denied++
-		case s.fitInto(p.openRoom(s, w, now), roomFor(s.spec.MostPerVM, counts[w])) > 0:
+		case s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w])) > 0:
 			out.Unasked++
 		}
 	}
@@ -344,8 +344,8 @@
 
 // explainOffer returns what prevents the step from being started, given the workers that could run
 // it.
-func (s *phase) offerWait(o Offer, now time.Time) Wait {
-	w := Wait{Offer: o, Asked: s.advice.asked}
+func (s *phase) explainOffer(o Offer, now time.Time) WaitingTask {
+	w := WaitingTask{Offer: o, AdviceRequested: s.advice.requested}
 	wants := 1
 	if s.spec.Gang {
 		wants = s.waiting
@@ -354,35 +354,35 @@
 	case o.Usable == 0:
 		w.Reason = WaitWorker
 	case o.Usable == o.Resting:
-		w.Reason = WaitRest
+		w.Reason = WaitQuarantine
 	case o.Fits >= wants:
 		w.Reason = WaitDecision
-	case o.Unasked > 0 && s.advice.asking:
-		w.Reason = WaitAsked
-	case o.Unasked > 0 && now.Before(s.advice.retry):
-		w.Reason, w.Until = WaitRetry, s.advice.retry
+	case o.Unasked > 0 && s.advice.pending:
+		w.Reason = WaitAdvice
+	case o.Unasked > 0 && now.Before(s.advice.retryAt):
+		w.Reason, w.Until = WaitAdviceRetry, s.advice.retryAt
 	case o.Unasked > 0:
 		w.Reason = WaitTicket
 	case o.Denied == o.Usable-o.Resting:
 		w.Reason = WaitDenied
 	default:
-		w.Reason = WaitRoom
+		w.Reason = WaitCapacity
 	}
 	return w
 }
 
 // UnresponsiveWorkers returns the workers that have been unresponsive for longer than the given
 // time and still have runs charged to them, the longest first.
-func (p *Planner) Unheard(minPeriod time.Duration) []Charged {
+func (p *Planner) UnresponsiveWorkers(minPeriod time.Duration) []UnresponsiveWorker {
 	now := p.now()
-	var out []Charged
+	var out []UnresponsiveWorker
 	for _, w := range p.workers {
 		if len(w.runs) > 0 && !w.unresponsiveSince.IsZero() && now.Sub(w.unresponsiveSince) > minPeriod {
-			out = append(out, Charged{w.sign(), len(w.runs)})
+			out = append(out, UnresponsiveWorker{w.contact(), len(w.runs)})
 		}
 	}
-	slices.SortFunc(out, func(a, b Charged) int {
-		return cmp.Or(a.Sign.Silent.Compare(b.Sign.Silent), cmp.Compare(a.Sign.Worker, b.Sign.Worker))
+	slices.SortFunc(out, func(a, b UnresponsiveWorker) int {
+		return cmp.Or(a.Contact.UnresponsiveSince.Compare(b.Contact.UnresponsiveSince), cmp.Compare(a.Contact.Worker, b.Contact.Worker))
 	})
 	return out
 }
--- a/coord/fleet/waits_test.go
+++ b/coord/fleet/waits_test.go
@@ -12,16 +12,16 @@
 )
 
 // servicePhase returns a phase of lasting tasks.
-func service(count int, milli int64) winch.Phase {
+func servicePhase(count int, milli int64) winch.Phase {
 	out := tasks(count, milli)
 	out.Lasting = true
 	return out
 }
 
 // onlyWaitingTask returns the one task that waits.
-func onlyWait(is *is.I, p *Planner) Wait {
+func onlyWaitingTask(is *is.I, p *Planner) WaitingTask {
 	is.Helper()
-	waits := p.Waits(time.Second)
+	waits := p.WaitingTasks(time.Second)
 	is.Equal(len(waits), 1)
 	return waits[0]
 }
@@ -30,64 +30,64 @@
 // nobody knows whether the task still runs, and its users get no responses from then on. So it
 // counts as waiting since then, and the run that prevents a restart elsewhere is named until it is
 // guaranteed to have ended.
-func TestTaskAtASilentWorkerWaits(t *testing.T) {
+func TestTaskAtUnresponsiveWorkerWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 2, usualQueue())
-		c.add("a", "mix", "choir", service(1, 1000))
+		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		start := c.schedule()[0]
 		time.Sleep(10 * time.Second)
-		is.Equal(len(c.planner.Waits(time.Second)), 0)
+		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 		lostContact := time.Now()
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
-		w := onlyWait(is, c.planner)
+		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Task, start.Task)
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, start.Run)
 		is.Equal(w.Stopping, false)
 		is.Equal(w.Since, lostContact)
-		is.Equal(w.Sign, Sign{Worker: start.Worker, Listed: true, Ready: true, Quiet: true, Silent: lostContact})
-		is.Equal(c.planner.Unheard(time.Second), []Charged{{w.Sign, 1}})
+		is.Equal(w.Contact, WorkerContact{Worker: start.Worker, Listed: true, Ready: true, NoResponse: true, UnresponsiveSince: lostContact})
+		is.Equal(c.planner.UnresponsiveWorkers(time.Second), []UnresponsiveWorker{{w.Contact, 1}})
 
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: start.Worker})
-		w = onlyWait(is, c.planner)
+		w = onlyWaitingTask(is, c.planner)
 		is.Equal(w.Reason, WaitDecision)
 		is.Equal(w.Since, lostContact)
-		is.Equal(len(c.planner.Unheard(time.Second)), 0)
+		is.Equal(len(c.planner.UnresponsiveWorkers(time.Second)), 0)
 		is.Equal(len(c.schedule()), 1)
-		is.Equal(len(c.planner.Waits(time.Second)), 0)
+		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 	})
 }
 
 // The worker of the previous test responds again, and the task has kept running. It must no longer
 // count as waiting, and its next wait must not include the previous one.
-func TestTaskAtAWorkerThatAnswersAgainDoesNotWait(t *testing.T) {
+func TestTaskAtWorkerThatRespondsAgainDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 1, usualQueue())
-		c.add("a", "mix", "choir", service(1, 1000))
+		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		start := c.schedule()[0]
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventBack, Worker: start.Worker})
-		is.Equal(len(c.planner.Waits(time.Second)), 0)
-		is.Equal(len(c.planner.Unheard(0)), 0)
+		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
+		is.Equal(len(c.planner.UnresponsiveWorkers(0)), 0)
 		time.Sleep(10 * time.Second)
 		vanished := time.Now()
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventVanished, Worker: start.Worker, Task: start.Task, Run: start.Run})
 		time.Sleep(2 * time.Second)
-		is.Equal(onlyWait(is, c.planner).Since, vanished)
+		is.Equal(onlyWaitingTask(is, c.planner).Since, vanished)
 	})
 }
 
 // A worker with a lasting task is removed from the platform's list, and another one loses its
 // keeper. Both cases must be distinguishable from an unresponsive worker.
-func TestWorkersThatAreNotHeardAreToldApart(t *testing.T) {
+func TestUnresponsiveWorkersAreDistinguishedByCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 2, usualQueue())
-		phase := service(2, 1000)
+		phase := servicePhase(2, 1000)
 		phase.MostPerVM = 1
 		c.add("a", "mix", "choir", phase)
 		is.Equal(len(c.schedule()), 2)
@@ -96,11 +96,11 @@
 		time.Sleep(time.Second)
 		c.planner.SetUnready([]string{"w1"})
 		time.Sleep(time.Second)
-		got := c.planner.Unheard(time.Second)
+		got := c.planner.UnresponsiveWorkers(time.Second)
 		is.Equal(len(got), 2)
-		is.Equal(got[0].Sign, Sign{Worker: "w0", Ready: true, Silent: left})
-		is.Equal(got[1].Sign, Sign{Worker: "w1", Silent: left})
-		for _, w := range c.planner.Waits(time.Second) {
+		is.Equal(got[0].Contact, WorkerContact{Worker: "w0", Ready: true, UnresponsiveSince: left})
+		is.Equal(got[1].Contact, WorkerContact{Worker: "w1", UnresponsiveSince: left})
+		for _, w := range c.planner.WaitingTasks(time.Second) {
 			is.Equal(w.Reason, WaitRun)
 			is.Equal(w.Since, left)
 		}
@@ -109,39 +109,39 @@
 
 // After a takeover, a run reported by the earlier planner at a worker that has not responded to
 // the new one must count as waiting: nobody has seen it run.
-func TestWhatAnEarlierPlannerKnewIsNotSeen(t *testing.T) {
+func TestRunKnownOnlyToEarlierPlannerCountsAsWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 0, usualQueue())
 		c.planner.SetRoster([]string{"w0"})
 		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Room{Milli: 1000, Memory: gigabyte}}})
-		c.add("a", "mix", "choir", service(1, 1000))
+		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		learnt := time.Now()
 		task := winch.RunID{Job: "a"}
 		run := []winch.Running{{Task: task, Run: 5}}
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: "w0", Running: run})
 		time.Sleep(2 * time.Second)
-		w := onlyWait(is, c.planner)
+		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, uint64(5))
 		is.Equal(w.Since, learnt)
-		is.Equal(w.Sign.Ready, false)
+		is.Equal(w.Contact.Ready, false)
 		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
-		is.Equal(len(c.planner.Waits(time.Second)), 0)
+		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 	})
 }
 
 // A start is ordered and not confirmed. The task must count as waiting, with a reason that differs
 // from that for an unfinished earlier run.
-func TestOrderedStartWaits(t *testing.T) {
+func TestUnconfirmedStartWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 1, usualQueue())
-		c.add("a", "mix", "choir", service(1, 1000))
+		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		c.planner.Schedule()
 		ordered := time.Now()
 		time.Sleep(2 * time.Second)
-		w := onlyWait(is, c.planner)
+		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Reason, WaitStart)
 		is.Equal(w.Ordered, ordered)
 	})
@@ -149,22 +149,22 @@
 
 // For each cause that prevents the start of a lasting task, the reason reported must be that
 // cause, and looking for it must change nothing.
-func TestReasonsWhyNothingIsStarted(t *testing.T) {
+func TestWaitReasons(t *testing.T) {
 	advised := usualQueue()
 	advised.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
 	for _, x := range []struct {
 		reason Reason
 		queue  winch.Queue
 		setup  func(c *simRegion)
-		check  func(is *is.I, w Wait)
+		check  func(is *is.I, w WaitingTask)
 	}{
 		{WaitQueue, urgentQueue(), func(*simRegion) {}, nil},
 		{WaitAdopting, usualQueue(), func(c *simRegion) {
 			c.planner.SetRoster([]string{"x", "b"})
 			c.planner.Barrier, c.planner.AdoptedRevision = time.Now().Add(8*time.Second), 9
-		}, func(is *is.I, w Wait) {
-			is.Equal(w.Unheard, 2)
-			is.Equal(w.Sign.Worker, "b")
+		}, func(is *is.I, w WaitingTask) {
+			is.Equal(w.Unreported, 2)
+			is.Equal(w.Contact.Worker, "b")
 			is.Equal(w.Revision, uint64(7))
 			is.Equal(w.Fresh, uint64(9))
 		}},
@@ -174,26 +174,26 @@
 			c.add("first", "mix", "choir", tasks(1, 1000))
 			o := c.schedule()[0]
 			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: o.Worker})
-		}, func(is *is.I, w Wait) {
+		}, func(is *is.I, w WaitingTask) {
 			is.Equal(w.Used.Milli, int64(1000))
 			is.Equal(w.Limit.Milli, int64(1500))
-			is.Equal(w.Doubtful.Milli, int64(1000)) // The limit is reached because of runs that may have ended.
+			is.Equal(w.UsedAtUnresponsive.Milli, int64(1000)) // The limit is reached because of runs that may have ended.
 		}},
 		{WaitWorker, usualQueue(), func(c *simRegion) {
 			c.planner.SetUnready([]string{"w0", "w1"})
-		}, func(is *is.I, w Wait) { is.Equal(w.Offer, Offer{Workers: 2}) }},
-		{WaitRest, usualQueue(), func(c *simRegion) {
+		}, func(is *is.I, w WaitingTask) { is.Equal(w.Offer, Offer{Workers: 2}) }},
+		{WaitQuarantine, usualQueue(), func(c *simRegion) {
 			for _, w := range c.planner.workers {
 				w.health.quarantine(time.Now(), 10*time.Second)
 			}
-		}, func(is *is.I, w Wait) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Resting: 2}) }},
-		{WaitRoom, usualQueue(), func(c *simRegion) {
+		}, func(is *is.I, w WaitingTask) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Resting: 2}) }},
+		{WaitCapacity, usualQueue(), func(c *simRegion) {
 			c.add("first", "mix", "duct", tasks(2, 16000))
 			c.schedule()
-		}, func(is *is.I, w Wait) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Ticketed: 2}) }},
-		{WaitAsked, advised, func(*simRegion) {}, func(is *is.I, w Wait) {
+		}, func(is *is.I, w WaitingTask) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Ticketed: 2}) }},
+		{WaitAdvice, advised, func(*simRegion) {}, func(is *is.I, w WaitingTask) {
 			is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Unasked: 2})
-			is.True(!w.Asked.IsZero())
+			is.True(!w.AdviceRequested.IsZero())
 		}},
 	} {
 		t.Run(x.reason.String(), func(t *testing.T) {
@@ -201,11 +201,11 @@
 				is := is.New(t)
 				c := newSimRegion(t, 2, x.queue)
 				x.setup(c)
-				c.add("a", "mix", "choir", service(1, 1000))
+				c.add("a", "mix", "choir", servicePhase(1, 1000))
 				added := time.Now()
 				c.schedule()
 				time.Sleep(2 * time.Second)
-				w := onlyWait(is, c.planner)
+				w := onlyWaitingTask(is, c.planner)
 				is.Equal(w.Reason, x.reason)
 				is.Equal(w.Since, added)
 				if x.check != nil {
@@ -218,15 +218,15 @@
 }
 
 // The advice service fails, grants a ticket that expires, or allows no worker.
-func TestReasonsOfTheAdvice(t *testing.T) {
+func TestWaitReasonsForAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		queue := usualQueue()
 		queue.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
 		c := newSimRegion(t, 1, queue)
-		c.add("a", "mix", "choir", service(1, 1000))
+		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		time.Sleep(2 * time.Second)
-		is.Equal(onlyWait(is, c.planner).Reason, WaitTicket)
+		is.Equal(onlyWaitingTask(is, c.planner).Reason, WaitTicket)
 		request := func() AdviceRequest {
 			c.planner.Schedule()
 			requests := c.planner.AdviceRequests()
@@ -234,28 +234,28 @@
 			return requests[0]
 		}
 		c.planner.AdviceFailed(request())
-		is.Equal(onlyWait(is, c.planner).Reason, WaitRetry)
-		time.Sleep(askAgain)
-		c.planner.Advice(request(), []winch.Ticket{{Worker: "w0", Value: "t"}}, time.Second, time.Now())
-		is.Equal(onlyWait(is, c.planner).Reason, WaitDecision)
+		is.Equal(onlyWaitingTask(is, c.planner).Reason, WaitAdviceRetry)
+		time.Sleep(adviceRetryDelay)
+		c.planner.AdviceReceived(request(), []winch.Ticket{{Worker: "w0", Value: "t"}}, time.Second, time.Now())
+		is.Equal(onlyWaitingTask(is, c.planner).Reason, WaitDecision)
 		time.Sleep(time.Second)
-		is.Equal(onlyWait(is, c.planner).Reason, WaitTicket)
+		is.Equal(onlyWaitingTask(is, c.planner).Reason, WaitTicket)
 
 		c = newSimRegion(t, 1, queue)
-		c.add("a", "mix", "choir", service(1, 1000))
-		c.planner.Advice(request(), nil, time.Second, time.Now())
+		c.add("a", "mix", "choir", servicePhase(1, 1000))
+		c.planner.AdviceReceived(request(), nil, time.Second, time.Now())
 		time.Sleep(2 * time.Second)
-		is.Equal(onlyWait(is, c.planner).Reason, WaitDenied)
+		is.Equal(onlyWaitingTask(is, c.planner).Reason, WaitDenied)
 	})
 }
 
 // Members of a gang start together. While a member of the previous run may still run, the other
 // members must be reported as waiting for that run and not for capacity.
-func TestGangWaitsForItsLastRun(t *testing.T) {
+func TestGangWaitsForItsPreviousRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 2, usualQueue())
-		phase := service(2, 1000)
+		phase := servicePhase(2, 1000)
 		phase.Gang, phase.MostPerVM = true, 1
 		c.add("a", "mix", "choir", phase)
 		starts := c.schedule()
@@ -264,11 +264,11 @@
 		c.endRun(starts[1], winch.EndFailed)
 		time.Sleep(2 * time.Second)
 		c.planner.Schedule() // The gang cannot be completed, so its run is given up.
-		waits := c.planner.Waits(time.Second)
+		waits := c.planner.WaitingTasks(time.Second)
 		is.Equal(len(waits), 2)
 		for _, w := range waits {
 			is.Equal(w.Reason, WaitRun)
-			is.Equal(w.Sign.Worker, starts[0].Worker)
+			is.Equal(w.Contact.Worker, starts[0].Worker)
 			is.Equal(w.Stopping, true)
 		}
 	})
@@ -276,24 +276,24 @@
 
 // Tasks that are not ready to start, cancelled jobs and tasks that are not lasting must not be
 // reported as waiting.
-func TestOnlyLastingTasksWhoseTurnHasComeWait(t *testing.T) {
+func TestOnlyReadyLastingTasksWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 1, usualQueue())
-		behind := service(1, 1000)
+		behind := servicePhase(1, 1000)
 		behind.After = []int{0}
 		c.add("a", "mix", "choir", tasks(1, 1000), behind)
-		c.add("b", "mix", "choir", service(1, 1000))
+		c.add("b", "mix", "choir", servicePhase(1, 1000))
 		c.planner.Cancel("b")
 		c.add("c", "mix", "choir", tasks(1, 32000))
 		first := c.schedule()
 		is.Equal(len(first), 1)
 		time.Sleep(10 * time.Second)
-		is.Equal(len(c.planner.Waits(time.Second)), 0)
+		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 		c.endRun(first[0], winch.EndDone)
 		done := time.Now()
 		time.Sleep(2 * time.Second)
-		w := onlyWait(is, c.planner)
+		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Task, winch.RunID{Job: "a", Phase: 1})
 		is.Equal(w.Since, done)
 	})
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -89,7 +89,7 @@
 	// changes counts the changes of the worker's runs. expectedEnds is a cache of the expected
 	// ends, computed at expectedAt after expectedOf changes.
 	changes, expectedOf uint64
-	expectedEnds        []expectedEnd
+	expectedEnds        []expectedRelease
 	expectedAt          time.Time
 	index               int // index is the worker's position in the list of workers by ID.
 	// mark is the number of the last search that marked the worker, markedAs the mark.
@@ -145,14 +145,14 @@
 		w.replaced = w.replaced && w.vm.Born == vm.Born
 		w.vm = vm
 		w.removed = false
-		w.noteSilence()
+		w.updateContact()
 	}
 	for id, w := range p.workers {
 		if listed[id] {
 			continue
 		}
 		w.removed = true
-		w.noteSilence()
+		w.updateContact()
 		if len(w.runs) == 0 && (w.ready || w.empty) {
 			delete(p.workers, id)
 			p.unsorted = true
@@ -241,7 +241,7 @@
 func (p *Planner) SetUnresponsive(id string) {
 	if w := p.workers[id]; w != nil {
 		w.unresponsive = true
-		w.noteSilence()
+		w.updateContact()
 	}
 }
 
@@ -249,7 +249,7 @@
 func (p *Planner) SetResponsive(id string) {
 	if w := p.workers[id]; w != nil {
 		w.unresponsive = false
-		w.noteSilence()
+		w.updateContact()
 	}
 }
 
@@ -286,7 +286,7 @@
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
 			w.ready = false
-			w.noteSilence()
+			w.updateContact()
 		}
 	}
 }
@@ -354,7 +354,7 @@
 	w.countRun(r.task.phase.spec, -1)
 	p.updateReporting(w)
 	r.team.used = r.team.used.Sub(r.need)
-	r.task.lastWorkedAt = later(r.task.lastWorkedAt, r.seen(p.now()))
+	r.task.lastWorkedAt = later(r.task.lastWorkedAt, r.lastActive(p.now()))
 	r.task.runs = slices.DeleteFunc(r.task.runs, func(x *run) bool { return x == r })
 	p.probeEnded(r)
 	r.task.updateCounts()
@@ -366,7 +366,7 @@
 	if r.stopping {
 		return
 	}
-	r.workedUntil = r.seen(p.now())
+	r.workedUntil = r.lastActive(p.now())
 	r.stopping = true
 	r.worker.changes++
 	r.countUrgent(false)
@@ -409,13 +409,13 @@
 	p.noteLoss(w, crashed)
 	p.rememberBoot(w, crashed)
 	w.ready = false
-	defer w.noteSilence()
+	defer w.updateContact()
 	for _, r := range w.runs {
 		p.counts.Lost++
 		p.endRun(r)
 		p.closeRun(w, r.key)
 		if r.task != nil {
-			p.gangBroken(r)
+			p.gangMemberFailed(r)
 		}
 	}
 	for _, e := range w.completions {
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -37,10 +37,10 @@
 			l.node.Log.Error("job record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 		}
 	}
-	var jobs []fleet.Stored
+	var jobs []fleet.StoredJob
 	for id, s := range all {
 		if s.job != nil {
-			jobs = append(jobs, fleet.Stored{Job: s.job, Progress: s.progress, Revision: s.revision})
+			jobs = append(jobs, fleet.StoredJob{Job: s.job, Progress: s.progress, Revision: s.revision})
 		} else if !l.planner.HasJob(id) {
 			orphans = append(orphans, id)
 		}
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -301,9 +301,9 @@
 
 // openings returns how many requests to the advice service may be made now. There are no more
 // than free lanes, so that each request is based on what is known when a lane takes it.
-func (l *leadership) openings() fleet.Openings {
+func (l *leadership) openings() fleet.RequestQuota {
 	urgent, usual := l.lanes.Openings(time.Now())
-	return fleet.Openings{Urgent: urgent, Usual: usual}
+	return fleet.RequestQuota{Urgent: urgent, Normal: usual}
 }
 
 // requestAdvice distributes the planner's requests to the advice service over the lanes.
@@ -343,7 +343,7 @@
 	l.post(func() {
 		l.lanes.Done(lane, ok, time.Now())
 		if ok {
-			l.planner.Advice(a, response.Tickets, response.Valid, sent)
+			l.planner.AdviceReceived(a, response.Tickets, response.Valid, sent)
 		} else {
 			l.planner.AdviceFailed(a)
 		}
--- a/region/stall.go
+++ b/region/stall.go
@@ -26,8 +26,8 @@
 
 // stallSnapshot holds what is stalled, read in one step of the planner.
 type stallSnapshot struct {
-	waits   []fleet.Wait
-	charged []fleet.Charged
+	waits   []fleet.WaitingTask
+	charged []fleet.UnresponsiveWorker
 	// workers holds the state of the workers that the snapshot names.
 	workers   map[string]workerState
 	decidedAt time.Time
@@ -44,14 +44,14 @@
 // snapshotStalls returns which lasting tasks wait and which workers with runs are unresponsive.
 func (l *leadership) snapshotStalls() stallSnapshot {
 	snapshot := stallSnapshot{
-		waits: l.planner.Waits(minStallTime), charged: l.planner.Unheard(minStallTime),
+		waits: l.planner.WaitingTasks(minStallTime), charged: l.planner.UnresponsiveWorkers(minStallTime),
 		workers: make(map[string]workerState), decidedAt: l.decidedAt, closed: l.closed,
 	}
 	for _, w := range snapshot.waits {
-		snapshot.workers[w.Sign.Worker] = l.workerStateOf(w.Sign.Worker)
+		snapshot.workers[w.Contact.Worker] = l.workerStateOf(w.Contact.Worker)
 	}
 	for _, c := range snapshot.charged {
-		snapshot.workers[c.Sign.Worker] = l.workerStateOf(c.Sign.Worker)
+		snapshot.workers[c.Contact.Worker] = l.workerStateOf(c.Contact.Worker)
 	}
 	return snapshot
 }
@@ -119,10 +119,10 @@
 		m.reportTask(w, snapshot, officeLeft)
 	}
 	for _, c := range snapshot.charged {
-		fields := append(signFields(c.Sign, snapshot.workers[c.Sign.Worker], m.now), zap.Int("runs", c.Runs),
+		fields := append(signFields(c.Contact, snapshot.workers[c.Contact.Worker], m.now), zap.Int("runs", c.Runs),
 			zap.Uint64("term", m.term))
-		m.logLine("worker "+c.Sign.Worker, "worker with runs is unresponsive", signCause(c.Sign), fields,
-			[]zap.Field{zap.String("worker", c.Sign.Worker)})
+		m.logLine("worker "+c.Contact.Worker, "worker with runs is unresponsive", signCause(c.Contact), fields,
+			[]zap.Field{zap.String("worker", c.Contact.Worker)})
 	}
 	m.reportEnded()
 	if m.omitted > 0 {
@@ -132,7 +132,7 @@
 }
 
 // reportTask logs a lasting task that waits.
-func (m *stallMonitor) reportTask(w fleet.Wait, snapshot stallSnapshot, officeLeft time.Duration) {
+func (m *stallMonitor) reportTask(w fleet.WaitingTask, snapshot stallSnapshot, officeLeft time.Duration) {
 	id := w.Task
 	taskFields := []zap.Field{zap.String("job", id.Job), zap.Int("phase", id.Phase), zap.Int("index", id.Index)}
 	if id.K > 0 {
@@ -142,16 +142,16 @@
 		zap.Duration("waited", m.now.Sub(w.Since)), zap.Uint64("term", m.term),
 		zap.Duration("decided", age(snapshot.decidedAt, m.now)), zap.Duration("office", officeLeft),
 		zap.Bool("closed", snapshot.closed))
-	if w.Sign.Worker != "" {
-		fields = append(fields, signFields(w.Sign, snapshot.workers[w.Sign.Worker], m.now)...)
+	if w.Contact.Worker != "" {
+		fields = append(fields, signFields(w.Contact, snapshot.workers[w.Contact.Worker], m.now)...)
 	}
 	key := id.Job + "." + strconv.Itoa(id.K) + "." + strconv.Itoa(id.Phase) + "." + strconv.Itoa(id.Index)
-	cause := w.Reason.String() + strconv.FormatUint(w.Run, 10) + signCause(w.Sign)
+	cause := w.Reason.String() + strconv.FormatUint(w.Run, 10) + signCause(w.Contact)
 	m.logLine(key, "lasting task waits", cause, append(fields, waitFields(w, m.now)...), taskFields)
 }
 
 // waitFields returns the log fields that explain why a task waits, depending on the reason.
-func waitFields(w fleet.Wait, now time.Time) []zap.Field {
+func waitFields(w fleet.WaitingTask, now time.Time) []zap.Field {
 	switch w.Reason {
 	case fleet.WaitRun, fleet.WaitStart:
 		return []zap.Field{
@@ -160,28 +160,28 @@
 		}
 	case fleet.WaitAdopting:
 		return []zap.Field{
-			zap.Int("unheard", w.Unheard), zap.Duration("until", w.Until.Sub(now)),
+			zap.Int("unheard", w.Unreported), zap.Duration("until", w.Until.Sub(now)),
 			zap.Uint64("revision", w.Revision), zap.Uint64("fresh", w.Fresh),
 		}
 	case fleet.WaitLimit:
-		return []zap.Field{zap.Any("used", w.Used), zap.Any("limit", w.Limit), zap.Any("doubtful", w.Doubtful)}
+		return []zap.Field{zap.Any("used", w.Used), zap.Any("limit", w.Limit), zap.Any("doubtful", w.UsedAtUnresponsive)}
 	case fleet.WaitQueue, fleet.WaitOffice, fleet.WaitProbe:
 		return nil
 	}
-	return []zap.Field{zap.Any("offer", w.Offer), zap.Duration("asked", age(w.Asked, now))}
+	return []zap.Field{zap.Any("offer", w.Offer), zap.Duration("asked", age(w.AdviceRequested, now))}
 }
 
 // signFields returns the log fields that describe a worker's contact with the planner.
-func signFields(sign fleet.Sign, state workerState, now time.Time) []zap.Field {
+func signFields(sign fleet.WorkerContact, state workerState, now time.Time) []zap.Field {
 	return []zap.Field{
 		zap.String("worker", sign.Worker), zap.String("keeper", state.keeper), zap.Bool("listed", sign.Listed),
 		zap.Bool("missing", state.missing),
-		zap.Bool("ready", sign.Ready), zap.Bool("quiet", sign.Quiet), zap.Duration("silent", age(sign.Silent, now)),
+		zap.Bool("ready", sign.Ready), zap.Bool("quiet", sign.NoResponse), zap.Duration("silent", age(sign.UnresponsiveSince, now)),
 	}
 }
 
-func signCause(sign fleet.Sign) string {
-	return sign.Worker + strconv.FormatBool(sign.Listed) + strconv.FormatBool(sign.Ready) + strconv.FormatBool(sign.Quiet)
+func signCause(sign fleet.WorkerContact) string {
+	return sign.Worker + strconv.FormatBool(sign.Listed) + strconv.FormatBool(sign.Ready) + strconv.FormatBool(sign.NoResponse)
 }
 
 // age returns how long ago a time was, or zero for the zero time.
--- a/region/stall_test.go
+++ b/region/stall_test.go
@@ -107,7 +107,7 @@
 		w := newWorld(t, 1, 3, 3)
 		settle()
 		n := w.planner().node
-		n.updateStallGauges(stallSnapshot{charged: []fleet.Charged{{Runs: 3}}})
+		n.updateStallGauges(stallSnapshot{charged: []fleet.UnresponsiveWorker{{Runs: 3}}})
 		n.Stop(w.ctx)
 		time.Sleep(time.Second)
 		is.Equal(metrics.GetOrRegisterGauge("Planner.RunsNotHeard", n.Metrics).Value(), int64(0))
@@ -125,9 +125,9 @@
 		s := stallMonitor{log: log.logger("e"), reported: make(map[string]stallReport)}
 		var look stallSnapshot
 		for i := range 50 {
-			look.waits = append(look.waits, fleet.Wait{
+			look.waits = append(look.waits, fleet.WaitingTask{
 				Task:   winch.RunID{Job: fmt.Sprintf("j%02d", i)},
-				Reason: fleet.WaitRoom,
+				Reason: fleet.WaitCapacity,
 			})
 		}
 		for i := range 3 {
--- a/trial/region.go
+++ b/trial/region.go
@@ -191,7 +191,7 @@
 func (r *region) decide() {
 	r.armed = false
 	urgent, usual := r.lanes.Openings(r.now)
-	r.planner.Openings = fleet.Openings{Urgent: urgent, Usual: usual}
+	r.planner.Openings = fleet.RequestQuota{Urgent: urgent, Normal: usual}
 	before := r.planner.Counts().Examined
 	r.planner.Schedule()
 	r.lag = time.Duration(r.planner.Counts().Examined-before) * r.pattern.Look
@@ -236,7 +236,7 @@
 		sent := r.now
 		r.at(took, func() {
 			r.lanes.Done(lane, true, r.now)
-			r.planner.Advice(q.Body, r.tickets(q.Body), 0, sent)
+			r.planner.AdviceReceived(q.Body, r.tickets(q.Body), 0, sent)
 			r.wake()
 		})
 	}
