--- a/region/crash_test.go
+++ b/region/crash_test.go
@@ -13,18 +13,18 @@
 const (
 	// crashCommand is the prefix of the command of tasks that crash the worker that starts them. The
 	// rest of the command is how long after the start they do.
-	crashWork = "crash "
+	crashCommand = "crash "
 	// rebootDelay is how long after a crash the next boot follows, under a new ID at the same address.
-	rebootTime = 3200 * time.Millisecond
+	rebootDelay = 3200 * time.Millisecond
 	// maxCrashes bounds the crashes that a task may cause: once maxCrashes workers have crashed under
 	// it, fewer than maxCrashes further starts of it may happen.
-	crashBudget = 3
+	maxCrashes = 3
 )
 
 // crashAfter returns how long after its start a task with the command crashes its worker, and whether
 // it does so at all.
 func crashAfter(command string) (time.Duration, bool) {
-	rest, crashes := strings.CutPrefix(command, crashWork)
+	rest, crashes := strings.CutPrefix(command, crashCommand)
 	if !crashes {
 		return 0, false
 	}
@@ -34,75 +34,75 @@
 
 // crashCounter counts, by task, the workers that crashed under it and its further starts once it has
 // reached maxCrashes. The world's mutex guards it.
-type crashView struct {
-	workers map[winch.RunID]int // crashedWorkers counts the workers that crashed.
-	starts  map[winch.RunID]int // extraStarts counts the starts after maxCrashes crashes.
+type crashCounter struct {
+	crashedWorkers map[winch.RunID]int // crashedWorkers counts the workers that crashed.
+	extraStarts    map[winch.RunID]int // extraStarts counts the starts after maxCrashes crashes.
 	// disturbedUntil is until when an entry or the store was last disturbed. Starts during and soon
 	// after a disturbance do not count, since entries may not know of all crashes.
-	rough time.Time
+	disturbedUntil time.Time
 }
 
 // minUndisturbedTime is how long there must have been no disturbance of an entry or the store for a
 // start to count.
-const touchTime = 3 * time.Second
+const minUndisturbedTime = 3 * time.Second
 
 // addDisturbance records a disturbance of an entry or the store that ends at the given time.
-func (v *crashView) roughUntil(at time.Time) {
-	if at.After(v.rough) {
-		v.rough = at
+func (v *crashCounter) addDisturbance(at time.Time) {
+	if at.After(v.disturbedUntil) {
+		v.disturbedUntil = at
 	}
 }
 
 // checkStart checks the start of a task that crashes its workers.
-func (v *crashView) begins(w *world, task winch.RunID) {
-	if v.workers == nil {
-		v.workers, v.starts = make(map[winch.RunID]int), make(map[winch.RunID]int)
+func (v *crashCounter) checkStart(w *world, task winch.RunID) {
+	if v.crashedWorkers == nil {
+		v.crashedWorkers, v.extraStarts = make(map[winch.RunID]int), make(map[winch.RunID]int)
 	}
-	if v.workers[task] < crashBudget || !v.rough.IsZero() && time.Since(v.rough) < touchTime {
+	if v.crashedWorkers[task] < maxCrashes || !v.disturbedUntil.IsZero() && time.Since(v.disturbedUntil) < minUndisturbedTime {
 		return
 	}
-	v.starts[task]++
-	if v.starts[task] == crashBudget {
-		w.breaks("%v: %v was started %d more times after %d workers had crashed under it", time.Since(w.log.begin), task, crashBudget, crashBudget)
+	v.extraStarts[task]++
+	if v.extraStarts[task] == maxCrashes {
+		w.reportViolation("%v: %v was started %d more times after %d workers had crashed under it", time.Since(w.log.startedAt), task, maxCrashes, maxCrashes)
 	}
 }
 
 // crashUnderRun crashes a worker some time after the start of a run there, unless the run has ended by
 // then, and starts the worker's next boot.
-func (w *world) crash(x *simWorker, key simKey, after time.Duration) {
+func (w *world) crashUnderRun(x *simWorker, key runKey, after time.Duration) {
 	time.Sleep(after + 10*time.Millisecond)
 	w.mu.Lock()
 	x.mu.Lock()
 	running := x.runs[key] != nil
 	x.mu.Unlock()
 	if running {
-		w.crashes.workers[key.task]++
-		x.refuses = x.vm.Born%3 != 0
+		w.crashes.crashedWorkers[key.task]++
+		x.refusesConnections = x.vm.Born%3 != 0
 	}
 	w.mu.Unlock()
-	if !running || !w.ends(x, false) {
+	if !running || !w.terminateBoot(x, false) {
 		return
 	}
-	if w.windows != nil {
-		w.disturb(true)
-		w.disturb(false)
+	if w.downtimeChecks != nil {
+		w.addDisturbance(true)
+		w.addDisturbance(false)
 	}
 	w.group.Go(func() {
-		time.Sleep(entryLives)
+		time.Sleep(crashedRecordLifetime)
 		w.unlist(x)
 	})
-	time.Sleep(rebootTime)
+	time.Sleep(rebootDelay)
 	w.mu.Lock()
-	id := fmt.Sprintf("b%d", w.boots+1)
+	id := fmt.Sprintf("b%d", w.bootCount+1)
 	w.mu.Unlock()
-	w.boot(simVM(id, x.vm.Address, x.vm.Domain), 0)
+	w.bootWorker(simVM(id, x.vm.Address, x.vm.Domain), 0)
 }
 
 // crashesUnder returns the number of workers that crashed under the tasks of a job.
-func (w *world) crashed(job string) (n int) {
+func (w *world) crashesUnder(job string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for task, crashes := range w.crashes.workers {
+	for task, crashes := range w.crashes.crashedWorkers {
 		if task.Job == job {
 			n += crashes
 		}
@@ -111,8 +111,8 @@
 }
 
 // submitCrashing submits a job whose tasks crash their workers some time after their start.
-func (w *world) handCrash(id string, count int, after time.Duration) {
-	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: crashWork + after.String(), Phases: []winch.Phase{simPhase(count)}})
+func (w *world) submitCrashing(id string, count int, after time.Duration) {
+	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: crashCommand + after.String(), Phases: []winch.Phase{simPhase(count)}})
 }
 
 // awaitState waits until a job has ended, and checks its final state.
@@ -120,22 +120,22 @@
 	if got := w.await(id, limit); got != want {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.breaks("job %s ended in state %q, want %q", id, got, want)
+		w.reportViolation("job %s ended in state %q, want %q", id, got, want)
 	}
 }
 
 // A task crashes every worker that starts it, and each crash also ends the runs beside it. Without a
 // bound the task would be started again after each loss; its job must fail instead, and the other jobs
 // must end.
-func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsWorkersFails(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 31, 3, 9)
 				settle()
-				ids := w.jobs(0, 4)
-				w.handCrash("00000000000000c1", 1, after)
+				ids := w.submitJobs(0, 4)
+				w.submitCrashing("00000000000000c1", 1, after)
 				w.awaitState("00000000000000c1", winch.JobFailed, 40*time.Second)
 				w.awaitAll(ids, 20*time.Second)
 				w.end()
@@ -146,15 +146,15 @@
 
 // The planner is killed after each crash. A successor that started to count from zero would never
 // reach the bound, and the job would go on crashing workers.
-func TestCrashesAreCountedOverTakeovers(t *testing.T) {
+func TestCrashesAreCountedAcrossTakeovers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 32, 3, 9)
 		settle()
-		w.handCrash("00000000000000c1", 1, 0)
+		w.submitCrashing("00000000000000c1", 1, 0)
 		killed := 0
-		for w.ctx.Err() == nil && time.Since(w.log.begin) < 80*time.Second {
-			if p := w.planner(); p != nil && w.crashed("00000000000000c1") > killed {
+		for w.ctx.Err() == nil && time.Since(w.log.startedAt) < 80*time.Second {
+			if p := w.planner(); p != nil && w.crashesUnder("00000000000000c1") > killed {
 				killed++
 				time.Sleep(20 * time.Millisecond)
 				p.kill()
--- a/region/crashrand_test.go
+++ b/region/crashrand_test.go
@@ -14,36 +14,36 @@
 
 // shrinkGracePeriod is how long a worker whose capacity was reduced may still be given too much work:
 // earlier decisions are under way, and entries may not yet know of the change.
-const shrunkCounts = 3400 * time.Millisecond
+const shrinkGracePeriod = 3400 * time.Millisecond
 
 // shrinkWorker reduces a worker's capacity for a while.
-func (r *lastingRun) shrinks() {
+func (r *randomScenario) shrinkWorker() {
 	w := r.world
-	x := r.pick()
+	x := r.pickWorker()
 	if x == nil {
 		return
 	}
-	slots, length := int64(r.rand.IntN(3)), r.between(2*time.Second, 9*time.Second)
+	slots, length := int64(r.rand.IntN(3)), r.randomDuration(2*time.Second, 9*time.Second)
 	w.log.note("worker %s has only %d slots for %v", x.vm.ID, slots, length)
-	w.setRoom(x, slots*simMilli, time.Now())
+	w.setCapacity(x, slots*taskMilli, time.Now())
 	w.group.Go(func() {
 		time.Sleep(length)
-		w.setRoom(x, simVM("", "", "").Room.Milli, time.Time{})
+		w.setCapacity(x, simVM("", "", "").Room.Milli, time.Time{})
 	})
 }
 
 // setCapacity changes the capacity that a worker's record states, unless the worker has ended or drains.
-func (w *world) setRoom(x *simWorker, milli int64, shrunkSince time.Time) {
+func (w *world) setCapacity(x *simWorker, milli int64, shrunkSince time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over || !x.leaving.IsZero() {
+	if x.terminated || !x.drainingSince.IsZero() {
 		return
 	}
-	x.vm.Room.Milli, x.shrunk = milli, shrunkSince
-	if w.windows != nil {
-		w.windows.lookRoom(w)
+	x.vm.Room.Milli, x.shrunkSince = milli, shrunkSince
+	if w.downtimeChecks != nil {
+		w.downtimeChecks.updateSpare(w)
 	}
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
@@ -54,7 +54,7 @@
 
 // submitCrashingJobs submits jobs with tasks that crash their workers, at once or after some seconds:
 // single tasks, several tasks, gangs and lasting tasks. It returns the jobs' IDs.
-func (r *lastingRun) crashingJobs(count int) []string {
+func (r *randomScenario) submitCrashingJobs(count int) []string {
 	var ids []string
 	for i := range count {
 		id := fmt.Sprintf("%016x", 0xc000+i)
@@ -62,23 +62,23 @@
 		after := time.Duration(0)
 		switch r.rand.IntN(4) {
 		case 0:
-			after = r.between(200*time.Millisecond, 3*time.Second)
+			after = r.randomDuration(200*time.Millisecond, 3*time.Second)
 		case 1:
 			phase.Gang = phase.Count > 1
 		case 2:
 			phase.Lasting = true
 		}
 		r.world.log.note("job %s crashes its workers %v after each start: %+v", id, after, phase)
-		r.world.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: crashWork + after.String(), Phases: []winch.Phase{phase}})
+		r.world.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: crashCommand + after.String(), Phases: []winch.Phase{phase}})
 		ids = append(ids, id)
-		time.Sleep(r.between(2*time.Second, 10*time.Second))
+		time.Sleep(r.randomDuration(2*time.Second, 10*time.Second))
 	}
 	return ids
 }
 
 // checkFailure checks that a job which is shown as failed has a task that failed as often as its queue
 // allows.
-func (w *world) checkFailed(id string, state winch.JobState) {
+func (w *world) checkFailure(id string, state winch.JobState) {
 	if state != winch.JobFailed {
 		return
 	}
@@ -89,7 +89,7 @@
 			return
 		}
 	}
-	w.breaks("job %s is shown as failed, but none of its tasks failed twice", id)
+	w.reportViolation("job %s is shown as failed, but none of its tasks failed twice", id)
 }
 
 // Jobs crash the workers that start them, and workers have less capacity for a while, during the faults
@@ -103,36 +103,36 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, seed, 3, 18)
 				settle()
-				w.checksWindows()
-				w.lasts("00000000000000a1", 6)
-				r := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 3)), wide: int(seed % 2 * 7)}
+				w.startDowntimeChecks()
+				w.submitLasting("00000000000000a1", 6)
+				r := &randomScenario{world: w, rand: rand.New(rand.NewPCG(seed, 3)), partialFaultWeight: int(seed % 2 * 7)}
 				group := conc.NewWaitGroup()
 				group.Go(func() {
 					for i := range 20 {
 						group.Go(func() {
-							id := w.someJob(i)
-							w.checkFailed(id, w.await(id, 90*time.Second))
+							id := w.submitSomeJob(i)
+							w.checkFailure(id, w.await(id, 90*time.Second))
 						})
 						time.Sleep(3 * time.Second)
 					}
 				})
-				crashing := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 4))}
+				crashing := &randomScenario{world: w, rand: rand.New(rand.NewPCG(seed, 4))}
 				group.Go(func() {
-					for _, id := range crashing.crashingJobs(6) {
+					for _, id := range crashing.submitCrashingJobs(6) {
 						w.awaitState(id, winch.JobFailed, 120*time.Second)
 					}
 				})
-				shrinking := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 5))}
+				shrinking := &randomScenario{world: w, rand: rand.New(rand.NewPCG(seed, 5))}
 				group.Go(func() {
 					for range 8 {
-						shrinking.shrinks()
-						time.Sleep(shrinking.between(time.Second, 6*time.Second))
+						shrinking.shrinkWorker()
+						time.Sleep(shrinking.randomDuration(time.Second, 6*time.Second))
 					}
 				})
 				r.play(3)
-				r.rests()
+				r.awaitRecovery()
 				group.Wait()
-				w.allLast(6)
+				w.checkAllLasting(6)
 				w.end()
 			})
 		})
--- a/region/expiry_test.go
+++ b/region/expiry_test.go
@@ -34,7 +34,7 @@
 func lastingWorld(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed, 3, 9)
 	settle()
-	w.last("00000000000000a1", 18)
+	w.startLasting("00000000000000a1", 18)
 	time.Sleep(2 * time.Second)
 	return w
 }
@@ -42,9 +42,9 @@
 // checkLasting gives the region time and checks that all lasting tasks run again.
 func (w *world) checkLasting(is *is.I, count int) {
 	time.Sleep(12 * time.Second)
-	w.endLasting()
-	is.Equal(w.lastingUp(), count)
-	w.t.Log("longest time down:", w.lasting.longest)
+	w.checkDownLasting()
+	is.Equal(w.runningLasting(), count)
+	w.t.Log("longest time down:", w.lasting.longestDowntime)
 	w.end()
 }
 
@@ -95,17 +95,17 @@
 		w := lastingWorld(t, 33)
 		p := w.planner()
 		worker, keeper := w.workerKeptBy(p, false)
-		w.silence(worker, true)
+		w.setUnresponsive(worker, true)
 		time.Sleep(2500 * time.Millisecond)
-		w.silence(worker, false)
+		w.setUnresponsive(worker, false)
 		time.Sleep(time.Second)
-		w.silence(worker, true) // No other entry learns that the worker runs.
+		w.setUnresponsive(worker, true) // No other entry learns that the worker runs.
 		keeper.kill()
 		p.kill()
 		time.Sleep(20 * time.Second)
-		w.silence(worker, false)
+		w.setUnresponsive(worker, false)
 		time.Sleep(3 * time.Second)
-		is.Equal(w.lastingUp(), 18)
+		is.Equal(w.runningLasting(), 18)
 		w.end()
 	})
 }
--- a/region/fault_test.go
+++ b/region/fault_test.go
@@ -16,14 +16,14 @@
 
 // simPhase returns a phase of simulated tasks that starts after the given phases.
 func simPhase(count int, after ...int) winch.Phase {
-	return winch.Phase{Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork, After: after}
+	return winch.Phase{Count: count, Need: winch.Room{Milli: taskMilli}, Estimate: taskDuration, After: after}
 }
 
 // settle waits until the entries have found each other and elected a planner.
 func settle() { time.Sleep(3 * time.Second) }
 
 // submitJobs submits jobs with the given range of numbers, and returns their IDs.
-func (w *world) jobs(from, to int) []string {
+func (w *world) submitJobs(from, to int) []string {
 	var out []string
 	for i := from; i < to; i++ {
 		id := fmt.Sprintf("%016x", i)
@@ -41,13 +41,13 @@
 }
 
 // Without faults, jobs that any entry has accepted run, and every other entry shows them as done.
-func TestCalmRegion(t *testing.T) {
+func TestJobsRunWithoutFaults(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1, 3, 9)
 		settle()
-		ids := w.jobs(0, 10)
+		ids := w.submitJobs(0, 10)
 		w.awaitAll(ids, 20*time.Second)
 		is.True(w.planner() != nil)
 		w.end()
@@ -56,13 +56,13 @@
 
 // The planner is killed while work runs. Another entry takes over within two seconds, running work
 // goes on, and no job is lost or run twice.
-func TestPlannerKilled(t *testing.T) {
+func TestStandbyTakesOverFromKilledPlanner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2, 3, 9)
 		settle()
-		ids := w.jobs(0, 8)
+		ids := w.submitJobs(0, 8)
 		p := w.planner()
 		p.kill()
 		killedAt := time.Now()
@@ -78,13 +78,13 @@
 // The planner's process is killed and restarted at once. The new process knows that the holder of
 // the office has ended and frees the office, so the standby takes over long before the lease expires
 // and callers notice hardly any delay.
-func TestPlannerKilledAndStartedAgain(t *testing.T) {
+func TestRestartedPlannerFreesItsOffice(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2, 3, 9)
 		settle()
-		ids := w.jobs(0, 8)
+		ids := w.submitJobs(0, 8)
 		p := w.planner()
 		p.kill()
 		time.Sleep(50 * time.Millisecond)
@@ -104,15 +104,15 @@
 // that knows what ran there. The roster in the store holds it, so jobs on other workers go on as soon
 // as those have responded. Waiting until everything at the unresponsive worker is guaranteed to have
 // ended would delay them by eight seconds.
-func TestSilentWorkerHoldsNothingUpAfterAPowerLoss(t *testing.T) {
+func TestUnresponsiveWorkerDoesNotDelayJobsAfterAPowerLoss(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 9, 3, 9)
 		settle()
-		w.silence("w0", true)
+		w.setUnresponsive("w0", true)
 		time.Sleep(3 * time.Second)
-		ids := w.jobs(0, 12)
+		ids := w.submitJobs(0, 12)
 		time.Sleep(100 * time.Millisecond)
 		for _, n := range w.nodes {
 			n.kill()
@@ -122,7 +122,7 @@
 			n.start()
 		}
 		w.awaitAll(ids, 6*time.Second)
-		w.silence("w0", false)
+		w.setUnresponsive("w0", false)
 		time.Sleep(3 * time.Second)
 		var usable int
 		l := w.planner().node.lead.Load()
@@ -135,13 +135,13 @@
 // The large entry VMs are killed, and a small one takes over the office. Once a large one is back the
 // office must move there: a small VM that stayed planner fell behind, and all work was late for as
 // long as it held the office.
-func TestOfficeGoesBackToAStrongEntry(t *testing.T) {
+func TestOfficeReturnsToAStrongEntry(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 8, 3, 9)
 		w.mu.Lock()
-		w.share = map[string]int{"d0-0": 1000, "d1-0": 1000}
+		w.shares = map[string]int{"d0-0": 1000, "d1-0": 1000}
 		w.mu.Unlock()
 		large := []*simNode{w.nodes["d0-0"], w.nodes["d1-0"]}
 		for _, n := range large {
@@ -150,7 +150,7 @@
 		settle()
 		small := w.planner()
 		is.True(small != nil)
-		ids := w.jobs(0, 8)
+		ids := w.submitJobs(0, 8)
 		for _, n := range large {
 			n.start()
 		}
@@ -172,7 +172,7 @@
 				is := is.New(t)
 				w := newWorld(t, 10, 3, 9)
 				w.mu.Lock()
-				w.share = map[string]int{"d0-0": 1000, "d1-0": 1000}
+				w.shares = map[string]int{"d0-0": 1000, "d1-0": 1000}
 				w.mu.Unlock()
 				large := []*simNode{w.nodes["d0-0"], w.nodes["d1-0"]}
 				for _, n := range large {
@@ -183,7 +183,7 @@
 				for _, n := range w.nodes {
 					n.kill()
 				}
-				w.silence("w0", true)
+				w.setUnresponsive("w0", true)
 				time.Sleep(time.Second)
 				for _, n := range w.nodes {
 					if !slices.Contains(large, n) {
@@ -212,9 +212,9 @@
 		w := newWorld(t, 7, 3, 9)
 		settle()
 		w.store.mu.Lock()
-		w.store.slow = 300 * time.Millisecond
+		w.store.extraDelay = 300 * time.Millisecond
 		w.store.mu.Unlock()
-		ids := w.jobs(0, 8)
+		ids := w.submitJobs(0, 8)
 		p := w.planner()
 		begin := time.Now()
 		p.stop()
@@ -231,7 +231,7 @@
 // store is back for the other domains. Calls sent during the outage never get a response. The other
 // entries must find within a second that the store is back and the office free; waiting for their old
 // calls to time out would add four seconds.
-func TestStoreBackIsSeenSoon(t *testing.T) {
+func TestStoreRecoveryIsDetectedWithinASecond(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -239,11 +239,11 @@
 		settle()
 		p := w.planner()
 		w.store.mu.Lock()
-		w.store.down, w.store.swallow = true, true
+		w.store.down, w.store.hangs = true, true
 		w.store.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		w.mu.Lock()
-		w.cut[p.domain] = true
+		w.partitioned[p.domain] = true
 		w.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		w.store.mu.Lock()
@@ -255,10 +255,10 @@
 		}
 		is.True(time.Since(recoveredAt) < time.Second)
 		w.mu.Lock()
-		w.cut[p.domain] = false
+		w.partitioned[p.domain] = false
 		w.mu.Unlock()
 		w.store.mu.Lock()
-		w.store.swallow = false
+		w.store.hangs = false
 		w.store.mu.Unlock()
 		w.end()
 	})
@@ -268,7 +268,7 @@
 // The entry gets the new configuration from its peers, so the key stops working there within the two
 // seconds that operators are promised. Exactly one copy is sent to the entry that lacks it, not one
 // between each pair of entries.
-func TestSettingsReachAnEntryThatTheStoreTurnsAway(t *testing.T) {
+func TestConfigReachesAnEntryThatTheStoreRefuses(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -276,10 +276,10 @@
 		settle()
 		n := w.nodes["d1-1"]
 		w.mu.Lock()
-		before := w.copies
+		before := w.configCopies
 		w.mu.Unlock()
 		w.store.mu.Lock()
-		w.store.refused = map[string]bool{n.host: true}
+		w.store.refusedHosts = map[string]bool{n.host: true}
 		w.store.put("op/config", mustJSON(simConfig(2)), 0)
 		w.store.mu.Unlock()
 		time.Sleep(2 * time.Second)
@@ -287,10 +287,10 @@
 			is.Equal(x.node.Config().Version, uint64(2))
 		}
 		w.mu.Lock()
-		is.Equal(w.copies-before, 1)
+		is.Equal(w.configCopies-before, 1)
 		w.mu.Unlock()
 		w.store.mu.Lock()
-		w.store.refused = nil
+		w.store.refusedHosts = nil
 		w.store.mu.Unlock()
 		w.end()
 	})
@@ -299,16 +299,16 @@
 // The planner's failure domain is partitioned from the store and the other domains. The standby takes
 // over and knows what runs there, so jobs accepted before go on at once in the other domains, and no
 // task runs on both sides.
-func TestPlannerCutOffWithItsDomain(t *testing.T) {
+func TestStandbyTakesOverFromPartitionedPlanner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 3, 3, 9)
 		settle()
-		ids := w.jobs(0, 30)
+		ids := w.submitJobs(0, 30)
 		p := w.planner()
 		w.mu.Lock()
-		w.cut[p.domain] = true
+		w.partitioned[p.domain] = true
 		w.mu.Unlock()
 		partitionedAt := time.Now()
 		time.Sleep(4 * time.Second)
@@ -324,7 +324,7 @@
 		is.True(started > 0)
 		time.Sleep(8*time.Second - time.Since(partitionedAt))
 		w.mu.Lock()
-		w.cut[p.domain] = false
+		w.partitioned[p.domain] = false
 		w.mu.Unlock()
 		w.awaitAll(ids, 30*time.Second)
 		w.end()
@@ -333,12 +333,12 @@
 
 // All entries lose power at once and restart. No accepted job is lost, and runs that go on at the
 // workers are found and not started again.
-func TestAllEntriesKilled(t *testing.T) {
+func TestJobsSurviveThePowerLossOfAllEntries(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 4, 3, 9)
 		settle()
-		ids := w.jobs(0, 12)
+		ids := w.submitJobs(0, 12)
 		for _, n := range w.nodes {
 			n.kill()
 		}
@@ -359,7 +359,7 @@
 		is := is.New(t)
 		w := newWorld(t, 5, 3, 9)
 		settle()
-		ids := w.jobs(0, 8)
+		ids := w.submitJobs(0, 8)
 		p := w.planner()
 		begin := time.Now()
 		p.stop()
@@ -374,26 +374,26 @@
 
 // The store is down for some seconds, and the responses to some writes are lost before and after that.
 // Submissions are refused or uncertain meanwhile, and accepted jobs run exactly once.
-func TestStoreDown(t *testing.T) {
+func TestAcceptedJobsRunOnceAfterAStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 6, 3, 9)
 		settle()
 		w.store.mu.Lock()
-		w.store.lossy = true
+		w.store.losesResponses = true
 		w.store.mu.Unlock()
-		ids := w.jobs(0, 8)
-		w.setDown(true)
+		ids := w.submitJobs(0, 8)
+		w.setStoreUnavailable(true)
 		time.Sleep(5 * time.Second)
-		w.setDown(false)
-		ids = append(ids, w.jobs(8, 12)...)
+		w.setStoreUnavailable(false)
+		ids = append(ids, w.submitJobs(8, 12)...)
 		w.awaitAll(ids, 40*time.Second)
 		w.end()
 	})
 }
 
 // setStoreUnavailable makes all calls to the store time out, or ends that.
-func (w *world) setDown(down bool) {
+func (w *world) setStoreUnavailable(down bool) {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	w.store.down = down
@@ -401,30 +401,30 @@
 
 // Only the store is down. Jobs accepted before go on: the same planner starts their next phases until
 // the store is back.
-func TestWorkGoesOnWithoutTheStore(t *testing.T) {
+func TestWorkContinuesWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 7, 3, 3)
 		settle()
-		ids := w.jobs(0, 12)
+		ids := w.submitJobs(0, 12)
 		p := w.planner()
 		l := p.node.lead.Load()
-		w.setDown(true)
+		w.setStoreUnavailable(true)
 		time.Sleep(2 * time.Second) // Longer than the lease on the office.
 		var before, after fleet.Counts
 		is.NoErr(l.duty.Do(w.ctx, func() { before = l.planner.Counts() }))
 		time.Sleep(2 * time.Second)
 		is.NoErr(l.duty.Do(w.ctx, func() { after = l.planner.Counts() }))
 		is.True(after.Started > before.Started)
-		w.setDown(false)
+		w.setStoreUnavailable(false)
 		w.awaitAll(ids, 40*time.Second)
 		w.end()
 	})
 }
 
 // playRandomFaults injects faults of all kinds, several at a time, and ends each after a random time.
-func (w *world) randomFaults(steps int) {
+func (w *world) playRandomFaults(steps int) {
 	for range steps {
 		time.Sleep(time.Duration(300+w.intn(2000)) * time.Millisecond)
 		length := time.Duration(500+w.intn(7000)) * time.Millisecond
@@ -433,50 +433,50 @@
 		switch kind {
 		case 0:
 			if p := w.planner(); p != nil {
-				w.restart(p, length/4)
+				w.killAndRestart(p, length/4)
 			}
 		case 1:
-			w.restart(w.anyNode(), length/4)
+			w.killAndRestart(w.randomNode(), length/4)
 		case 2:
 			for _, n := range w.nodes {
 				if w.intn(2) == 0 {
-					w.restart(n, length/4)
+					w.killAndRestart(n, length/4)
 				}
 			}
 		case 3:
-			domain := w.anyNode().domain
-			w.during(length, func(on bool) { w.cut[domain] = on })
+			domain := w.randomNode().domain
+			w.injectFor(length, func(on bool) { w.partitioned[domain] = on })
 		case 4:
-			w.during(length, func(on bool) { w.setDown(on) })
+			w.injectFor(length, func(on bool) { w.setStoreUnavailable(on) })
 		case 5:
-			w.during(length, func(on bool) {
+			w.injectFor(length, func(on bool) {
 				w.store.mu.Lock()
-				w.store.lossy = on
+				w.store.losesResponses = on
 				w.store.mu.Unlock()
 			})
 		case 6:
 			x := w.workers[fmt.Sprintf("w%d", w.intn(len(w.workers)))]
-			w.during(length, func(on bool) {
+			w.injectFor(length, func(on bool) {
 				x.mu.Lock()
-				x.mute = on
+				x.losesResponses = on
 				x.mu.Unlock()
 			})
 		case 7:
 			if p := w.planner(); p != nil {
 				p.stop()
-				w.restart(p, length/4)
+				w.killAndRestart(p, length/4)
 			}
 		}
 	}
 }
 
 // randomNode returns a random entry.
-func (w *world) anyNode() *simNode {
-	return w.nodes[fmt.Sprintf("d%d-%d", w.intn(len(w.nodes)/perDomain), w.intn(perDomain))]
+func (w *world) randomNode() *simNode {
+	return w.nodes[fmt.Sprintf("d%d-%d", w.intn(len(w.nodes)/entriesPerDomain), w.intn(entriesPerDomain))]
 }
 
 // killAndRestart kills an entry that runs, and restarts it after a delay.
-func (w *world) restart(n *simNode, delay time.Duration) {
+func (w *world) killAndRestart(n *simNode, delay time.Duration) {
 	w.mu.Lock()
 	running := n.node != nil
 	w.mu.Unlock()
@@ -493,7 +493,7 @@
 }
 
 // injectFor turns a fault on and, after a time, off again. It calls set with the world's mutex held.
-func (w *world) during(length time.Duration, set func(on bool)) {
+func (w *world) injectFor(length time.Duration, set func(on bool)) {
 	w.mu.Lock()
 	set(true)
 	w.mu.Unlock()
@@ -522,8 +522,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, seed, 3, 9)
 				settle()
-				w.group.Go(func() { w.randomFaults(12) })
-				ids := w.jobs(0, 40)
+				w.group.Go(func() { w.playRandomFaults(12) })
+				ids := w.submitJobs(0, 40)
 				time.Sleep(30 * time.Second)
 				w.awaitAll(ids, 60*time.Second)
 				w.end()
--- a/region/jobs_test.go
+++ b/region/jobs_test.go
@@ -45,7 +45,7 @@
 		is := is.NewRelaxed(t)
 		w := newWorld(t, 82, 3, 9)
 		settle()
-		w.last("00000000000000c2", 3)
+		w.startLasting("00000000000000c2", 3)
 		begin := time.Now()
 		state, result := w.nodes["d0-0"].node.State(w.ctx, "00000000000000c2")
 		is.True(result.OK())
--- a/region/keep_test.go
+++ b/region/keep_test.go
@@ -20,7 +20,7 @@
 		w := newWorld(t, 51, 3, 9)
 		settle()
 		w.store.mu.Lock()
-		w.store.slow = 300 * time.Millisecond
+		w.store.extraDelay = 300 * time.Millisecond
 		w.store.mu.Unlock()
 		for i := range 60 {
 			id := fmt.Sprintf("%016x", i)
--- a/region/lag_test.go
+++ b/region/lag_test.go
@@ -16,7 +16,7 @@
 		is := is.NewRelaxed(t)
 		w := newWorld(t, 71, 3, 9)
 		settle()
-		w.last("00000000000000a1", 12)
+		w.startLasting("00000000000000a1", 12)
 		time.Sleep(5 * time.Second)
 		first := w.planner()
 		l := first.node.lead.Load()
@@ -29,7 +29,7 @@
 		}
 		is.True(w.planner() != first)
 		time.Sleep(3 * time.Second)
-		is.Equal(w.lastingUp(), 12)
+		is.Equal(w.runningLasting(), 12)
 		w.end()
 	})
 }
--- a/region/lasting_test.go
+++ b/region/lasting_test.go
@@ -12,61 +12,61 @@
 
 const (
 	// lastingCommand is the command of tasks that run until they are stopped.
-	lastingWork = "last"
+	lastingCommand = "last"
 	// maxRestartDelay is how soon a lasting task must run again after its run has ended, while there
 	// is free capacity for it.
-	lastingAim = 6 * time.Second
+	maxRestartDelay = 6 * time.Second
 )
 
 // lastingStatus tracks which lasting tasks run at the workers. The world's mutex guards it.
-type lastingView struct {
+type lastingStatus struct {
 	// downSince holds, by task, when its last run ended; zero while it runs.
-	down map[winch.RunID]time.Time
+	downSince map[winch.RunID]time.Time
 	// longestDowntime is the longest time that a task was down.
-	longest time.Duration
+	longestDowntime time.Duration
 }
 
 // runStarted records that a run of a lasting task has started.
-func (v *lastingView) began(w *world, task winch.RunID) {
-	if v.down == nil {
-		v.down = make(map[winch.RunID]time.Time)
+func (v *lastingStatus) runStarted(w *world, task winch.RunID) {
+	if v.downSince == nil {
+		v.downSince = make(map[winch.RunID]time.Time)
 	}
-	if at, down := v.down[task]; down && !at.IsZero() {
-		v.back(w, task, time.Since(at))
+	if at, down := v.downSince[task]; down && !at.IsZero() {
+		v.checkDowntime(w, task, time.Since(at))
 	}
-	v.down[task] = time.Time{}
+	v.downSince[task] = time.Time{}
 }
 
 // runEnded records that a run of a task has ended.
-func (v *lastingView) ended(task winch.RunID) {
-	if _, lasting := v.down[task]; lasting {
-		v.down[task] = time.Now()
+func (v *lastingStatus) runEnded(task winch.RunID) {
+	if _, lasting := v.downSince[task]; lasting {
+		v.downSince[task] = time.Now()
 	}
 }
 
 // checkDowntime checks how long a task was down. The random tests have checks of their own.
-func (v *lastingView) back(w *world, task winch.RunID, downtime time.Duration) {
-	v.longest = max(v.longest, downtime)
-	if w.windows == nil && downtime > lastingAim {
-		w.breaks("%v: lasting task %v did not run for %v", time.Since(w.log.begin), task, downtime)
+func (v *lastingStatus) checkDowntime(w *world, task winch.RunID, downtime time.Duration) {
+	v.longestDowntime = max(v.longestDowntime, downtime)
+	if w.downtimeChecks == nil && downtime > maxRestartDelay {
+		w.reportViolation("%v: lasting task %v did not run for %v", time.Since(w.log.startedAt), task, downtime)
 	}
 }
 
 // startLasting submits a job with lasting tasks, and waits until they all run.
-func (w *world) last(id string, count int) {
-	phase := winch.Phase{Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork, Lasting: true}
-	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingWork, Phases: []winch.Phase{phase}})
-	for w.lastingUp() < count && w.ctx.Err() == nil {
+func (w *world) startLasting(id string, count int) {
+	phase := winch.Phase{Count: count, Need: winch.Room{Milli: taskMilli}, Estimate: taskDuration, Lasting: true}
+	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingCommand, Phases: []winch.Phase{phase}})
+	for w.runningLasting() < count && w.ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 // runningLasting returns the number of lasting tasks that run.
-func (w *world) lastingUp() int {
+func (w *world) runningLasting() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	running := 0
-	for _, at := range w.lasting.down {
+	for _, at := range w.lasting.downSince {
 		if at.IsZero() {
 			running++
 		}
@@ -75,33 +75,33 @@
 }
 
 // checkDownLasting checks how long the lasting tasks that do not run have been down.
-func (w *world) endLasting() {
+func (w *world) checkDownLasting() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for task, at := range w.lasting.down {
+	for task, at := range w.lasting.downSince {
 		if !at.IsZero() {
-			w.lasting.back(w, task, time.Since(at))
+			w.lasting.checkDowntime(w, task, time.Since(at))
 		}
 	}
 }
 
 // terminateWorker ends a worker's process: its runs end, and it responds to nothing.
-func (w *world) endWorker(id string) {
+func (w *world) terminateWorker(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x := w.workers[id]
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for key := range x.runs {
-		x.end(w, key, winch.EndLapsed)
+		x.endRun(w, key, winch.EndLapsed)
 	}
-	x.down, x.over = true, true
+	x.unresponsive, x.terminated = true, true
 	w.log.note("worker %s is terminated", id)
 }
 
 // leave ends a worker that leaves as announced: its record is removed with it.
 func (w *world) leave(id string) {
-	w.endWorker(id)
+	w.terminateWorker(id)
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	w.store.remove("workers/" + id)
@@ -126,15 +126,15 @@
 }
 
 // busiestWorker returns the worker whose runs take the most capacity.
-func (w *world) busiest() string {
+func (w *world) busiestWorker() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	best := ""
 	for id, x := range w.workers {
-		if x.over {
+		if x.terminated {
 			continue
 		}
-		if best == "" || x.used > w.workers[best].used || x.used == w.workers[best].used && id < best {
+		if best == "" || x.usedMilli > w.workers[best].usedMilli || x.usedMilli == w.workers[best].usedMilli && id < best {
 			best = id
 		}
 	}
@@ -143,11 +143,11 @@
 
 // stopInSeries stops entries as planned, one every two seconds, each time the planner if there is one.
 // Each process ends two seconds after its stop and is restarted 300 ms later.
-func (w *world) stopsInSeries(count int) {
+func (w *world) stopInSeries(count int) {
 	for range count {
 		n := w.planner()
 		if n == nil {
-			n = w.anyNode()
+			n = w.randomNode()
 		}
 		n.stop()
 		w.group.Go(func() {
@@ -168,7 +168,7 @@
 // runs there may go on until the last lease expires, and each keeper that was assigned the worker knew
 // nothing of that lease and assumed the longest possible one from its own start. The worker was
 // reported as lost 7.7 s after its last assignment had begun, however long ago it had left.
-func TestLastingTaskIsBackWhileEntriesStopInSeries(t *testing.T) {
+func TestLastingTaskRestartsWhileEntriesStopInSeries(t *testing.T) {
 	t.Parallel()
 	for _, millis := range []int{0, 30, 300, 700, 1100, 1400} {
 		after := time.Duration(millis) * time.Millisecond
@@ -176,16 +176,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 21, 3, 9)
 				settle()
-				w.last("00000000000000a1", 12)
+				w.startLasting("00000000000000a1", 12)
 				time.Sleep(2 * time.Second)
 				w.group.Go(func() {
 					time.Sleep(after)
-					w.leave(w.busiest())
+					w.leave(w.busiestWorker())
 				})
-				w.stopsInSeries(8)
+				w.stopInSeries(8)
 				time.Sleep(10 * time.Second)
-				w.endLasting()
-				t.Log("longest time down:", w.lasting.longest)
+				w.checkDownLasting()
+				t.Log("longest time down:", w.lasting.longestDowntime)
 				w.end()
 			})
 		})
@@ -195,7 +195,7 @@
 // A worker leaves and nothing else happens. Its runs may go on until the lease expires, also on a slow
 // clock. A lease of the longest duration that workers accept would leave nothing of the six seconds
 // for starting the tasks elsewhere.
-func TestLastingTaskIsBackAfterItsWorkerIsGone(t *testing.T) {
+func TestLastingTaskRestartsAfterItsWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, millis := range []int{0, 400, 800, 1200, 1600} {
 		after := time.Duration(millis) * time.Millisecond
@@ -203,12 +203,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 22, 3, 9)
 				settle()
-				w.last("00000000000000a1", 12)
+				w.startLasting("00000000000000a1", 12)
 				time.Sleep(2*time.Second + after)
-				w.leave(w.busiest())
+				w.leave(w.busiestWorker())
 				time.Sleep(10 * time.Second)
-				w.endLasting()
-				t.Log("longest time down:", w.lasting.longest)
+				w.checkDownLasting()
+				t.Log("longest time down:", w.lasting.longestDowntime)
 				w.end()
 			})
 		})
@@ -225,19 +225,19 @@
 		is := is.New(t)
 		w := newWorld(t, 23, 3, 9)
 		settle()
-		w.last("00000000000000a1", 12)
+		w.startLasting("00000000000000a1", 12)
 		time.Sleep(time.Second)
 		for range 3 {
-			id := w.busiest()
+			id := w.busiestWorker()
 			w.drain(id)
 			time.Sleep(3 * time.Second)
 			is.Equal(w.runsAt(id), 0)
-			is.Equal(w.lastingUp(), 12)
+			is.Equal(w.runningLasting(), 12)
 			w.leave(id)
 		}
 		time.Sleep(8 * time.Second)
-		w.endLasting()
-		t.Log("longest time down:", w.lasting.longest)
+		w.checkDownLasting()
+		t.Log("longest time down:", w.lasting.longestDowntime)
 		w.end()
 	})
 }
--- a/region/lastrand_test.go
+++ b/region/lastrand_test.go
@@ -20,196 +20,196 @@
 const (
 	// maxDowntime is how long a lasting task may stay down beyond maxRestartDelay, while there is free
 	// capacity for minSpareSlots such tasks and no disturbance.
-	downMost = 3 * time.Second
+	maxDowntime = 3 * time.Second
 	// recoveryTime is how long the region may need to recover from a disturbance; until then
 	// downtime does not count.
-	calmBefore = 4 * time.Second
+	recoveryTime = 4 * time.Second
 	// minSpareSlots is the free capacity, in tasks, that must exist for a waiting task to count as late.
-	roomOver = 2
+	minSpareSlots = 2
 	// maxDrainDelay is how long after its announcement a draining worker may still be given work.
-	drainAim = 2 * time.Second
+	maxDrainDelay = 2 * time.Second
 	// crashedRecordLifetime is how long the record of a worker that crashed stays listed.
-	entryLives = 4500 * time.Millisecond
+	crashedRecordLifetime = 4500 * time.Millisecond
 	// workerClockDrift is the fraction by which a worker's clock may be slower than the entries'.
-	slowClock = 0.02
+	workerClockDrift = 0.02
 )
 
 // downtimeChecker checks, in the random tests, that no lasting task is down for longer than users are
 // promised. Kills, crashes, network partitions, pauses, unresponsive workers and store faults are
 // disturbances, which excuse downtime. Planned stops of entries and announced departures of workers
 // are not. The world's mutex guards it.
-type lastingWindows struct {
+type downtimeChecker struct {
 	// disturbances counts the disturbances that go on; undisturbedSince is when the last one began or ended.
-	disturbed int
-	calm      time.Time
+	disturbances     int
+	undisturbedSince time.Time
 	// plannedAt is when the last planned stop or departure began.
-	planned time.Time
+	plannedAt time.Time
 	// spareSince is since when there has always been free capacity; zero if there is none.
-	room time.Time
+	spareSince time.Time
 	// reported holds the tasks whose present downtime has been reported.
-	told map[winch.RunID]bool
+	reported map[winch.RunID]bool
 }
 
 // addDisturbance records that a disturbance begins or ends. The world's mutex is held.
-func (v *lastingWindows) disturb(on bool) {
-	v.calm = time.Now()
+func (v *downtimeChecker) addDisturbance(on bool) {
+	v.undisturbedSince = time.Now()
 	if on {
-		v.disturbed++
+		v.disturbances++
 	} else {
-		v.disturbed--
+		v.disturbances--
 	}
 }
 
 // undisturbedTime returns for how long there has been no disturbance.
-func (v *lastingWindows) calmFor() time.Duration {
-	if v.disturbed > 0 {
+func (v *downtimeChecker) undisturbedTime() time.Duration {
+	if v.disturbances > 0 {
 		return 0
 	}
-	return time.Since(v.calm)
+	return time.Since(v.undisturbedSince)
 }
 
 // check checks all lasting tasks.
-func (v *lastingWindows) look(w *world) {
-	v.lookRoom(w)
-	for task, at := range w.lasting.down {
+func (v *downtimeChecker) check(w *world) {
+	v.updateSpare(w)
+	for task, at := range w.lasting.downSince {
 		if at.IsZero() {
-			delete(v.told, task)
+			delete(v.reported, task)
 			continue
 		}
-		late := time.Since(at) >= lastingAim+downMost && v.calmFor() >= calmBefore+downMost &&
-			!v.room.IsZero() && time.Since(v.room) >= downMost
-		if late && !v.told[task] {
-			v.told[task] = true
-			w.breaks("%v: lasting task %v has been down for %v, with free capacity for %v and no disturbance for %v",
-				time.Since(w.log.begin), task, time.Since(at), time.Since(v.room), v.calmFor())
+		late := time.Since(at) >= maxRestartDelay+maxDowntime && v.undisturbedTime() >= recoveryTime+maxDowntime &&
+			!v.spareSince.IsZero() && time.Since(v.spareSince) >= maxDowntime
+		if late && !v.reported[task] {
+			v.reported[task] = true
+			w.reportViolation("%v: lasting task %v has been down for %v, with free capacity for %v and no disturbance for %v",
+				time.Since(w.log.startedAt), task, time.Since(at), time.Since(v.spareSince), v.undisturbedTime())
 		}
 	}
 }
 
 // updateSpare updates since when there has been free capacity. It is called whenever there may be less.
-func (v *lastingWindows) lookRoom(w *world) {
+func (v *downtimeChecker) updateSpare(w *world) {
 	slots := int64(0)
 	for _, x := range w.workers {
-		if !x.over && !x.down && x.leaving.IsZero() && !w.cut[x.vm.Domain] {
-			slots += (x.vm.Room.Milli - x.used) / simMilli
+		if !x.terminated && !x.unresponsive && x.drainingSince.IsZero() && !w.partitioned[x.vm.Domain] {
+			slots += (x.vm.Room.Milli - x.usedMilli) / taskMilli
 		}
 	}
-	if slots < roomOver {
-		v.room = time.Time{}
-	} else if v.room.IsZero() {
-		v.room = time.Now()
+	if slots < minSpareSlots {
+		v.spareSince = time.Time{}
+	} else if v.spareSince.IsZero() {
+		v.spareSince = time.Now()
 	}
 }
 
 // runStarted checks the start of a run of a lasting task, and makes some runs fail by themselves later.
-func (v *lastingWindows) begins(w *world, x *simWorker, r *simRun) {
+func (v *downtimeChecker) runStarted(w *world, x *simWorker, r *simRun) {
 	if v == nil {
 		return
 	}
-	v.lookRoom(w)
+	v.updateSpare(w)
 	if w.intn(4) == 0 {
 		r.end, r.fails = time.Now().Add(time.Duration(1+w.intn(30))*time.Second), true
 	}
-	if !x.leaving.IsZero() && time.Since(x.leaving) > drainAim && v.calmFor() > calmBefore {
-		w.breaks("%v: draining worker %s is given work %v after its announcement", time.Since(w.log.begin), x.vm.ID, time.Since(x.leaving))
+	if !x.drainingSince.IsZero() && time.Since(x.drainingSince) > maxDrainDelay && v.undisturbedTime() > recoveryTime {
+		w.reportViolation("%v: draining worker %s is given work %v after its announcement", time.Since(w.log.startedAt), x.vm.ID, time.Since(x.drainingSince))
 	}
 }
 
 // startDowntimeChecks starts the checks of downtime outside disturbances.
-func (w *world) checksWindows() {
+func (w *world) startDowntimeChecks() {
 	w.mu.Lock()
-	w.windows = &lastingWindows{calm: time.Now(), told: make(map[winch.RunID]bool)}
+	w.downtimeChecks = &downtimeChecker{undisturbedSince: time.Now(), reported: make(map[winch.RunID]bool)}
 	w.mu.Unlock()
-	w.group.Go(func() { w.windows.watch(w) })
+	w.group.Go(func() { w.downtimeChecks.watch(w) })
 }
 
 // watch runs check until the world ends.
-func (v *lastingWindows) watch(w *world) {
+func (v *downtimeChecker) watch(w *world) {
 	for w.ctx.Err() == nil {
 		time.Sleep(50 * time.Millisecond)
 		w.mu.Lock()
-		v.look(w)
+		v.check(w)
 		w.mu.Unlock()
 	}
 }
 
 // randomScenario plays the operator's planned work and faults, both as drawn from the seed.
-type lastingRun struct {
+type randomScenario struct {
 	world *world
 	rand  *rand.Rand
 	// restarting says that a rolling restart of entries goes on; there is one at a time. The world's
 	// mutex guards it.
-	rolling bool
-	named   int // workerIDs counts the worker IDs that were assigned.
-	turn    int // stoppedEntries counts the entries of all rolling restarts.
+	restarting     bool
+	workerIDs      int // workerIDs counts the worker IDs that were assigned.
+	stoppedEntries int // stoppedEntries counts the entries of all rolling restarts.
 	// partialFaultWeight is the weight of partial faults in draws in which all else together has seven.
-	wide int
+	partialFaultWeight int
 }
 
 // randomDuration draws a duration from low up to high.
-func (r *lastingRun) between(low, high time.Duration) time.Duration {
+func (r *randomScenario) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.rand.Int64N(int64(high-low)))
 }
 
 // oneIn draws whether an event with a probability of 1/n happens.
-func (r *lastingRun) chance(n int) bool { return r.rand.IntN(n) == 0 }
+func (r *randomScenario) oneIn(n int) bool { return r.rand.IntN(n) == 0 }
 
 // play alternates between periods in which all kinds of faults overlap with planned work, and periods
 // of planned work alone, to which the promised bounds apply.
-func (r *lastingRun) play(rounds int) {
+func (r *randomScenario) play(rounds int) {
 	for range rounds {
-		for end := time.Now().Add(r.between(time.Second, 8*time.Second)); time.Now().Before(end); {
-			r.trouble()
-			time.Sleep(r.between(200*time.Millisecond, 3*time.Second))
+		for end := time.Now().Add(r.randomDuration(time.Second, 8*time.Second)); time.Now().Before(end); {
+			r.playDisturbed()
+			time.Sleep(r.randomDuration(200*time.Millisecond, 3*time.Second))
 		}
-		for end := time.Now().Add(r.between(9*time.Second, 18*time.Second)); time.Now().Before(end); {
-			r.planned()
-			time.Sleep(r.between(200*time.Millisecond, 3*time.Second))
+		for end := time.Now().Add(r.randomDuration(9*time.Second, 18*time.Second)); time.Now().Before(end); {
+			r.playPlanned()
+			time.Sleep(r.randomDuration(200*time.Millisecond, 3*time.Second))
 		}
 	}
 }
 
 // playPlanned draws and plays planned work, or nothing.
-func (r *lastingRun) planned() {
+func (r *randomScenario) playPlanned() {
 	switch r.rand.IntN(3) {
 	case 0:
-		r.rolls()
+		r.rollingRestart()
 	case 1:
-		r.replaces()
+		r.replaceWorkers()
 	}
 }
 
 // playDisturbed draws and plays a fault or planned work.
-func (r *lastingRun) trouble() {
-	switch r.rand.IntN(7 + r.wide) {
+func (r *randomScenario) playDisturbed() {
+	switch r.rand.IntN(7 + r.partialFaultWeight) {
 	case 0:
-		r.kills(r.world.planner())
+		r.killAndRestart(r.world.planner())
 	case 1:
-		r.kills(r.world.anyNode())
+		r.killAndRestart(r.world.randomNode())
 	case 2, 3:
-		r.crashes()
+		r.crashWorker()
 	case 4, 5, 6:
-		r.planned()
+		r.playPlanned()
 	default:
-		r.meddles()
+		r.playPartialFault()
 	}
 }
 
 // rollingRestart restarts several entries as planned, one after the other: in turn, or each time the
 // present planner.
-func (r *lastingRun) rolls() {
+func (r *randomScenario) rollingRestart() {
 	w := r.world
 	w.mu.Lock()
-	ongoing := r.rolling
-	r.rolling = true
+	ongoing := r.restarting
+	r.restarting = true
 	w.mu.Unlock()
 	if ongoing {
 		return
 	}
-	count, interval, plannerFirst := 3+r.rand.IntN(8), r.between(1500*time.Millisecond, 3*time.Second), r.chance(2)
-	grace, pause := r.between(time.Second, 2500*time.Millisecond), r.between(100*time.Millisecond, 400*time.Millisecond)
-	first := r.turn
-	r.turn += count
+	count, interval, plannerFirst := 3+r.rand.IntN(8), r.randomDuration(1500*time.Millisecond, 3*time.Second), r.oneIn(2)
+	grace, pause := r.randomDuration(time.Second, 2500*time.Millisecond), r.randomDuration(100*time.Millisecond, 400*time.Millisecond)
+	first := r.stoppedEntries
+	r.stoppedEntries += count
 	w.log.note("rolling restart of %d entries, one every %v, each time the planner: %v", count, interval, plannerFirst)
 	w.group.Go(func() {
 		for i := range count {
@@ -217,11 +217,11 @@
 			if p := w.planner(); plannerFirst && p != nil {
 				n = p
 			}
-			w.stopsAsPlanned(n, grace, pause)
+			w.stopAsPlanned(n, grace, pause)
 			time.Sleep(interval)
 		}
 		w.mu.Lock()
-		r.rolling = false
+		r.restarting = false
 		w.mu.Unlock()
 	})
 }
@@ -229,12 +229,12 @@
 // nodeAt returns the i-th entry, where consecutive entries are in different failure domains.
 func (w *world) nodeAt(i int) *simNode {
 	names := slices.Sorted(maps.Keys(w.nodes))
-	return w.nodes[names[i*perDomain%len(names)+i*perDomain/len(names)%perDomain]]
+	return w.nodes[names[i*entriesPerDomain%len(names)+i*entriesPerDomain/len(names)%entriesPerDomain]]
 }
 
 // stopAsPlanned asks an entry to stop, kills its process after the grace period and restarts it after
 // a pause.
-func (w *world) stopsAsPlanned(n *simNode, grace, pause time.Duration) {
+func (w *world) stopAsPlanned(n *simNode, grace, pause time.Duration) {
 	w.mu.Lock()
 	node := n.node
 	w.mu.Unlock()
@@ -242,31 +242,31 @@
 		return
 	}
 	w.log.note("entry %s is asked to stop", node.Name)
-	w.roughNow()
-	w.plannedNow()
+	w.noteEntryDisturbed()
+	w.notePlanned()
 	w.group.Go(func() { node.Stop(w.ctx) })
 	w.group.Go(func() {
 		time.Sleep(grace)
 		if n.killBoot(node) { // A random fault may have killed it before.
 			w.log.note("entry %s has ended as planned", node.Name)
 			time.Sleep(pause)
-			w.startAgain(n)
-			w.roughNow()
+			w.startUnlessEnded(n)
+			w.noteEntryDisturbed()
 		}
 	})
 }
 
 // startUnlessEnded starts an entry unless the test is over.
-func (w *world) startAgain(n *simNode) {
+func (w *world) startUnlessEnded(n *simNode) {
 	if w.ctx.Err() == nil {
 		n.start()
 	}
 }
 
 // killAndRestart kills an entry, possibly during a planned stop, and restarts it after a pause.
-func (r *lastingRun) kills(n *simNode) {
+func (r *randomScenario) killAndRestart(n *simNode) {
 	w := r.world
-	pause := r.between(50*time.Millisecond, 3*time.Second)
+	pause := r.randomDuration(50*time.Millisecond, 3*time.Second)
 	if n == nil {
 		return
 	}
@@ -277,50 +277,50 @@
 		return
 	}
 	w.log.note("entry %s is killed", node.Name)
-	w.disturb(true)
-	w.roughNow()
+	w.addDisturbance(true)
+	w.noteEntryDisturbed()
 	w.group.Go(func() {
 		time.Sleep(pause)
-		w.startAgain(n)
-		w.roughNow()
-		w.disturb(false)
+		w.startUnlessEnded(n)
+		w.noteEntryDisturbed()
+		w.addDisturbance(false)
 	})
 }
 
 // noteEntryDisturbed records that an entry is disturbed now; see crashCounter.
-func (w *world) roughNow() {
+func (w *world) noteEntryDisturbed() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.crashes.roughUntil(time.Now())
+	w.crashes.addDisturbance(time.Now())
 }
 
 // addDisturbance records that a disturbance begins or ends.
-func (w *world) disturb(on bool) {
+func (w *world) addDisturbance(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.windows.disturb(on)
+	w.downtimeChecks.addDisturbance(on)
 }
 
 // newWorker starts a worker under a new ID, half of them with a slow clock, and returns the ID.
-func (r *lastingRun) newWorker(domain string) string {
-	r.named++
-	id := fmt.Sprintf("x%d", r.named)
-	drift := slowClock * float64(r.rand.IntN(2))
-	r.world.boot(simVM(id, id, domain), drift)
+func (r *randomScenario) newWorker(domain string) string {
+	r.workerIDs++
+	id := fmt.Sprintf("x%d", r.workerIDs)
+	drift := workerClockDrift * float64(r.rand.IntN(2))
+	r.world.bootWorker(simVM(id, id, domain), drift)
 	r.world.log.note("worker %s is added", id)
 	return id
 }
 
 // pickWorker returns a worker that neither drains nor has ended: half of the time the busiest, else a
 // random one.
-func (r *lastingRun) pick() *simWorker {
-	busiest := r.chance(2)
+func (r *randomScenario) pickWorker() *simWorker {
+	busiest := r.oneIn(2)
 	w := r.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []*simWorker
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if x := w.workers[id]; !x.over && x.leaving.IsZero() {
+		if x := w.workers[id]; !x.terminated && x.drainingSince.IsZero() {
 			all = append(all, x)
 		}
 	}
@@ -328,37 +328,37 @@
 		return nil
 	}
 	if busiest {
-		return slices.MaxFunc(all, func(a, b *simWorker) int { return int(a.used - b.used) })
+		return slices.MaxFunc(all, func(a, b *simWorker) int { return int(a.usedMilli - b.usedMilli) })
 	}
 	return all[r.rand.IntN(len(all))]
 }
 
 // replaceWorkers replaces workers one after the other: a new one is added, and then an old one
 // announces that it leaves and ends some seconds later.
-func (r *lastingRun) replaces() {
+func (r *randomScenario) replaceWorkers() {
 	count := 1 + r.rand.IntN(4)
-	interval := r.between(500*time.Millisecond, 1500*time.Millisecond)
+	interval := r.randomDuration(500*time.Millisecond, 1500*time.Millisecond)
 	for range count {
-		x := r.pick()
+		x := r.pickWorker()
 		if x == nil {
 			return
 		}
 		r.newWorker(x.vm.Domain)
-		drainTime := r.between(3*time.Second, 9*time.Second)
-		r.world.drains(x)
+		drainTime := r.randomDuration(3*time.Second, 9*time.Second)
+		r.world.drainBoot(x)
 		r.world.group.Go(func() {
 			time.Sleep(drainTime)
-			r.world.ends(x, true)
+			r.world.terminateBoot(x, true)
 		})
 		time.Sleep(interval)
 	}
 }
 
 // drainBoot makes a boot of a worker announce that it leaves.
-func (w *world) drains(x *simWorker) {
+func (w *world) drainBoot(x *simWorker) {
 	w.mu.Lock()
-	x.leaving, w.windows.planned = time.Now(), time.Now()
-	w.windows.lookRoom(w)
+	x.drainingSince, w.downtimeChecks.plannedAt = time.Now(), time.Now()
+	w.downtimeChecks.updateSpare(w)
 	vm := x.vm
 	w.mu.Unlock()
 	vm.Draining = true
@@ -369,34 +369,34 @@
 }
 
 // notePlanned records that planned work begins.
-func (w *world) plannedNow() {
+func (w *world) notePlanned() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.windows != nil {
-		w.windows.planned = time.Now()
+	if w.downtimeChecks != nil {
+		w.downtimeChecks.plannedAt = time.Now()
 	}
 }
 
 // terminateBoot ends a boot of a worker, unless it has ended before: its runs end and it responds to
 // nothing. If that is planned its record is removed too.
-func (w *world) ends(x *simWorker, planned bool) bool {
+func (w *world) terminateBoot(x *simWorker, planned bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over {
+	if x.terminated {
 		return false
 	}
 	for key := range x.runs {
-		x.end(w, key, winch.EndLapsed)
+		x.endRun(w, key, winch.EndLapsed)
 	}
-	x.down, x.over = true, true
-	if w.windows != nil {
-		w.windows.lookRoom(w)
+	x.unresponsive, x.terminated = true, true
+	if w.downtimeChecks != nil {
+		w.downtimeChecks.updateSpare(w)
 	}
 	w.log.note("worker %s, boot %d, is terminated, as planned: %v", x.vm.ID, x.vm.Born, planned)
 	if planned {
-		w.windows.planned = time.Now()
+		w.downtimeChecks.plannedAt = time.Now()
 		w.unlist(x)
 	}
 	return true
@@ -415,19 +415,19 @@
 
 // crashWorker ends a worker without an announcement. After a pause another boot follows: under the same
 // ID, under a new ID at the same address, or under a new ID and address.
-func (r *lastingRun) crashes() {
+func (r *randomScenario) crashWorker() {
 	w := r.world
-	x := r.pick()
-	if x == nil || !w.ends(x, false) {
+	x := r.pickWorker()
+	if x == nil || !w.terminateBoot(x, false) {
 		return
 	}
-	w.disturb(true)
-	w.disturb(false)
-	pause, successor := r.between(100*time.Millisecond, 9*time.Second), r.rand.IntN(3)
-	r.named++
-	id := fmt.Sprintf("x%d", r.named)
+	w.addDisturbance(true)
+	w.addDisturbance(false)
+	pause, successor := r.randomDuration(100*time.Millisecond, 9*time.Second), r.rand.IntN(3)
+	r.workerIDs++
+	id := fmt.Sprintf("x%d", r.workerIDs)
 	w.group.Go(func() {
-		time.Sleep(entryLives)
+		time.Sleep(crashedRecordLifetime)
 		w.unlist(x)
 	})
 	w.group.Go(func() {
@@ -440,17 +440,17 @@
 			address = id
 		}
 		w.log.note("worker %s is added at %s", id, address)
-		w.boot(simVM(id, address, x.vm.Domain), 0)
+		w.bootWorker(simVM(id, address, x.vm.Domain), 0)
 	})
 }
 
 // submitLasting submits a job with lasting tasks that have a response time target.
-func (w *world) lasts(id string, count int) {
+func (w *world) submitLasting(id string, count int) {
 	phase := winch.Phase{
-		Count: count, Need: winch.Room{Milli: simMilli}, Estimate: simWork,
+		Count: count, Need: winch.Room{Milli: taskMilli}, Estimate: taskDuration,
 		Lasting: true, Image: "serves", Target: servingTarget,
 	}
-	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingWork, Phases: []winch.Phase{phase}})
+	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingCommand, Phases: []winch.Phase{phase}})
 }
 
 // Lasting tasks run while entries are restarted as planned, the planner is killed, and workers leave,
@@ -479,15 +479,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, seed, 3, 9)
 				settle()
-				w.checksWindows()
-				w.lasts("00000000000000a1", 7)
-				w.lasts("00000000000000a2", 5)
-				r := &lastingRun{world: w, rand: rand.New(rand.NewPCG(seed, 2)), wide: partialFaultWeight}
-				jobs := w.jobsMeanwhile(24)
+				w.startDowntimeChecks()
+				w.submitLasting("00000000000000a1", 7)
+				w.submitLasting("00000000000000a2", 5)
+				r := &randomScenario{world: w, rand: rand.New(rand.NewPCG(seed, 2)), partialFaultWeight: partialFaultWeight}
+				jobs := w.startBackgroundJobs(24)
 				r.play(4)
-				r.rests()
+				r.awaitRecovery()
 				jobs.Wait()
-				w.allLast(12)
+				w.checkAllLasting(12)
 				w.end()
 			})
 		})
@@ -495,11 +495,11 @@
 }
 
 // startBackgroundJobs submits a job every three seconds and waits for the end of each.
-func (w *world) jobsMeanwhile(count int) *conc.WaitGroup {
+func (w *world) startBackgroundJobs(count int) *conc.WaitGroup {
 	group := conc.NewWaitGroup()
 	group.Go(func() {
 		for i := range count {
-			group.Go(func() { w.await(w.someJob(i), 60*time.Second) })
+			group.Go(func() { w.await(w.submitSomeJob(i), 60*time.Second) })
 			time.Sleep(3 * time.Second)
 		}
 	})
@@ -507,11 +507,11 @@
 }
 
 // awaitRecovery waits until no rolling restart goes on, and then long enough for the region to recover.
-func (r *lastingRun) rests() {
+func (r *randomScenario) awaitRecovery() {
 	for restarting := true; restarting; {
 		time.Sleep(time.Second)
 		r.world.mu.Lock()
-		restarting = r.rolling
+		restarting = r.restarting
 		r.world.mu.Unlock()
 	}
 	time.Sleep(20 * time.Second)
@@ -519,57 +519,57 @@
 
 // checkAllLasting checks, long after the last disturbance, that all lasting tasks run. A task whose run
 // has just failed by itself counts as running.
-func (w *world) allLast(count int) {
+func (w *world) checkAllLasting(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	running := 0
-	for task, at := range w.lasting.down {
-		if at.IsZero() || time.Since(at) < lastingAim {
+	for task, at := range w.lasting.downSince {
+		if at.IsZero() || time.Since(at) < maxRestartDelay {
 			running++
 			continue
 		}
 		w.log.note("lasting task %v has been down for %v", task, time.Since(at))
 	}
 	if running != count {
-		w.breaks("%d of %d lasting tasks run long after the last disturbance", running, count)
+		w.reportViolation("%d of %d lasting tasks run long after the last disturbance", running, count)
 	}
 }
 
 // gangTimedOut checks that the gang of a member that waited in vain was not left incomplete without a
 // disturbance. Planned work counts as one here, since the entry that starts the members may have been
 // stopped. The world's mutex is held.
-func (v *lastingWindows) alone(w *world, key simKey) {
+func (v *downtimeChecker) gangTimedOut(w *world, key runKey) {
 	w.log.note("gang member %v, run %d, ends because its gang was not complete in time", key.task, key.run)
-	if v != nil && v.calmFor() > calmBefore+gangTime && time.Since(v.planned) > calmBefore+gangTime {
-		w.breaks("%v: gang of %v was not complete in time, with no disturbance for %v", time.Since(w.log.begin), key.task, v.calmFor())
+	if v != nil && v.undisturbedTime() > recoveryTime+gangTimeout && time.Since(v.plannedAt) > recoveryTime+gangTimeout {
+		w.reportViolation("%v: gang of %v was not complete in time, with no disturbance for %v", time.Since(w.log.startedAt), key.task, v.undisturbedTime())
 	}
 }
 
 // playPartialFault plays a fault that leaves some of the region's connections working.
-func (r *lastingRun) meddles() {
+func (r *randomScenario) playPartialFault() {
 	w := r.world
-	length := r.between(300*time.Millisecond, 9*time.Second)
+	length := r.randomDuration(300*time.Millisecond, 9*time.Second)
 	switch r.rand.IntN(7) {
 	case 0, 1:
-		r.silences(length)
+		r.makeUnresponsive(length)
 	case 6:
-		r.freezes(length)
+		r.pauseEntry(length)
 	case 2:
-		r.cutsOneWay(length)
+		r.blockEntries(length)
 	case 3:
-		r.cutsWorker(length)
+		r.blockWorker(length)
 	case 4:
 		domain := fmt.Sprintf("d%d", r.rand.IntN(3))
 		w.log.note("failure domain %s is partitioned for %v", domain, length)
-		w.troubles(length, func(on bool) { w.cut[domain] = on })
+		w.disturbFor(length, func(on bool) { w.partitioned[domain] = on })
 	case 5:
-		lossy := r.chance(2)
+		lossy := r.oneIn(2)
 		w.log.note("the store is faulty for %v, losing responses instead of being down: %v", length, lossy)
-		w.troubles(length, func(on bool) {
+		w.disturbFor(length, func(on bool) {
 			w.store.mu.Lock()
 			defer w.store.mu.Unlock()
 			if lossy {
-				w.store.lossy = on
+				w.store.losesResponses = on
 			} else {
 				w.store.down = on
 			}
@@ -578,54 +578,54 @@
 }
 
 // disturbFor plays a disturbance for a time.
-func (w *world) troubles(length time.Duration, set func(on bool)) {
-	w.during(length, func(on bool) {
+func (w *world) disturbFor(length time.Duration, set func(on bool)) {
+	w.injectFor(length, func(on bool) {
 		set(on)
-		w.windows.disturb(on)
+		w.downtimeChecks.addDisturbance(on)
 		if on {
-			w.crashes.roughUntil(time.Now().Add(length))
+			w.crashes.addDisturbance(time.Now().Add(length))
 		}
 	})
 }
 
 // makeUnresponsive makes a worker stop responding for a time. Its runs go on until the lease expires.
-func (r *lastingRun) silences(length time.Duration) {
-	x := r.pick()
+func (r *randomScenario) makeUnresponsive(length time.Duration) {
+	x := r.pickWorker()
 	if x == nil {
 		return
 	}
 	w := r.world
 	w.log.note("worker %s is unresponsive for %v", x.vm.ID, length)
-	w.troubles(length, func(on bool) {
+	w.disturbFor(length, func(on bool) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.down = on || x.over
+		x.unresponsive = on || x.terminated
 	})
 }
 
 // pauseEntry pauses an entry as seen from outside: it reaches no one, and what is sent to it is handled
 // when it is resumed, unless it has been killed. Its own clocks go on, as in a suspended process.
-func (r *lastingRun) freezes(length time.Duration) {
+func (r *randomScenario) pauseEntry(length time.Duration) {
 	w := r.world
 	n := w.nodeAt(r.rand.IntN(len(w.nodes)))
-	if p := w.planner(); p != nil && r.chance(3) {
+	if p := w.planner(); p != nil && r.oneIn(3) {
 		n = p
 	}
 	w.mu.Lock()
-	node, alreadyPaused := n.node, w.frozen[n.host] != nil
+	node, alreadyPaused := n.node, w.paused[n.host] != nil
 	w.mu.Unlock()
 	if node == nil || alreadyPaused {
 		return
 	}
 	w.log.note("entry %s is paused for %v", node.Name, length)
-	var held *simFrozen
-	w.troubles(length, func(on bool) {
+	var held *pausedEntry
+	w.disturbFor(length, func(on bool) {
 		if on {
-			w.frozen[n.host] = &simFrozen{}
+			w.paused[n.host] = &pausedEntry{}
 			return
 		}
-		held = w.frozen[n.host]
-		delete(w.frozen, n.host)
+		held = w.paused[n.host]
+		delete(w.paused, n.host)
 	})
 	w.group.Go(func() {
 		time.Sleep(length + time.Microsecond)
@@ -635,10 +635,10 @@
 		if !running || held == nil {
 			return
 		}
-		for _, handle := range held.asks {
+		for _, handle := range held.requests {
 			w.group.Go(handle)
 		}
-		for _, handle := range held.tells {
+		for _, handle := range held.notifications {
 			handle()
 		}
 	})
@@ -646,26 +646,26 @@
 
 // blockEntries drops all messages that one entry sends to another. After some time both find that the
 // link is broken.
-func (r *lastingRun) cutsOneWay(length time.Duration) {
+func (r *randomScenario) blockEntries(length time.Duration) {
 	w := r.world
 	a, b := w.nodeAt(r.rand.IntN(len(w.nodes))), w.nodeAt(r.rand.IntN(len(w.nodes)))
-	detected := r.between(300*time.Millisecond, 1500*time.Millisecond)
+	detected := r.randomDuration(300*time.Millisecond, 1500*time.Millisecond)
 	if a == b {
 		return
 	}
 	path := simPath{a.host, b.host}
 	w.log.note("messages to %s from %s are lost for %v; the link breaks after %v", b.host, a.host, length, detected)
-	w.troubles(length, w.blocks(w.paths, path))
+	w.disturbFor(length, w.blockPath(w.blockedPaths, path))
 	w.group.Go(func() {
 		time.Sleep(min(length, detected))
-		w.linkChanged(path, 1)
+		w.changeLink(path, 1)
 		time.Sleep(max(0, length-detected) + 200*time.Millisecond)
-		w.linkChanged(path, -1)
+		w.changeLink(path, -1)
 	})
 }
 
 // blockPath returns a function that blocks a path, or ends that.
-func (w *world) blocks(paths map[simPath]int, path simPath) func(on bool) {
+func (w *world) blockPath(paths map[simPath]int, path simPath) func(on bool) {
 	return func(on bool) {
 		if on {
 			paths[path]++
@@ -677,9 +677,9 @@
 
 // changeLink adds delta to the number of faults that break the link between two entries, and notifies
 // both entries.
-func (w *world) linkChanged(path simPath, delta int) {
+func (w *world) changeLink(path simPath, delta int) {
 	w.mu.Lock()
-	w.links[path] += delta
+	w.brokenLinks[path] += delta
 	var nodes []*Node
 	for _, host := range []string{path.from, path.to} {
 		if n := w.nodes[host].node; n != nil {
@@ -693,15 +693,15 @@
 }
 
 // blockWorker blocks the path between an entry and a worker, in one direction or both.
-func (r *lastingRun) cutsWorker(length time.Duration) {
+func (r *randomScenario) blockWorker(length time.Duration) {
 	w := r.world
-	n, x, directions := w.nodeAt(r.rand.IntN(len(w.nodes))), r.pick(), 1+r.rand.IntN(3)
+	n, x, directions := w.nodeAt(r.rand.IntN(len(w.nodes))), r.pickWorker(), 1+r.rand.IntN(3)
 	if x == nil {
 		return
 	}
 	w.log.note("path between entry %s and worker %s is blocked, directions %d (1: requests, 2: responses, 3: both), for %v", n.host, x.vm.ID, directions, length)
-	requests, responses := w.blocks(w.paths, simPath{n.host, x.vm.Address}), w.blocks(w.paths, simPath{x.vm.Address, n.host})
-	w.troubles(length, func(on bool) {
+	requests, responses := w.blockPath(w.blockedPaths, simPath{n.host, x.vm.Address}), w.blockPath(w.blockedPaths, simPath{x.vm.Address, n.host})
+	w.disturbFor(length, func(on bool) {
 		if directions&1 != 0 {
 			requests(on)
 		}
@@ -712,21 +712,21 @@
 }
 
 // submitSomeJob submits an ordinary job, a gang or filling tasks, in turn, and returns the job's ID.
-func (w *world) someJob(i int) string {
+func (w *world) submitSomeJob(i int) string {
 	id := fmt.Sprintf("%016x", i)
 	job := &winch.PhasedJob{ID: id, Queue: "preview", Team: "choir"}
 	switch i % 3 {
 	case 0:
-		return w.jobs(i, i+1)[0]
+		return w.submitJobs(i, i+1)[0]
 	case 1:
 		gang := simPhase(gangSize)
 		gang.Gang = true
-		job.Command, job.Phases = gangWork, []winch.Phase{gang}
+		job.Command, job.Phases = gangCommand, []winch.Phase{gang}
 	case 2:
 		fill := simPhase(5)
 		fill.Fills, fill.Image = true, "fills"
-		job.Command, job.Phases = fillingWork, []winch.Phase{fill}
+		job.Command, job.Phases = fillingCommand, []winch.Phase{fill}
 	}
-	w.hand(job)
+	w.submitJob(job)
 	return id
 }
--- a/region/named_test.go
+++ b/region/named_test.go
@@ -22,7 +22,7 @@
 		w := newWorld(t, 91, 3, 9)
 		responseLost := false
 		w.store.mu.Lock()
-		w.store.fate = func(txn winch.Txn) (applied, answered bool) {
+		w.store.commitOutcome = func(txn winch.Txn) (applied, answered bool) {
 			for _, x := range txn.Writes {
 				var r standbyRecord
 				if x.Key != keyStandby || decode(x.Data, &r) != nil || len(txn.Writes) > 1 {
--- a/region/records_test.go
+++ b/region/records_test.go
@@ -32,7 +32,7 @@
 		is := is.NewRelaxed(t)
 		w := newWorld(t, 61, 3, 9)
 		settle()
-		for _, id := range w.jobs(0, 8) {
+		for _, id := range w.submitJobs(0, 8) {
 			w.await(id, 20*time.Second)
 		}
 		is.Equal(len(w.keysUnder(prefixJobs))+len(w.keysUnder(prefixProgress))+len(w.keysUnder(prefixCommands)), 0)
@@ -76,7 +76,7 @@
 		is.True(s.job != nil && ended == nil)
 		is.Equal(w.await(id, 20*time.Second), winch.JobDone)
 		first := w.planner()
-		w.stopsAsPlanned(first, 2*time.Second, 300*time.Millisecond)
+		w.stopAsPlanned(first, 2*time.Second, 300*time.Millisecond)
 		for w.planner() == nil || w.planner() == first {
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -99,7 +99,7 @@
 		is := is.NewRelaxed(t)
 		w := newWorld(t, 64, 3, 9)
 		settle()
-		ids := w.jobs(0, 8)
+		ids := w.submitJobs(0, 8)
 		w.restartAll()
 		for _, id := range ids {
 			is.True(w.await(id, 40*time.Second).Final())
@@ -126,7 +126,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		w.setDown(true)
+		w.setStoreUnavailable(true)
 		_, known := w.planner().node.commands.Get(id)
 		is.True(known)
 		w.end()
@@ -141,14 +141,14 @@
 		is := is.NewRelaxed(t)
 		w := newWorld(t, 65, 3, 9)
 		settle()
-		w.last("00000000000000a1", 12)
+		w.startLasting("00000000000000a1", 12)
 		time.Sleep(5 * time.Second)
 		read := make(map[string]bool)
 		w.store.mu.Lock()
 		w.store.onRead = func(host, prefix string) { read[host] = read[host] || prefix == prefixJobs }
 		w.store.mu.Unlock()
 		first := w.planner()
-		w.stopsAsPlanned(first, 2*time.Second, 300*time.Millisecond)
+		w.stopAsPlanned(first, 2*time.Second, 300*time.Millisecond)
 		for w.planner() == nil || w.planner() == first {
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -156,7 +156,7 @@
 		is.True(!read[w.planner().host])
 		w.store.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		is.Equal(w.lastingUp(), 12)
+		is.Equal(w.runningLasting(), 12)
 		w.end()
 	})
 }
@@ -182,14 +182,14 @@
 			w := newWorld(t, 70+seed, 3, 9)
 			settle()
 			w.store.mu.Lock()
-			w.store.most = 3
+			w.store.maxChanges = 3
 			w.store.mu.Unlock()
 			var ids []string
 			for i := range 30 {
-				ids = append(ids, w.jobs(i, i+1)...)
+				ids = append(ids, w.submitJobs(i, i+1)...)
 				time.Sleep(100 * time.Millisecond)
 				if i%10 == 9 {
-					w.stopsAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
+					w.stopAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
 				}
 			}
 			for _, id := range ids {
--- a/region/shrink_test.go
+++ b/region/shrink_test.go
@@ -10,7 +10,7 @@
 
 // The store is down while the workers' records there state less capacity. Known work goes on for some
 // seconds without the store, and must not be started beyond the remaining capacity.
-func TestNothingIsStartedBeyondRoomThatShrankUnseen(t *testing.T) {
+func TestNothingIsStartedBeyondReducedCapacity(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 41, 3, 6)
@@ -27,11 +27,11 @@
 		w.store.down = true
 		w.store.mu.Unlock()
 		for _, x := range w.workers {
-			w.setRoom(x, 0, time.Now())
+			w.setCapacity(x, 0, time.Now())
 		}
 		time.Sleep(8 * time.Second)
 		for _, x := range w.workers {
-			w.setRoom(x, simVM("", "", "").Room.Milli, time.Time{})
+			w.setCapacity(x, simVM("", "", "").Room.Milli, time.Time{})
 		}
 		w.store.mu.Lock()
 		w.store.down = false
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -12,25 +12,25 @@
 
 // simStore simulates the platform's store: versioned keys, leases and a change history.
 type simStore struct {
-	world    *world
-	mu       sync.Mutex
-	items    map[string]winch.Value
-	owner    map[string]uint64 // keyLeases holds the lease that each key ends with; zero for none.
-	events   []winch.Event
-	leases   map[uint64]*simLease
-	revision uint64
-	down     bool // down makes all calls time out.
-	lossy    bool // losesResponses drops the responses to half of the transactions.
-	calls    int  // calls counts the calls that were carried out.
+	world          *world
+	mu             sync.Mutex
+	items          map[string]winch.Value
+	keyLeases      map[string]uint64 // keyLeases holds the lease that each key ends with; zero for none.
+	events         []winch.Event
+	leases         map[uint64]*simLease
+	revision       uint64
+	down           bool // down makes all calls time out.
+	losesResponses bool // losesResponses drops the responses to half of the transactions.
+	calls          int  // calls counts the calls that were carried out.
 	// extraDelay is added to the duration of each call.
-	slow time.Duration
+	extraDelay time.Duration
 	// hangs makes calls that fail time out as late as those of a real client, not after a second.
-	swallow bool
-	most    int // maxChanges bounds the changes in one response; zero is no bound.
+	hangs      bool
+	maxChanges int // maxChanges bounds the changes in one response; zero is no bound.
 	// commitOutcome decides whether a transaction takes effect and whether its response arrives.
-	fate    func(txn winch.Txn) (applied, responded bool)
-	onRead  func(host, prefix string) // onRead is called on each read.
-	refused map[string]bool           // refusedHosts holds the entries whose calls are refused.
+	commitOutcome func(txn winch.Txn) (applied, responded bool)
+	onRead        func(host, prefix string) // onRead is called on each read.
+	refusedHosts  map[string]bool           // refusedHosts holds the entries whose calls are refused.
 }
 
 // simLease is a lease in the store.
@@ -45,7 +45,7 @@
 	v := winch.Value{Key: key, Data: data, Version: s.revision}
 	s.items[key] = v
 	s.events = append(s.events, winch.Event{Value: v})
-	s.owner[key] = lease
+	s.keyLeases[key] = lease
 }
 
 // remove deletes a key. The store's mutex is held.
@@ -55,12 +55,12 @@
 	}
 	s.revision++
 	delete(s.items, key)
-	delete(s.owner, key)
+	delete(s.keyLeases, key)
 	s.events = append(s.events, winch.Event{Value: winch.Value{Key: key, Version: s.revision}, Deleted: true})
 }
 
 // expireLeases ends leases that were not renewed in time.
-func (s *simStore) expire(ctx context.Context) {
+func (s *simStore) expireLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 		s.mu.Lock()
@@ -79,7 +79,7 @@
 		return
 	}
 	delete(s.leases, id)
-	for key, owner := range s.owner {
+	for key, owner := range s.keyLeases {
 		if owner == id {
 			s.remove(key)
 		}
@@ -96,17 +96,17 @@
 func (t *simTable) call(ctx context.Context, f func()) error {
 	w := t.store.world
 	t.store.mu.Lock()
-	delay := 2*time.Millisecond + t.store.slow/2
+	delay := 2*time.Millisecond + t.store.extraDelay/2
 	t.store.mu.Unlock()
 	time.Sleep(delay)
 	if ctx.Err() != nil {
 		return winch.ErrUncertain // As from a client that stops waiting for the response.
 	}
 	w.mu.Lock()
-	reached := w.reaches(t.node.Domain, "") && w.frozen[t.node.Host] == nil && w.live()[t.node.Name] != nil
+	reached := w.canReach(t.node.Domain, "") && w.paused[t.node.Host] == nil && w.liveNodes()[t.node.Name] != nil
 	w.mu.Unlock()
 	t.store.mu.Lock()
-	if t.store.refused[t.node.Host] {
+	if t.store.refusedHosts[t.node.Host] {
 		t.store.mu.Unlock()
 		return winch.ErrUnavailable
 	}
@@ -122,7 +122,7 @@
 		return nil
 	}
 	timeout := time.Second
-	if t.store.swallow {
+	if t.store.hangs {
 		timeout = maxWatchWait + 1500*time.Millisecond
 	}
 	t.store.mu.Unlock()
@@ -154,7 +154,7 @@
 			next = t.store.revision
 			for _, e := range t.store.events {
 				if e.Version > after && strings.HasPrefix(e.Key, prefix) {
-					if limit := t.store.most; limit > 0 && len(out) >= limit && e.Version != out[len(out)-1].Version {
+					if limit := t.store.maxChanges; limit > 0 && len(out) >= limit && e.Version != out[len(out)-1].Version {
 						next = out[len(out)-1].Version
 						break
 					}
@@ -177,8 +177,8 @@
 	responseLost := false
 	err = t.call(ctx, func() {
 		applied, responded := true, true
-		if t.store.fate != nil {
-			applied, responded = t.store.fate(txn)
+		if t.store.commitOutcome != nil {
+			applied, responded = t.store.commitOutcome(txn)
 		}
 		responseLost = !responded
 		if !applied {
@@ -216,7 +216,7 @@
 			t.store.events[len(t.store.events)-len(txn.Writes)+i].Version = t.store.revision
 		}
 		revision = t.store.revision
-		responseLost = responseLost || t.store.lossy && t.store.world.intn(2) == 0
+		responseLost = responseLost || t.store.losesResponses && t.store.world.intn(2) == 0
 	})
 	if err == nil && responseLost {
 		time.Sleep(300 * time.Millisecond)
--- a/region/staleinfo_test.go
+++ b/region/staleinfo_test.go
@@ -17,7 +17,7 @@
 // checked: a planner that no one can tell how long work runs on has to wait.
 func (w *world) endWithoutDowntimeCheck() {
 	w.mu.Lock()
-	w.broken = slices.DeleteFunc(w.broken, func(line string) bool { return strings.Contains(line, "did not run for") })
+	w.violations = slices.DeleteFunc(w.violations, func(line string) bool { return strings.Contains(line, "did not run for") })
 	w.mu.Unlock()
 	w.end()
 }
@@ -37,7 +37,7 @@
 				worker, _ := w.workerKeptBy(p, true)
 				is.True(worker != "")
 				w.store.mu.Lock()
-				w.store.slow = slow
+				w.store.extraDelay = slow
 				w.store.mu.Unlock()
 				time.Sleep(time.Second)
 				w.leave(worker)
@@ -48,8 +48,8 @@
 					p.kill()
 				})
 				time.Sleep(12 * time.Second)
-				w.endLasting()
-				t.Log("store slower by", slow, "gone before", before, "longest time down:", w.lasting.longest)
+				w.checkDownLasting()
+				t.Log("store slower by", slow, "gone before", before, "longest time down:", w.lasting.longestDowntime)
 				w.end()
 			})
 		}
@@ -89,7 +89,7 @@
 			time.Sleep(300 * time.Millisecond)
 			p.start()
 		}
-		for w.lastingUp() < 18 && time.Since(gone) < 40*time.Second {
+		for w.runningLasting() < 18 && time.Since(gone) < 40*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		t.Log("all run again after", time.Since(gone))
@@ -125,12 +125,12 @@
 		l := p.node.lead.Load()
 		worker, keeper := w.workerKeptBy(p, false)
 		is.True(worker != "")
-		w.silence(worker, true)
+		w.setUnresponsive(worker, true)
 		is.True(w.awaitLeadState(l, 4*time.Second, func() bool { return l.expiries.unresponsive[worker] && !l.mirrorPending }))
 		time.Sleep(100 * time.Millisecond)
 		planner := p.node.Name
-		w.lose(func(from, _ string, kind winch.Kind) bool { return from == planner && kind == proto.KindMirror })
-		w.silence(worker, false)
+		w.setRequestLoss(func(from, _ string, kind winch.Kind) bool { return from == planner && kind == proto.KindMirror })
+		w.setUnresponsive(worker, false)
 		is.True(w.awaitLeadState(l, time.Second, func() bool { return !l.expiries.unresponsive[worker] }))
 		keeper.kill()
 		p.node.LinkChanged()
@@ -138,15 +138,15 @@
 		lease := func() time.Duration {
 			x.mu.Lock()
 			defer x.mu.Unlock()
-			return x.until
+			return x.leaseUntil
 		}
 		old := lease()
 		for end := time.Now().Add(300 * time.Millisecond); lease() == old && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		w.silence(worker, true)
+		w.setUnresponsive(worker, true)
 		p.kill()
-		w.lose(nil)
+		w.setRequestLoss(nil)
 		time.Sleep(12 * time.Second)
 		w.endWithoutDowntimeCheck()
 	})
@@ -207,7 +207,7 @@
 	is.True(worker != "")
 	planner := p.node.Name
 	polls := 0
-	w.lose(func(from, to string, kind winch.Kind) bool {
+	w.setRequestLoss(func(from, to string, kind winch.Kind) bool {
 		if from != planner || to != name || kind != proto.KindKeepPoll {
 			return false
 		}
@@ -223,7 +223,7 @@
 	time.Sleep(7 * time.Second)
 	is.True(w.awaitLeadState(l, time.Second, func() bool { return l.keepers[worker] == other && l.proxies[name] == nil }))
 	w.store.mu.Lock()
-	w.store.slow = 200 * time.Millisecond
+	w.store.extraDelay = 200 * time.Millisecond
 	w.store.mu.Unlock()
 	w.killEntry(other)
 	p.node.LinkChanged()
@@ -232,7 +232,7 @@
 	}
 	is.Equal(w.rosterKeeper(worker), name)
 	p.kill()
-	w.silence(worker, true)
+	w.setUnresponsive(worker, true)
 }
 
 // One response of a keeper is lost, so its workers move to another keeper, and it still has its old
@@ -261,7 +261,7 @@
 		p := w.planner()
 		standby := ""
 		makeStaleAssignment(w, is.NewRelaxed(t), func() {
-			w.last("00000000000000a2", 12)
+			w.startLasting("00000000000000a2", 12)
 			l := p.node.lead.Load()
 			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		})
@@ -285,7 +285,7 @@
 		worker, keeper := w.workerInThirdDomain(p)
 		standby := ""
 		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
-		w.silence(worker, true)
+		w.setUnresponsive(worker, true)
 		p.kill()
 		w.killEntry(standby)
 		w.killEntry(keeper)
@@ -315,15 +315,15 @@
 		worker, _ := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		planner := p.node.Name
-		w.silence(worker, true)
+		w.setUnresponsive(worker, true)
 		is.True(w.awaitLeadState(l, 4*time.Second, func() bool { return l.expiries.unresponsive[worker] && !l.mirrorPending }))
-		w.lose(func(from, _ string, kind winch.Kind) bool { return from == planner && kind == proto.KindMirror })
-		w.setDown(true)
-		w.silence(worker, false)
+		w.setRequestLoss(func(from, _ string, kind winch.Kind) bool { return from == planner && kind == proto.KindMirror })
+		w.setStoreUnavailable(true)
+		w.setUnresponsive(worker, false)
 		time.Sleep(4500 * time.Millisecond)
-		is.Equal(w.lastingUp(), 18)
-		w.setDown(false)
-		w.lose(nil)
+		is.Equal(w.runningLasting(), 18)
+		w.setStoreUnavailable(false)
+		w.setRequestLoss(nil)
 		time.Sleep(5 * time.Second)
 		w.endWithoutDowntimeCheck()
 	})
@@ -342,17 +342,17 @@
 		l := p.node.lead.Load()
 		worker, _ := w.workerInThirdDomain(p)
 		is.True(worker != "")
-		w.endWorker(worker)
+		w.terminateWorker(worker)
 		w.mu.Lock()
 		domain := w.workers[worker].vm.Domain
 		w.mu.Unlock()
 		w.addWorker(worker, domain)
-		w.silence(worker, true)
+		w.setUnresponsive(worker, true)
 		w.mu.Lock()
 		x := w.workers[worker]
 		w.mu.Unlock()
 		time.Sleep(900 * time.Millisecond)
-		w.silence(worker, false)
+		w.setUnresponsive(worker, false)
 		time.Sleep(12 * time.Second)
 		_ = l.duty.Do(w.ctx, func() {
 			is.True(l.keepers[worker] != "")
@@ -376,7 +376,7 @@
 		is.True(worker != "")
 		planner, polls := p.node.Name, 0
 		w.mu.Lock()
-		w.late = func(from, to string, kind winch.Kind) time.Duration {
+		w.requestDelay = func(from, to string, kind winch.Kind) time.Duration {
 			if from != planner || to != name || kind != proto.KindKeepPoll {
 				return 0
 			}
@@ -388,7 +388,7 @@
 		w.mu.Unlock()
 		time.Sleep(500 * time.Millisecond)
 		w.mu.Lock()
-		w.cut[w.workers[worker].vm.Domain] = true
+		w.partitioned[w.workers[worker].vm.Domain] = true
 		w.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		w.endWithoutDowntimeCheck()
@@ -415,7 +415,7 @@
 			is.True(worker != "")
 			standby := ""
 			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
-			w.silence(worker, true)
+			w.setUnresponsive(worker, true)
 			p.kill()
 			w.killEntry(standby)
 			w.killEntry(keeper)
@@ -434,17 +434,17 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.store.mu.Lock()
-			w.store.fate = func(txn winch.Txn) (applied, answered bool) {
+			w.store.commitOutcome = func(txn winch.Txn) (applied, answered bool) {
 				ok := !slices.ContainsFunc(txn.Writes, func(x winch.Write) bool { return x.Key == keyRoster })
 				return ok, ok
 			}
 			w.store.mu.Unlock()
-			w.silence(worker, false)
+			w.setUnresponsive(worker, false)
 			time.Sleep(x.after)
-			w.silence(worker, true)
+			w.setUnresponsive(worker, true)
 			next.kill()
 			w.store.mu.Lock()
-			w.store.fate = nil
+			w.store.commitOutcome = nil
 			w.store.mu.Unlock()
 			time.Sleep(14 * time.Second)
 			w.endWithoutDowntimeCheck()
--- a/region/stall_test.go
+++ b/region/stall_test.go
@@ -41,7 +41,7 @@
 			}
 			x.mu.Unlock()
 		}
-		time.Sleep(simWork / 4)
+		time.Sleep(taskDuration / 4)
 	}
 }
 
@@ -77,7 +77,7 @@
 			x.mu.Unlock()
 		}
 		is.True(at != "")
-		w.silence(at, true)
+		w.setUnresponsive(at, true)
 		time.Sleep(6 * time.Second)
 		lines := w.log.find("lasting task waits", `"job": "service"`, fleet.WaitRun.String(),
 			`"worker": "`+at+`"`, `"quiet": true`, `"run"`, `"term"`, `"keeper": "d`)
@@ -121,7 +121,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log := &simLog{begin: time.Now()}
+		log := &simLog{startedAt: time.Now()}
 		s := stallMonitor{log: log.logger("e"), reported: make(map[string]stallReport)}
 		var look stallSnapshot
 		for i := range 50 {
--- a/region/undetected_test.go
+++ b/region/undetected_test.go
@@ -35,7 +35,7 @@
 				worker, _ := w.workerKeptBy(p, true)
 				w.leave(worker)
 				time.Sleep(after)
-				w.stopsAsPlanned(p, 2*time.Second, 300*time.Millisecond)
+				w.stopAsPlanned(p, 2*time.Second, 300*time.Millisecond)
 				w.checkLasting(is, 18)
 			})
 		})
@@ -54,7 +54,7 @@
 				worker, keeper := w.workerKeptBy(w.planner(), false)
 				w.leave(worker)
 				time.Sleep(after)
-				w.stopsAsPlanned(keeper, 2*time.Second, 300*time.Millisecond)
+				w.stopAsPlanned(keeper, 2*time.Second, 300*time.Millisecond)
 				w.checkLasting(is, 18)
 			})
 		})
@@ -73,16 +73,16 @@
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					w := lastingWorld(t, 43)
-					w.checksWindows()
+					w.startDowntimeChecks()
 					p := w.planner()
 					worker, keeper := w.workerKeptBy(p, own)
 					w.leave(worker)
 					time.Sleep(after)
-					w.disturb(true)
+					w.addDisturbance(true)
 					keeper.kill()
 					time.Sleep(200 * time.Millisecond)
 					keeper.start()
-					w.disturb(false)
+					w.addDisturbance(false)
 					w.checkLasting(is, 18)
 				})
 			})
@@ -104,23 +104,23 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := lastingWorld(t, 44)
-				w.checksWindows()
+				w.startDowntimeChecks()
 				p := w.planner()
 				worker, _ := w.workerKeptBy(p, false)
 				w.leave(worker)
 				time.Sleep(660 * time.Millisecond)
-				w.disturb(true)
+				w.addDisturbance(true)
 				p.kill()
 				time.Sleep(500 * time.Millisecond)
 				p.start()
-				w.disturb(false)
+				w.addDisturbance(false)
 				for w.planner() == nil {
 					time.Sleep(5 * time.Millisecond)
 				}
 				w.log.note("next planner: %s", w.planner().host)
 				if after < time.Minute {
 					time.Sleep(after)
-					w.stopsAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
+					w.stopAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
 				}
 				w.checkLasting(is, 18)
 			})
@@ -136,7 +136,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := lastingWorld(t, 45)
-		w.checksWindows()
+		w.startDowntimeChecks()
 		w.storeOutageWithWorkerLoss()
 		w.checkLasting(is, 18)
 	})
@@ -151,22 +151,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := lastingWorld(t, 46)
-		w.checksWindows()
+		w.startDowntimeChecks()
 		w.storeOutageWithWorkerLoss()
-		w.stopsInSeries(6)
+		w.stopInSeries(6)
 		w.checkLasting(is, 18)
 	})
 }
 
 // storeOutageWithWorkerLoss takes the store down for eight seconds, while a worker leaves.
 func (w *world) storeOutageWithWorkerLoss() {
-	w.disturb(true)
-	w.setDown(true)
+	w.addDisturbance(true)
+	w.setStoreUnavailable(true)
 	time.Sleep(3 * time.Second)
-	w.endWorker(w.busiest())
+	w.terminateWorker(w.busiestWorker())
 	time.Sleep(5 * time.Second)
-	w.setDown(false)
-	w.disturb(false)
+	w.setStoreUnavailable(false)
+	w.addDisturbance(false)
 	time.Sleep(500 * time.Millisecond)
 }
 
@@ -181,21 +181,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := lastingWorld(t, 47)
-				w.checksWindows()
+				w.startDowntimeChecks()
 				p := w.planner()
 				worker, _ := w.workerKeptBy(p, true)
 				killed := time.Now()
-				w.disturb(true)
+				w.addDisturbance(true)
 				p.kill()
 				w.leave(worker)
 				for w.planner() == nil {
 					time.Sleep(5 * time.Millisecond)
 				}
 				time.Sleep(400 * time.Millisecond)
-				w.stopsAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
+				w.stopAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
 				time.Sleep(time.Until(killed.Add(again)))
 				p.start()
-				w.disturb(false)
+				w.addDisturbance(false)
 				w.checkLasting(is, 18)
 			})
 		})
@@ -213,10 +213,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := lastingWorld(t, 48)
-				w.checksWindows()
-				w.leave(w.busiest())
+				w.startDowntimeChecks()
+				w.leave(w.busiestWorker())
 				time.Sleep(after)
-				w.disturb(true)
+				w.addDisturbance(true)
 				for _, gap := range []time.Duration{30 * time.Millisecond, 550 * time.Millisecond} {
 					for _, n := range w.nodes {
 						n.kill()
@@ -227,9 +227,9 @@
 					}
 					time.Sleep(gap)
 				}
-				w.disturb(false)
+				w.addDisturbance(false)
 				time.Sleep(time.Second)
-				w.stopsAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
+				w.stopAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
 				w.checkLasting(is, 18)
 			})
 		})
@@ -244,7 +244,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 44)
-		w.leave(w.busiest())
+		w.leave(w.busiestWorker())
 		w.setStoreDown(true)
 		time.Sleep(500 * time.Millisecond)
 		for _, n := range w.nodes {
@@ -257,11 +257,11 @@
 		time.Sleep(7 * time.Second)
 		w.setStoreDown(false)
 		back := time.Now()
-		for w.lastingUp() < 18 && time.Since(back) < 20*time.Second {
+		for w.runningLasting() < 18 && time.Since(back) < 20*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		t.Log("all run again", time.Since(back), "after the store is back")
-		is.True(time.Since(back) < downMost)
+		is.True(time.Since(back) < maxDowntime)
 		w.endWithoutDowntimeCheck()
 	})
 }
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -33,39 +33,39 @@
 	workers map[string]*simWorker
 	// addresses holds the worker boot that responds at each address.
 	addresses map[string]*simWorker
-	boots     int64 // bootCount counts the boots of all workers.
+	bootCount int64 // bootCount counts the boots of all workers.
 	store     *simStore
 	// partitioned holds the failure domains that reach neither the store nor any other domain.
-	cut map[string]bool
+	partitioned map[string]bool
 	// blockedPaths counts the faults that block one direction between two entries, or between an
 	// entry and a worker. brokenLinks counts those that have ended the link between two entries.
-	paths map[simPath]int
-	links map[simPath]int
+	blockedPaths map[simPath]int
+	brokenLinks  map[simPath]int
 	// paused holds, by the host of a paused entry, the messages that arrived during the pause.
-	frozen map[string]*simFrozen
+	paused map[string]*pausedEntry
 	// shares holds the processor shares of entries by host; entries without one have 400.
-	share map[string]int
+	shares map[string]int
 	// running counts the runs at workers by task, including those at unresponsive workers.
-	running map[winch.RunID]int
-	noted   map[winch.RunID]bool       // acknowledged holds the tasks whose completion an entry has acknowledged.
-	done    map[winch.RunID][]*simDone // completed holds the successful runs by task.
-	failed  map[winch.RunID]int        // failed counts the failed runs by task.
-	lasting lastingView
-	gangs   map[simKey]*simGang
-	crashes crashView
+	running      map[winch.RunID]int
+	acknowledged map[winch.RunID]bool            // acknowledged holds the tasks whose completion an entry has acknowledged.
+	completed    map[winch.RunID][]*completedRun // completed holds the successful runs by task.
+	failed       map[winch.RunID]int             // failed counts the failed runs by task.
+	lasting      lastingStatus
+	gangs        map[runKey]*simGang
+	crashes      crashCounter
 	// downtimeChecks checks lasting tasks in the random tests; it is nil in all others.
-	windows *lastingWindows
+	downtimeChecks *downtimeChecker
 	// dropsRequest reports whether a request between two entries gets lost.
-	lost func(from, to string, kind winch.Kind) bool
+	dropsRequest func(from, to string, kind winch.Kind) bool
 	// requestDelay returns how long a request waits at the receiving entry before it is handled,
 	// as in the receive buffers of a paused process. The entry need not be reachable by then.
-	late   func(from, to string, kind winch.Kind) time.Duration
-	copies int      // configCopies counts the configurations sent from entry to entry.
-	broken []string // violations holds the invariant violations seen so far.
-	log    *simLog
-	group  conc.WaitGroup
-	ctx    context.Context
-	cancel context.CancelFunc
+	requestDelay func(from, to string, kind winch.Kind) time.Duration
+	configCopies int      // configCopies counts the configurations sent from entry to entry.
+	violations   []string // violations holds the invariant violations seen so far.
+	log          *simLog
+	group        conc.WaitGroup
+	ctx          context.Context
+	cancel       context.CancelFunc
 }
 
 // simNode is one entry VM, whose process may be killed and restarted.
@@ -79,27 +79,27 @@
 }
 
 // entriesPerDomain is the number of entries in each failure domain.
-const perDomain = 2
+const entriesPerDomain = 2
 
 // newWorld starts a region. All random decisions that are drawn from the world follow from the seed.
 func newWorld(t *testing.T, seed uint64, domains, workers int) *world {
 	w := &world{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)),
 		nodes: make(map[string]*simNode), workers: make(map[string]*simWorker), addresses: make(map[string]*simWorker),
-		cut: make(map[string]bool), paths: make(map[simPath]int), links: make(map[simPath]int),
-		frozen: make(map[string]*simFrozen), gangs: make(map[simKey]*simGang), running: make(map[winch.RunID]int),
-		noted: make(map[winch.RunID]bool), done: make(map[winch.RunID][]*simDone), failed: make(map[winch.RunID]int),
+		partitioned: make(map[string]bool), blockedPaths: make(map[simPath]int), brokenLinks: make(map[simPath]int),
+		paused: make(map[string]*pausedEntry), gangs: make(map[runKey]*simGang), running: make(map[winch.RunID]int),
+		acknowledged: make(map[winch.RunID]bool), completed: make(map[winch.RunID][]*completedRun), failed: make(map[winch.RunID]int),
 	}
-	w.log = &simLog{begin: time.Now()}
+	w.log = &simLog{startedAt: time.Now()}
 	w.ctx, w.cancel = context.WithCancel(t.Context())
-	w.store = &simStore{world: w, items: make(map[string]winch.Value), leases: make(map[uint64]*simLease), owner: make(map[string]uint64), revision: 1}
+	w.store = &simStore{world: w, items: make(map[string]winch.Value), leases: make(map[uint64]*simLease), keyLeases: make(map[string]uint64), revision: 1}
 	w.store.put("op/config", mustJSON(simConfig(1)), 0)
-	w.group.Go(func() { w.store.expire(w.ctx) })
+	w.group.Go(func() { w.store.expireLeases(w.ctx) })
 	for i := range workers {
 		w.addWorker(fmt.Sprintf("w%d", i), fmt.Sprintf("d%d", i%domains))
 	}
 	for d := range domains {
-		for i := range perDomain {
+		for i := range entriesPerDomain {
 			n := &simNode{world: w, host: fmt.Sprintf("d%d-%d", d, i), domain: fmt.Sprintf("d%d", d)}
 			w.nodes[n.host] = n
 			n.start()
@@ -150,7 +150,7 @@
 		Timing: Timing{Lease: 6 * time.Second, Keep: time.Minute},
 		Codec:  simCodec{}, Log: n.world.log.logger(n.host), Metrics: metrics.NewRegistry(),
 	}
-	if share, ok := n.world.share[n.host]; ok {
+	if share, ok := n.world.shares[n.host]; ok {
 		node.Share = share
 	}
 	node.Table = &simTable{store: n.world.store, node: node}
@@ -205,19 +205,19 @@
 func (w *world) end() {
 	w.cancel()
 	w.group.Wait()
-	for _, line := range w.broken {
+	for _, line := range w.violations {
 		w.t.Error(line)
 	}
-	if len(w.broken) > 0 {
+	if len(w.violations) > 0 {
 		w.log.show(w.t)
 	}
 }
 
 // simLog collects the log lines of all entries. They are printed if the test fails.
 type simLog struct {
-	mu    sync.Mutex
-	begin time.Time
-	lines []string
+	mu        sync.Mutex
+	startedAt time.Time
+	lines     []string
 }
 
 func (l *simLog) logger(host string) *zap.Logger {
@@ -230,7 +230,7 @@
 func (l *simLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lines = append(l.lines, fmt.Sprintf("%8.3f %s", time.Since(l.begin).Seconds(), line))
+	l.lines = append(l.lines, fmt.Sprintf("%8.3f %s", time.Since(l.startedAt).Seconds(), line))
 	return len(line), nil
 }
 
@@ -261,17 +261,17 @@
 }
 
 // reportViolation records that an invariant was violated. The world's mutex is held.
-func (w *world) breaks(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+func (w *world) reportViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // canReach reports whether one failure domain reaches another. The store is in domain "".
-func (w *world) reaches(from, to string) bool {
-	return from == to || !w.cut[from] && !w.cut[to]
+func (w *world) canReach(from, to string) bool {
+	return from == to || !w.partitioned[from] && !w.partitioned[to]
 }
 
 // liveNodes returns the running entry processes by name. The world's mutex is held.
-func (w *world) live() map[string]*Node {
+func (w *world) liveNodes() map[string]*Node {
 	out := make(map[string]*Node)
 	for _, n := range w.nodes {
 		if n.node != nil {
@@ -286,7 +286,7 @@
 
 // linked reports whether the link between two entries is up.
 func (w *world) linked(a, b string) bool {
-	return w.links[simPath{a, b}] == 0 && w.links[simPath{b, a}] == 0
+	return w.brokenLinks[simPath{a, b}] == 0 && w.brokenLinks[simPath{b, a}] == 0
 }
 
 // simPeers carries the messages of one entry to the others.
@@ -296,14 +296,14 @@
 }
 
 // networkDelay is how long a message takes in one direction.
-const simDelay = time.Millisecond
+const networkDelay = time.Millisecond
 
 func (p *simPeers) Names() []string {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
 	var out []string
-	for name, n := range p.world.live() {
-		if n != p.node && p.world.reaches(p.node.Domain, n.Domain) && p.world.linked(p.node.Host, n.Host) {
+	for name, n := range p.world.liveNodes() {
+		if n != p.node && p.world.canReach(p.node.Domain, n.Domain) && p.world.linked(p.node.Host, n.Host) {
 			out = append(out, name)
 		}
 	}
@@ -315,65 +315,65 @@
 func (p *simPeers) target(to string) *Node {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	n := p.world.live()[to]
-	if n == nil || !p.world.reaches(p.node.Domain, n.Domain) || !p.world.linked(p.node.Host, n.Host) || p.world.live()[p.node.Name] == nil {
+	n := p.world.liveNodes()[to]
+	if n == nil || !p.world.canReach(p.node.Domain, n.Domain) || !p.world.linked(p.node.Host, n.Host) || p.world.liveNodes()[p.node.Name] == nil {
 		return nil
 	}
 	return n
 }
 
 // delivers reports whether a message from one host to another arrives.
-func (p *simPeers) passes(from, to string) bool {
+func (p *simPeers) delivers(from, to string) bool {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	return p.world.paths[simPath{from, to}] == 0 && p.world.frozen[from] == nil
+	return p.world.blockedPaths[simPath{from, to}] == 0 && p.world.paused[from] == nil
 }
 
 // pausedEntry holds the messages that were sent to a paused entry. The process handles them when
 // it is resumed, even if the sender has given up waiting by then.
-type simFrozen struct {
-	tells, asks []func()
+type pausedEntry struct {
+	notifications, requests []func()
 }
 
 // queueIfPaused keeps a message for a paused entry until it is resumed, and reports whether the
 // entry is paused.
-func (w *world) keeps(to *Node, isNotification bool, handle func()) bool {
+func (w *world) queueIfPaused(to *Node, isNotification bool, handle func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.frozen[to.Host]
+	f := w.paused[to.Host]
 	switch {
 	case f == nil:
 		return false
 	case isNotification:
-		f.tells = append(f.tells, handle)
+		f.notifications = append(f.notifications, handle)
 	default:
-		f.asks = append(f.asks, handle)
+		f.requests = append(f.requests, handle)
 	}
 	return true
 }
 
 // drops reports whether a request gets lost on its way.
-func (p *simPeers) loses(to string, kind winch.Kind) bool {
+func (p *simPeers) drops(to string, kind winch.Kind) bool {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	return p.world.lost != nil && p.world.lost(p.node.Name, to, kind)
+	return p.world.dropsRequest != nil && p.world.dropsRequest(p.node.Name, to, kind)
 }
 
 // delay returns how long a request waits at its receiver before it is handled.
-func (p *simPeers) delayed(to string, kind winch.Kind) time.Duration {
+func (p *simPeers) delay(to string, kind winch.Kind) time.Duration {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	if p.world.late == nil {
+	if p.world.requestDelay == nil {
 		return 0
 	}
-	return p.world.late(p.node.Name, to, kind)
+	return p.world.requestDelay(p.node.Name, to, kind)
 }
 
 // setRequestLoss sets which requests between entries get lost; nil means none.
-func (w *world) lose(drops func(from, to string, kind winch.Kind) bool) {
+func (w *world) setRequestLoss(drops func(from, to string, kind winch.Kind) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lost = drops
+	w.dropsRequest = drops
 }
 
 func (p *simPeers) Ask(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
@@ -381,31 +381,31 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(simDelay)
+	time.Sleep(networkDelay)
 	n := p.target(to)
-	if n == nil || p.loses(to, kind) || !p.passes(p.node.Host, n.Host) {
+	if n == nil || p.drops(to, kind) || !p.delivers(p.node.Host, n.Host) {
 		<-ctx.Done()
 		return winch.ErrPeerLost
 	}
 	decode := func(into any) error { return proto.Decode(data, into) }
-	if p.world.keeps(n, false, func() { n.Handle(context.Background(), p.node.Name, kind, decode) }) {
+	if p.world.queueIfPaused(n, false, func() { n.Handle(context.Background(), p.node.Name, kind, decode) }) {
 		<-ctx.Done()
 		return winch.ErrPeerLost
 	}
-	if delay := p.delayed(to, kind); delay > 0 {
+	if delay := p.delay(to, kind); delay > 0 {
 		time.Sleep(delay)
 		n.Handle(context.Background(), p.node.Name, kind, decode)
 		return winch.ErrPeerLost
 	}
 	response := n.Handle(ctx, p.node.Name, kind, decode)
-	time.Sleep(simDelay)
-	if p.target(to) == nil || !p.passes(n.Host, p.node.Host) {
+	time.Sleep(networkDelay)
+	if p.target(to) == nil || !p.delivers(n.Host, p.node.Host) {
 		<-ctx.Done()
 		return winch.ErrPeerLost
 	}
 	if settings, ok := response.(proto.Settings); ok && len(settings.Data) > 0 {
 		p.world.mu.Lock()
-		p.world.copies++
+		p.world.configCopies++
 		p.world.mu.Unlock()
 	}
 	data, err = proto.Encode(response)
@@ -424,13 +424,13 @@
 	if err != nil {
 		return err
 	}
-	if !p.passes(p.node.Host, n.Host) {
+	if !p.delivers(p.node.Host, n.Host) {
 		return nil // The message is lost. The blocked path breaks the link a moment later.
 	}
 	handle := func() {
 		n.Handle(context.Background(), p.node.Name, kind, func(into any) error { return proto.Decode(data, into) })
 	}
-	if !p.world.keeps(n, true, handle) {
+	if !p.world.queueIfPaused(n, true, handle) {
 		handle()
 	}
 	return nil
@@ -438,17 +438,17 @@
 
 // submit submits a job with the given phases to random entries until one accepts it.
 func (w *world) submit(id string, phases ...winch.Phase) {
-	w.hand(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: "work", Phases: phases})
+	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: "work", Phases: phases})
 }
 
 // submitJob submits a job to random entries until one accepts it.
-func (w *world) hand(job *winch.PhasedJob) {
+func (w *world) submitJob(job *winch.PhasedJob) {
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
-		names := slices.Sorted(maps.Keys(w.live()))
+		names := slices.Sorted(maps.Keys(w.liveNodes()))
 		var n *Node
 		if len(names) > 0 {
-			n = w.live()[names[w.intn(len(names))]]
+			n = w.liveNodes()[names[w.intn(len(names))]]
 		}
 		w.mu.Unlock()
 		if n != nil && n.Config() != nil {
@@ -470,7 +470,7 @@
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
 		w.mu.Lock()
-		live := slices.Collect(maps.Values(w.live()))
+		live := slices.Collect(maps.Values(w.liveNodes()))
 		w.mu.Unlock()
 		for _, n := range live {
 			if state, result := n.State(w.ctx, id); result.OK() && state.Final() {
@@ -480,7 +480,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	w.mu.Lock()
-	w.breaks("job %s has not ended after %v", id, limit)
+	w.reportViolation("job %s has not ended after %v", id, limit)
 	w.mu.Unlock()
 	return ""
 }
