--- a/coord/office/renew.go
+++ b/coord/office/renew.go
@@ -84,7 +84,7 @@
 	}
 	if call.Full {
 		w.doubt = false
-		s.carryOut(s.Planner.Known(w.vm.ID, report.Tasks, now))
+		s.carryOut(s.Planner.Reconcile(w.vm.ID, report.Tasks, now))
 		s.missing(w, report)
 		s.vanished(w, report, now)
 		if !w.known {
@@ -99,7 +99,7 @@
 // guaranteed to have expired.
 func (s *session) lapse(w *vmState, now time.Time) {
 	w.gone = true
-	s.Planner.Gone(w.vm.ID, now)
+	s.Planner.RemoveWorker(w.vm.ID, now)
 	s.Wake()
 }
 
@@ -120,7 +120,7 @@
 		if t.State == winch.TaskRunning || s.ends.has(w.vm.ID, t.Ref()) {
 			continue
 		}
-		s.carryOut(s.Planner.Ended(w.vm.ID, t, now))
+		s.carryOut(s.Planner.TaskEnded(w.vm.ID, t, now))
 		s.ends.add(w.vm.ID, t)
 		s.Wake()
 	}
@@ -134,7 +134,7 @@
 	for _, t := range report.Tasks {
 		listed[t.ID] = true
 	}
-	for _, t := range s.Planner.Doubtful(w.vm.ID) {
+	for _, t := range s.Planner.UncertainOn(w.vm.ID) {
 		if !listed[t.ID] {
 			s.group.Go(func() { s.bar(w, t) })
 		}
@@ -166,7 +166,7 @@
 	}
 	for _, a := range w.expect {
 		if !listed[a] {
-			s.carryOut(s.Planner.Vanished(w.vm.ID, a, now))
+			s.carryOut(s.Planner.TaskMissing(w.vm.ID, a, now))
 		}
 	}
 }
@@ -185,9 +185,9 @@
 			w.doubt = true
 		case found:
 			t.State = winch.TaskStopped
-			s.carryOut(s.Planner.Ended(w.vm.ID, t, time.Now()))
+			s.carryOut(s.Planner.TaskEnded(w.vm.ID, t, time.Now()))
 		default:
-			s.carryOut(s.Planner.Refused(t.Ref(), time.Now()))
+			s.carryOut(s.Planner.StartRefused(t.Ref(), time.Now()))
 		}
 		s.Wake()
 	})
--- a/coord/office/session.go
+++ b/coord/office/session.go
@@ -164,7 +164,7 @@
 	if doc == nil {
 		return
 	}
-	s.Planner.Withdraw(func(keyID string) bool {
+	s.Planner.CancelWithdrawnKeys(func(keyID string) bool {
 		_, ok := doc.Keys[keyID]
 		return ok
 	})
@@ -267,7 +267,7 @@
 func (s *session) drop(id string, w *vmState, now time.Time) {
 	w.cancel()
 	delete(s.vms, id)
-	s.Planner.Gone(id, now)
+	s.Planner.RemoveWorker(id, now)
 	metrics.GetOrRegisterCounter("Office.WorkersLost", s.Metrics).Inc(1)
 }
 
@@ -346,7 +346,7 @@
 // would run the task twice and could exceed its team's limit.
 func (s *session) stands(ctx context.Context, d place.Decision) (ok bool) {
 	_ = s.Duty.Do(ctx, func() {
-		ok = s.Planner.Stands(d.Task.Ref())
+		ok = s.Planner.StillPlaced(d.Task.Ref())
 		s.touch(d.VM.ID)
 	})
 	return ok
@@ -383,13 +383,13 @@
 func (s *session) started(d place.Decision, err error) {
 	switch {
 	case err == nil:
-		s.Planner.Confirmed(d.Task.Ref())
+		s.Planner.StartConfirmed(d.Task.Ref())
 		metrics.GetOrRegisterCounter("Office.Starts", s.Metrics).Inc(1)
 	case errors.Is(err, winch.ErrRefused) || errors.Is(err, winch.ErrFenced):
-		s.carryOut(s.Planner.Refused(d.Task.Ref(), time.Now()))
+		s.carryOut(s.Planner.StartRefused(d.Task.Ref(), time.Now()))
 		s.Wake()
 	default:
-		s.Planner.Doubt(d.Task.Ref())
+		s.Planner.StartUncertain(d.Task.Ref())
 		if w := s.vms[d.VM.ID]; w != nil {
 			w.doubt = true
 		}
@@ -398,7 +398,7 @@
 
 // recordFinishedJobs starts writing the results of finished jobs to the ledger.
 func (s *session) recordFinals(ctx context.Context) {
-	for _, f := range s.Planner.Finals() {
+	for _, f := range s.Planner.TakeCompletions() {
 		rec, ok := s.Planner.Record(f.Job)
 		if !ok {
 			continue
--- a/coord/place/adopt.go
+++ b/coord/place/adopt.go
@@ -11,18 +11,18 @@
 // Reconcile handles a worker's first answer under the current epoch, which lists
 // the tasks that it runs. Tasks of known jobs are adopted. The returned decisions
 // stop the tasks that must not continue.
-func (p *Planner) Known(vmID string, tasks []winch.Task, now time.Time) []Decision {
+func (p *Planner) Reconcile(vmID string, tasks []winch.Task, now time.Time) []Decision {
 	n := p.nodes[vmID]
 	if n == nil {
 		return nil
 	}
-	n.known = true
-	p.roomVersion++
+	n.reconciled = true
+	p.capacityVersion++
 	var out []Decision
 	for _, t := range tasks {
 		if existing := n.tasks[t.ID]; existing != nil {
 			existing.confirmed = true
-			existing.doubt = false
+			existing.uncertain = false
 			continue
 		}
 		if t.State != winch.TaskRunning {
@@ -32,7 +32,7 @@
 			p.Limits.Charge(t.Team, 1)
 			continue
 		}
-		p.holdForeign(n, t)
+		p.chargeForeign(n, t)
 		out = append(out, Decision{Action: Stop, Task: t, VM: n.vm})
 	}
 	return out
@@ -41,7 +41,7 @@
 // chargeForeign reserves the capacity of a task that is being stopped, and a unit of
 // its team's limit. Otherwise new work would be committed to capacity that the worker
 // does not have yet, and the team could briefly exceed its limit.
-func (p *Planner) holdForeign(n *node, t winch.Task) {
+func (p *Planner) chargeForeign(n *node, t winch.Task) {
 	if _, charged := n.foreign[t.Ref()]; charged || !t.Need.Fits(n.free) {
 		return
 	}
@@ -54,7 +54,7 @@
 }
 
 // releaseForeign frees the capacity and the unit that chargeForeign reserved for a task.
-func (p *Planner) freeForeign(vmID string, a winch.Attempt) {
+func (p *Planner) releaseForeign(vmID string, a winch.Attempt) {
 	n := p.nodes[vmID]
 	if n == nil {
 		return
@@ -63,7 +63,7 @@
 		delete(n.foreign, a)
 		p.Limits.Return(t.Team, 1)
 		p.index.charge(n, winch.Resources{}.Sub(t.Need))
-		p.roomVersion++
+		p.capacityVersion++
 	}
 }
 
@@ -85,17 +85,17 @@
 
 // TaskMissing handles a worker that no longer has a task that it acknowledged, for
 // example because an earlier planner let it forget the task's completion.
-func (p *Planner) Vanished(vmID string, a winch.Attempt, now time.Time) []Decision {
-	t := p.find(a.Task)
+func (p *Planner) TaskMissing(vmID string, a winch.Attempt, now time.Time) []Decision {
+	t := p.findTask(a.Task)
 	if t == nil || t.node.vm.ID != vmID || t.attempt != a.Number {
 		return nil
 	}
-	return p.Ended(vmID, winch.Task{ID: a.Task, Attempt: a.Number, State: winch.TaskStopped}, now)
+	return p.TaskEnded(vmID, winch.Task{ID: a.Task, Attempt: a.Number, State: winch.TaskStopped}, now)
 }
 
 // adopt takes over a task that an earlier planner started, or returns nil if it
 // cannot. The caller charges a unit for it or marks it as uncharged.
-func (p *Planner) adopt(n *node, t winch.Task, now time.Time) *placed {
+func (p *Planner) adopt(n *node, t winch.Task, now time.Time) *placement {
 	j := p.jobs[t.ID.Job]
 	if j == nil || j.running[t.ID.Index] != nil || !t.Need.Fits(n.free) {
 		return nil
@@ -118,16 +118,16 @@
 // have run, so its job ends as unknown. OpenBarrier reports whether the barrier was
 // closed before.
 func (p *Planner) OpenBarrier() bool {
-	if p.barrier {
+	if p.barrierOpen {
 		return false
 	}
-	p.barrier = true
+	p.barrierOpen = true
 	for _, j := range p.sortedJobs() {
 		if !j.held {
 			continue
 		}
 		j.held = false
-		if i := lostIntent(j); i >= 0 {
+		if i := unresolvedIntent(j); i >= 0 {
 			p.finish(j, winch.JobUnknown, winch.ExecutorFailed, fmt.Sprintf("task %d may have run under an earlier placer", i))
 			continue
 		}
@@ -138,7 +138,7 @@
 
 // unresolvedIntent returns the index of a pending task that has a recorded start
 // intent, or -1.
-func lostIntent(j *job) int {
+func unresolvedIntent(j *job) int {
 	for _, i := range j.pending {
 		if slices.Contains(j.rec.Intent, i) {
 			return i
@@ -148,28 +148,28 @@
 }
 
 // StartConfirmed records that a worker acknowledged a start.
-func (p *Planner) Confirmed(a winch.Attempt) {
-	if t := p.attempt(a); t != nil {
+func (p *Planner) StartConfirmed(a winch.Attempt) {
+	if t := p.findAttempt(a); t != nil {
 		t.confirmed = true
 	}
 }
 
 // StartUncertain records that the response to a start was lost, so the task may run.
-func (p *Planner) Doubt(a winch.Attempt) {
-	if t := p.attempt(a); t != nil && !t.confirmed {
-		t.doubt = true
+func (p *Planner) StartUncertain(a winch.Attempt) {
+	if t := p.findAttempt(a); t != nil && !t.confirmed {
+		t.uncertain = true
 	}
 }
 
 // UncertainOn lists the tasks on a worker whose start is uncertain.
-func (p *Planner) Doubtful(vmID string) []winch.Task {
+func (p *Planner) UncertainOn(vmID string) []winch.Task {
 	n := p.nodes[vmID]
 	if n == nil {
 		return nil
 	}
 	var out []winch.Task
 	for _, t := range sortedTasks(n) {
-		if t.doubt {
+		if t.uncertain {
 			out = append(out, p.task(t))
 		}
 	}
--- a/coord/place/ended.go
+++ b/coord/place/ended.go
@@ -9,7 +9,7 @@
 )
 
 // Completion is the final state of a job that has ended.
-type Final struct {
+type Completion struct {
 	Job    string
 	State  winch.JobState
 	Reason winch.Reason
@@ -18,31 +18,31 @@
 
 // StartRefused handles a start that certainly did not happen. If the task belongs to
 // a gang, the rest of the gang is stopped.
-func (p *Planner) Refused(a winch.Attempt, now time.Time) []Decision {
-	t := p.attempt(a)
+func (p *Planner) StartRefused(a winch.Attempt, now time.Time) []Decision {
+	t := p.findAttempt(a)
 	if t == nil {
 		return nil
 	}
 	j, n := t.job, t.node
-	p.free(t)
-	p.failedOn(n, j, now)
+	p.release(t)
+	p.recordFailure(n, j, now)
 	if j.rec.State.Final() {
 		return nil // If queued again, the task would start although its job has ended.
 	}
 	if j.rec.Cancel {
-		p.cancelled(j)
+		p.finishCancelled(j)
 		return nil
 	}
-	p.delay(j, now)
+	p.backOff(j, now)
 	p.requeue(j, a.Task.Index)
 	if !j.gang() {
 		return nil
 	}
-	return p.takeBack(j)
+	return p.stopRunning(j)
 }
 
 // stopRunning stops all running tasks of a job. They are queued again once stopped.
-func (p *Planner) takeBack(j *job) []Decision {
+func (p *Planner) stopRunning(j *job) []Decision {
 	var out []Decision
 	for i := range j.rec.Spec.Tasks {
 		if t := j.running[i]; t != nil && !t.stopping {
@@ -63,35 +63,35 @@
 // TaskEnded handles a task that has ended at its worker or was lost with it. A worker
 // that was considered lost may report the end of a task that has since been started
 // elsewhere. Such a report must not end the new attempt.
-func (p *Planner) Ended(vmID string, task winch.Task, now time.Time) []Decision {
-	p.freeForeign(vmID, task.Ref())
-	t := p.find(task.ID)
+func (p *Planner) TaskEnded(vmID string, task winch.Task, now time.Time) []Decision {
+	p.releaseForeign(vmID, task.Ref())
+	t := p.findTask(task.ID)
 	if t == nil {
-		return p.endedBefore(vmID, task, now)
+		return p.adoptEnded(vmID, task, now)
 	}
 	if t.node.vm.ID != vmID {
 		return nil
 	}
 	j := t.job
-	p.free(t)
+	p.release(t)
 	if j.rec.State.Final() {
 		return nil
 	}
-	out := p.outcome(j, t, task, now)
+	out := p.applyResult(j, t, task, now)
 	if !j.rec.State.Final() {
 		p.push(j) // The rest of a gang may have waited for this task to end.
 	}
 	return out
 }
 
-func (p *Planner) outcome(j *job, t *placed, task winch.Task, now time.Time) []Decision {
+func (p *Planner) applyResult(j *job, t *placement, task winch.Task, now time.Time) []Decision {
 	switch task.State {
 	case winch.TaskDone:
-		return p.succeeded(j, t, task.Output, now)
+		return p.taskSucceeded(j, t, task.Output, now)
 	case winch.TaskFailed:
-		return p.failed(j, t, now)
+		return p.taskFailed(j, t, now)
 	default:
-		return p.stopped(j, t, now)
+		return p.taskStopped(j, t, now)
 	}
 }
 
@@ -99,7 +99,7 @@
 // ended before this planner knew of it. The earlier planner may already have returned
 // its unit and used it for another task. Returning it again would let the team exceed
 // its limit.
-func (p *Planner) endedBefore(vmID string, task winch.Task, now time.Time) []Decision {
+func (p *Planner) adoptEnded(vmID string, task winch.Task, now time.Time) []Decision {
 	n, j := p.nodes[vmID], p.jobs[task.ID.Job]
 	if n == nil || j == nil || task.State == winch.TaskStopped || !j.need.Fits(n.free) {
 		return nil
@@ -108,13 +108,13 @@
 	if t == nil {
 		return nil
 	}
-	t.unpaid = true
-	return p.Ended(vmID, task, now)
+	t.uncharged = true
+	return p.TaskEnded(vmID, task, now)
 }
 
-func (p *Planner) succeeded(j *job, t *placed, output string, now time.Time) []Decision {
-	p.learn(j, now.Sub(t.started))
-	t.node.health.good()
+func (p *Planner) taskSucceeded(j *job, t *placement, output string, now time.Time) []Decision {
+	p.recordRunTime(j, now.Sub(t.started))
+	t.node.health.reset()
 	j.backoff = 0
 	if j.rec.Spec.Kind == winch.LongRunning {
 		p.requeue(j, t.id.Index) // A long-running job always keeps its number of tasks.
@@ -122,7 +122,7 @@
 	}
 	j.ended[t.id.Index] = true
 	j.rec.EndedTasks = append(j.rec.EndedTasks, t.id.Index)
-	if output != "" && len(j.rec.Output) < outputsKept {
+	if output != "" && len(j.rec.Output) < maxOutputs {
 		j.rec.Output = append(j.rec.Output, output)
 	}
 	if len(j.ended) == j.rec.Spec.Tasks {
@@ -132,21 +132,21 @@
 }
 
 // maxOutputs bounds the outputs in a job's record.
-const outputsKept = 16
+const maxOutputs = 16
 
-func (p *Planner) failed(j *job, t *placed, now time.Time) []Decision {
-	p.failedOn(t.node, j, now)
+func (p *Planner) taskFailed(j *job, t *placement, now time.Time) []Decision {
+	p.recordFailure(t.node, j, now)
 	j.rec.Failed++
-	j.attempts[t.id.Index]++
-	if !j.class.Repeatable || j.attempts[t.id.Index] >= failuresToGiveUp {
-		out := p.takeBack(j)
-		p.finish(j, winch.JobFailed, winch.ExecutorFailed, fmt.Sprintf("task %d failed on %d workers", t.id.Index, len(j.badOn)))
+	j.failures[t.id.Index]++
+	if !j.class.Repeatable || j.failures[t.id.Index] >= maxTaskFailures {
+		out := p.stopRunning(j)
+		p.finish(j, winch.JobFailed, winch.ExecutorFailed, fmt.Sprintf("task %d failed on %d workers", t.id.Index, len(j.failedWorkers)))
 		return out
 	}
-	p.delay(j, now)
+	p.backOff(j, now)
 	p.requeue(j, t.id.Index)
 	if j.gang() {
-		return p.takeBack(j)
+		return p.stopRunning(j)
 	}
 	return nil
 }
@@ -154,15 +154,15 @@
 // backOff doubles a job's backoff after a failed start and keeps the job out of the
 // queue for that time. Without it, a job that every worker refuses at once would be
 // started again in a tight loop.
-func (p *Planner) delay(j *job, now time.Time) {
-	j.backoff = min(max(2*j.backoff, backoffFirst), backoffMost)
-	p.pause(j, now)
+func (p *Planner) backOff(j *job, now time.Time) {
+	j.backoff = min(max(2*j.backoff, minBackoff), maxBackoff)
+	p.delayJob(j, now)
 }
 
 // delayJob keeps a job out of the queue for its current backoff.
-func (p *Planner) pause(j *job, now time.Time) {
+func (p *Planner) delayJob(j *job, now time.Time) {
 	p.queue.remove(j)
-	j.notBefore = now.Add(max(j.backoff, backoffFirst))
+	j.notBefore = now.Add(max(j.backoff, minBackoff))
 	if !j.delayed {
 		j.delayed = true
 		p.delayed = append(p.delayed, j)
@@ -170,7 +170,7 @@
 }
 
 // requeueDelayed puts jobs whose delay has passed back into the queue.
-func (p *Planner) wakeJobs(now time.Time) {
+func (p *Planner) requeueDelayed(now time.Time) {
 	remaining := p.delayed[:0]
 	for _, j := range p.delayed {
 		if now.Before(j.notBefore) && !j.rec.State.Final() {
@@ -194,28 +194,28 @@
 
 // taskStopped handles a task that ended without a result: it was evicted, lost with
 // its worker or stopped on request. Only tasks of repeatable jobs run again.
-func (p *Planner) stopped(j *job, t *placed, now time.Time) []Decision {
+func (p *Planner) taskStopped(j *job, t *placement, now time.Time) []Decision {
 	if j.rec.Cancel {
-		p.cancelled(j)
+		p.finishCancelled(j)
 		return nil
 	}
 	if !j.class.Repeatable {
-		out := p.takeBack(j)
+		out := p.stopRunning(j)
 		p.finish(j, winch.JobUnknown, winch.ExecutorFailed, fmt.Sprintf("task %d was lost with its worker", t.id.Index))
 		return out
 	}
 	if t.stopping {
-		p.pause(j, now) // Otherwise it could reclaim the capacity that it was evicted from.
+		p.delayJob(j, now) // Otherwise it could reclaim the capacity that it was evicted from.
 	}
 	p.requeue(j, t.id.Index)
 	if j.gang() {
-		return p.takeBack(j)
+		return p.stopRunning(j)
 	}
 	return nil
 }
 
 // finishCancelled ends a job whose cancellation was requested, once none of its tasks run.
-func (p *Planner) cancelled(j *job) {
+func (p *Planner) finishCancelled(j *job) {
 	if len(j.running) == 0 {
 		p.finish(j, winch.JobCancelled, winch.Cancelled, "")
 	}
@@ -230,15 +230,15 @@
 	p.queue.remove(j)
 	j.pending = nil
 	j.rec.State = state
-	p.ends = append(p.ends, Final{Job: j.rec.ID, State: state, Reason: reason, Detail: detail})
+	p.completions = append(p.completions, Completion{Job: j.rec.ID, State: state, Reason: reason, Detail: detail})
 	if p.reserved != nil && p.reserved.job == j {
 		p.dropReservation()
 	}
 }
 
 // TakeCompletions returns the completions of the jobs that ended since the last call.
-func (p *Planner) Finals() []Final {
-	out := p.ends
-	p.ends = nil
+func (p *Planner) TakeCompletions() []Completion {
+	out := p.completions
+	p.completions = nil
 	return out
 }
--- a/coord/place/evict.go
+++ b/coord/place/evict.go
@@ -10,9 +10,9 @@
 
 // reservation keeps workers free for a job that waits for running tasks to end.
 type reservation struct {
-	job   *job
-	nodes map[*node]bool
-	at    time.Time // forecastStart is when the job is expected to start.
+	job           *job
+	nodes         map[*node]bool
+	forecastStart time.Time // forecastStart is when the job is expected to start.
 }
 
 // reserve reserves the workers on which the job can start earliest according to the
@@ -24,11 +24,11 @@
 		node   *node
 	}
 	var slots []slot
-	for _, n := range p.sorted() {
-		if !n.known || n.vm.Leaving || now.Before(n.aside) || !j.need.Fits(n.vm.Size) {
+	for _, n := range p.sortedNodes() {
+		if !n.reconciled || n.vm.Leaving || now.Before(n.quarantinedUntil) || !j.need.Fits(n.vm.Size) {
 			continue
 		}
-		for _, freeAt := range p.openings(n, j.need, now) {
+		for _, freeAt := range p.slotTimes(n, j.need, now) {
 			slots = append(slots, slot{freeAt, n})
 		}
 	}
@@ -40,7 +40,7 @@
 		return
 	}
 	slices.SortStableFunc(slots, func(a, b slot) int { return a.freeAt.Compare(b.freeAt) })
-	r := &reservation{job: j, nodes: make(map[*node]bool), at: slots[need-1].freeAt}
+	r := &reservation{job: j, nodes: make(map[*node]bool), forecastStart: slots[need-1].freeAt}
 	for _, s := range slots[:need] {
 		r.nodes[s.node] = true
 	}
@@ -49,13 +49,13 @@
 
 // slotTimes returns the times at which the node is forecast to have capacity for one,
 // two, … tasks of this need.
-func (p *Planner) openings(n *node, need winch.Resources, now time.Time) []time.Time {
+func (p *Planner) slotTimes(n *node, need winch.Resources, now time.Time) []time.Time {
 	tasks := sortedTasks(n)
-	slices.SortStableFunc(tasks, func(a, b *placed) int { return a.ends.Compare(b.ends) })
+	slices.SortStableFunc(tasks, func(a, b *placement) int { return a.forecastEnd.Compare(b.forecastEnd) })
 	var out []time.Time
 	free := n.free
 	addSlots := func(at time.Time) {
-		for need.Fits(free) && len(out) < maxOpenings {
+		for need.Fits(free) && len(out) < maxSlotTimes {
 			free = free.Sub(need)
 			out = append(out, at)
 		}
@@ -66,9 +66,9 @@
 			continue
 		}
 		free = free.Add(t.job.need)
-		at := t.ends
+		at := t.forecastEnd
 		if at.Before(now) {
-			at = now.Add(defaultRun / 2) // It has exceeded its forecast, so its remaining run time is unknown.
+			at = now.Add(defaultRunTime / 2) // It has exceeded its forecast, so its remaining run time is unknown.
 		}
 		addSlots(at)
 	}
@@ -76,14 +76,14 @@
 }
 
 // maxSlotTimes bounds the tasks of one gang that are forecast on one worker.
-const maxOpenings = 64
+const maxSlotTimes = 64
 
 // evict frees capacity for an urgent task by checkpointing the tasks that lose the
 // least work. It returns nil if this frees enough capacity on no worker.
 func (p *Planner) evict(j *job, now time.Time) []Decision {
-	var best []*placed
+	var best []*placement
 	bestLoss := time.Duration(math.MaxInt64)
-	for _, n := range p.sorted() {
+	for _, n := range p.sortedNodes() {
 		if !p.usable(n, j, now) || !j.need.Fits(n.vm.Size) {
 			continue
 		}
@@ -98,11 +98,11 @@
 	var out []Decision
 	for _, t := range best {
 		t.stopping = true
-		p.Lost += now.Sub(t.started)
+		p.LostRunTime += now.Sub(t.started)
 		p.Evictions++
 		out = append(out, Decision{Action: Evict, Task: p.task(t), VM: t.node.vm})
 	}
-	j.why = "room is being made by checkpointing other work"
+	j.waitReason = "room is being made by checkpointing other work"
 	return out
 }
 
@@ -110,9 +110,9 @@
 // whether the job's task fits then. Tasks that are already being stopped count as
 // free, so that one urgent task does not cause further evictions while capacity for it
 // is being freed.
-func (p *Planner) victims(n *node, j *job, now time.Time) (out []*placed, loss time.Duration, fits bool) {
+func (p *Planner) victims(n *node, j *job, now time.Time) (out []*placement, loss time.Duration, fits bool) {
 	free := n.free
-	var preemptible []*placed
+	var preemptible []*placement
 	for _, t := range sortedTasks(n) {
 		switch {
 		case t.stopping:
@@ -121,7 +121,7 @@
 			preemptible = append(preemptible, t)
 		}
 	}
-	slices.SortStableFunc(preemptible, func(a, b *placed) int { return b.started.Compare(a.started) })
+	slices.SortStableFunc(preemptible, func(a, b *placement) int { return b.started.Compare(a.started) })
 	for _, t := range preemptible {
 		if j.need.Fits(free) {
 			break
--- a/coord/place/health.go
+++ b/coord/place/health.go
@@ -5,23 +5,23 @@
 const (
 	// failedJobsToQuarantine is how many distinct jobs must fail in a row on a worker
 	// before it is quarantined.
-	badJobs = 3
+	failedJobsToQuarantine = 3
 	// minQuarantine and maxQuarantine bound the time before the worker is tried again.
-	asideFirst = 5 * time.Second
-	asideMost  = 5 * time.Minute
+	minQuarantine = 5 * time.Second
+	maxQuarantine = 5 * time.Minute
 	// quarantineDivisor bounds how many workers are quarantined at once: about one in
 	// quarantineDivisor.
-	asidePart = 5
+	quarantineDivisor = 5
 )
 
 // health distinguishes a worker that fails every job from jobs that fail on every worker.
 type health struct {
-	failed  map[string]bool
-	backoff time.Duration
+	failedJobs map[string]bool
+	backoff    time.Duration
 }
 
-func (h *health) good() {
-	h.failed = nil
+func (h *health) reset() {
+	h.failedJobs = nil
 	h.backoff = 0
 }
 
@@ -29,26 +29,26 @@
 // distinct jobs failed in a row, none of them known to fail on other workers too, is
 // quarantined. Otherwise it would always have free capacity, since its tasks end at
 // once, and the whole queue would be started there and fail.
-func (p *Planner) failedOn(n *node, j *job, now time.Time) {
-	j.badOn[n.vm.ID] = true
-	if len(j.badOn) > 1 {
+func (p *Planner) recordFailure(n *node, j *job, now time.Time) {
+	j.failedWorkers[n.vm.ID] = true
+	if len(j.failedWorkers) > 1 {
 		return
 	}
 	h := &n.health
-	if h.failed == nil {
-		h.failed = make(map[string]bool)
+	if h.failedJobs == nil {
+		h.failedJobs = make(map[string]bool)
 	}
-	h.failed[j.rec.ID] = true
-	if len(h.failed) < badJobs || p.asideCount(now)*asidePart >= len(p.nodes) {
+	h.failedJobs[j.rec.ID] = true
+	if len(h.failedJobs) < failedJobsToQuarantine || p.quarantinedCount(now)*quarantineDivisor >= len(p.nodes) {
 		return
 	}
-	h.backoff = min(max(2*h.backoff, asideFirst), asideMost)
-	n.aside = now.Add(h.backoff)
+	h.backoff = min(max(2*h.backoff, minQuarantine), maxQuarantine)
+	n.quarantinedUntil = now.Add(h.backoff)
 }
 
-func (p *Planner) asideCount(now time.Time) (count int) {
+func (p *Planner) quarantinedCount(now time.Time) (count int) {
 	for _, n := range p.nodes {
-		if now.Before(n.aside) {
+		if now.Before(n.quarantinedUntil) {
 			count++
 		}
 	}
@@ -57,11 +57,11 @@
 
 // endQuarantines makes workers available again whose quarantine is over. One more
 // failure of any job quarantines them again, for longer.
-func (p *Planner) wakeNodes(now time.Time) {
+func (p *Planner) endQuarantines(now time.Time) {
 	for _, n := range p.nodes {
-		if !n.aside.IsZero() && !now.Before(n.aside) {
-			n.aside = time.Time{}
-			p.roomVersion++
+		if !n.quarantinedUntil.IsZero() && !now.Before(n.quarantinedUntil) {
+			n.quarantinedUntil = time.Time{}
+			p.capacityVersion++
 		}
 	}
 }
--- a/coord/place/index.go
+++ b/coord/place/index.go
@@ -15,38 +15,38 @@
 type node struct {
 	vm    winch.VM
 	free  winch.Resources
-	tasks map[winch.TaskID]*placed
+	tasks map[winch.TaskID]*placement
 	// foreign holds tasks that the worker runs but that this planner did not adopt,
 	// until they have been stopped.
 	foreign map[winch.Attempt]winch.Task
 	// reconciled is set once the worker has answered under the current epoch.
-	known bool
+	reconciled bool
 	// quarantinedUntil is the time until which the worker gets no work, after several
 	// jobs failed on it.
-	aside time.Time
+	quarantinedUntil time.Time
 	// bucket and position locate the node in the index.
-	bucket, slot int
-	health       health
+	bucket, position int
+	health           health
 }
 
 // placement is a task that is committed to a worker.
-type placed struct {
+type placement struct {
 	id      winch.TaskID
 	job     *job
 	node    *node
 	started time.Time
 	attempt int // attempt distinguishes this start of the task from others.
 	// forecastEnd is when the task is expected to end.
-	ends time.Time
+	forecastEnd time.Time
 	// confirmed is set once the worker has acknowledged the start.
 	confirmed bool
 	// uncertain is set if the response to the start was lost.
-	doubt bool
+	uncertain bool
 	// stopping is set if the task is being stopped: evicted, cancelled, or stopped with
 	// its gang or job.
 	stopping bool
 	// uncharged is set if no unit of the team's limit was taken for the task.
-	unpaid bool
+	uncharged bool
 }
 
 // index finds workers by free processors. Workers with accelerators are indexed
@@ -58,7 +58,7 @@
 type bucket []*node
 
 // bucketsOf returns the buckets for the node's kind of worker.
-func (x *index) side(n *node) *[]bucket {
+func (x *index) bucketsOf(n *node) *[]bucket {
 	if n.vm.Size.Accelerators > 0 {
 		return &x.accel
 	}
@@ -66,20 +66,20 @@
 }
 
 func (x *index) add(n *node) {
-	buckets := x.side(n)
+	buckets := x.bucketsOf(n)
 	n.bucket = n.free.Processors
 	for len(*buckets) <= n.bucket {
 		*buckets = append(*buckets, nil)
 	}
-	n.slot = len((*buckets)[n.bucket])
+	n.position = len((*buckets)[n.bucket])
 	(*buckets)[n.bucket] = append((*buckets)[n.bucket], n)
 }
 
 func (x *index) remove(n *node) {
-	b := &(*x.side(n))[n.bucket]
+	b := &(*x.bucketsOf(n))[n.bucket]
 	last := (*b)[len(*b)-1]
-	(*b)[n.slot] = last
-	last.slot = n.slot
+	(*b)[n.position] = last
+	last.position = n.position
 	*b = (*b)[:len(*b)-1]
 }
 
@@ -121,14 +121,14 @@
 
 // sortedNodes returns the nodes ordered by ID, for decisions that must not depend on
 // map order.
-func (p *Planner) sorted() []*node {
+func (p *Planner) sortedNodes() []*node {
 	if p.order == nil {
-		p.order = sorted(p.nodes)
+		p.order = sortNodes(p.nodes)
 	}
 	return p.order
 }
 
-func sorted(nodes map[string]*node) []*node {
+func sortNodes(nodes map[string]*node) []*node {
 	out := make([]*node, 0, len(nodes))
 	for _, n := range nodes {
 		out = append(out, n)
--- a/coord/place/learn.go
+++ b/coord/place/learn.go
@@ -3,7 +3,7 @@
 import "time"
 
 // runTimeWeight is the weight of a new sample in the moving averages of run times.
-const learnRate = 0.2
+const runTimeWeight = 0.2
 
 // historyKey identifies the tasks that share a run time history.
 type historyKey struct {
@@ -15,7 +15,7 @@
 	// factor is the average ratio of actual to declared run time.
 	factor float64
 	// meanRunTime is the average actual run time, for tasks that declare none.
-	mean time.Duration
+	meanRunTime time.Duration
 }
 
 // forecast returns the expected run time of a task. Declared run times are often far
@@ -28,23 +28,23 @@
 	case h != nil && declared > 0:
 		return time.Duration(float64(declared) * h.factor)
 	case h != nil:
-		return h.mean
+		return h.meanRunTime
 	case declared > 0:
 		return declared
 	default:
-		return defaultRun
+		return defaultRunTime
 	}
 }
 
-func (p *Planner) learn(j *job, took time.Duration) {
+func (p *Planner) recordRunTime(j *job, took time.Duration) {
 	k := historyKey{j.rec.Team, j.rec.Class}
 	h := p.history[k]
 	if h == nil {
-		h = &history{factor: 1, mean: took}
+		h = &history{factor: 1, meanRunTime: took}
 		p.history[k] = h
 	}
-	h.mean += time.Duration(learnRate * float64(took-h.mean))
+	h.meanRunTime += time.Duration(runTimeWeight * float64(took-h.meanRunTime))
 	if declared := j.rec.Spec.RunTime; declared > 0 {
-		h.factor += learnRate * (float64(took)/float64(declared) - h.factor)
+		h.factor += runTimeWeight * (float64(took)/float64(declared) - h.factor)
 	}
 }
--- a/coord/place/place_test.go
+++ b/coord/place/place_test.go
@@ -24,24 +24,24 @@
 	os.Exit(m.Run())
 }
 
-var epoch = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
 var (
-	urgent = winch.Class{Name: "preview", Wait: 4 * time.Second, Repeatable: true, MaxRun: time.Minute}
-	mix    = winch.Class{Name: "mix", By: "06:00", Repeatable: true, Preemptible: true, MaxRun: time.Hour}
-	billed = winch.Class{Name: "billed", By: "06:00", MaxRun: time.Hour}
-	room   = winch.Class{Name: "room", Wait: 30 * time.Second, Repeatable: true, MaxRun: 24 * time.Hour}
+	urgent        = winch.Class{Name: "preview", Wait: 4 * time.Second, Repeatable: true, MaxRun: time.Minute}
+	deferred      = winch.Class{Name: "mix", By: "06:00", Repeatable: true, Preemptible: true, MaxRun: time.Hour}
+	nonRepeatable = winch.Class{Name: "billed", By: "06:00", MaxRun: time.Hour}
+	longRunning   = winch.Class{Name: "room", Wait: 30 * time.Second, Repeatable: true, MaxRun: 24 * time.Hour}
 )
 
 // fakeLimits implements Limits with fixed limits and no checks in Charge.
-type purse struct {
+type fakeLimits struct {
 	limit map[string]int
 	used  map[string]int
 	// returned counts the units that were returned.
 	returned int
 }
 
-func (p *purse) TryTake(team string, n int) bool {
+func (p *fakeLimits) TryTake(team string, n int) bool {
 	if p.used[team]+n > p.limit[team] {
 		return false
 	}
@@ -49,9 +49,9 @@
 	return true
 }
 
-func (p *purse) Charge(team string, n int) { p.used[team] += n }
+func (p *fakeLimits) Charge(team string, n int) { p.used[team] += n }
 
-func (p *purse) Return(team string, n int) {
+func (p *fakeLimits) Return(team string, n int) {
 	p.used[team] -= n
 	p.returned += n
 }
@@ -59,19 +59,19 @@
 // rig drives a planner with simulated workers that carry out each decision at once.
 type rig struct {
 	*Planner
-	purse   *purse
+	limits  *fakeLimits
 	now     time.Time
 	running map[winch.TaskID]string
 	starts  map[winch.TaskID]int
-	finals  map[string]Final
+	results map[string]Completion
 }
 
 func newRig(workers int, size winch.Resources) *rig {
 	r := &rig{
-		purse: &purse{limit: make(map[string]int), used: make(map[string]int)}, now: epoch,
-		running: make(map[winch.TaskID]string), starts: make(map[winch.TaskID]int), finals: make(map[string]Final),
+		limits: &fakeLimits{limit: make(map[string]int), used: make(map[string]int)}, now: startTime,
+		running: make(map[winch.TaskID]string), starts: make(map[winch.TaskID]int), results: make(map[string]Completion),
 	}
-	r.Planner = NewPlanner(r.purse, func(name string) winch.Team { return winch.Team{Name: name, Share: 1} })
+	r.Planner = NewPlanner(r.limits, func(name string) winch.Team { return winch.Team{Name: name, Share: 1} })
 	for i := range workers {
 		r.addWorker(i, size)
 	}
@@ -82,12 +82,12 @@
 func (r *rig) addWorker(i int, size winch.Resources) {
 	id := fmt.Sprint("w", i)
 	r.SetVM(winch.VM{ID: id, Rack: fmt.Sprint("r", i%3), Size: size})
-	r.Known(id, nil, r.now)
+	r.Reconcile(id, nil, r.now)
 }
 
 func (r *rig) submit(id, team string, class winch.Class, kind winch.JobKind, tasks, cpu int, run time.Duration) {
-	if _, ok := r.purse.limit[team]; !ok {
-		r.purse.limit[team] = 1000
+	if _, ok := r.limits.limit[team]; !ok {
+		r.limits.limit[team] = 1000
 	}
 	r.Submit(winch.Job{
 		ID: id, Team: team, Class: class.Name, Submitted: r.now, State: winch.JobQueued,
@@ -119,7 +119,7 @@
 	if d.Action == Start {
 		r.running[d.Task.ID] = d.VM.ID
 		r.starts[d.Task.ID]++
-		r.Confirmed(d.Task.Ref())
+		r.StartConfirmed(d.Task.Ref())
 		return
 	}
 	r.end(d.Task.ID, winch.TaskStopped)
@@ -131,15 +131,15 @@
 		return
 	}
 	delete(r.running, id)
-	for _, d := range r.Ended(vm, winch.Task{ID: id, State: state}, r.now) {
+	for _, d := range r.TaskEnded(vm, winch.Task{ID: id, State: state}, r.now) {
 		r.do(d)
 	}
 	r.collect()
 }
 
 func (r *rig) collect() {
-	for _, f := range r.Finals() {
-		r.finals[f.Job] = f
+	for _, f := range r.TakeCompletions() {
+		r.results[f.Job] = f
 	}
 }
 
@@ -157,24 +157,24 @@
 	return n
 }
 
-var eight = winch.Resources{Processors: 8, Memory: 8}
+var size8 = winch.Resources{Processors: 8, Memory: 8}
 
 // A stream of small tasks that always takes the free capacity could starve a waiting
 // gang. A reservation must let the gang start at its forecast time. Only small tasks
 // that end before that time are backfilled.
 func TestGangIsNotStarved(t *testing.T) {
 	is := is.New(t)
-	r := newRig(4, eight)
+	r := newRig(4, size8)
 	for i := range 8 {
-		r.submit(fmt.Sprint("old", i), "choir", mix, winch.Batch, 4, 1, time.Minute)
+		r.submit(fmt.Sprint("old", i), "choir", deferred, winch.Batch, 4, 1, time.Minute)
 	}
 	r.plan()
-	r.submit("gang", "guild", mix, winch.Gang, 4, 8, time.Minute)
+	r.submit("gang", "guild", deferred, winch.Gang, 4, 8, time.Minute)
 	r.plan()
 	st, _ := r.Status("gang", r.now)
 	is.Equal(st.Forecast, time.Minute)
-	r.submit("long", "choir", mix, winch.Batch, 8, 1, time.Hour)
-	r.submit("short", "choir", mix, winch.Batch, 8, 1, 5*time.Second)
+	r.submit("long", "choir", deferred, winch.Batch, 8, 1, time.Hour)
+	r.submit("short", "choir", deferred, winch.Batch, 8, 1, 5*time.Second)
 	r.now = r.now.Add(30 * time.Second)
 	for i := range 4 {
 		r.end(winch.TaskID{Job: "old0", Index: i}, winch.TaskDone)
@@ -192,48 +192,48 @@
 
 // An earlier planner recorded the completion of all tasks and crashed before it recorded
 // the end of the job. Its successor must end the job, although no task is left to run.
-func TestAllTasksEndedBefore(t *testing.T) {
+func TestJobWhoseTasksAllEndedIsFinished(t *testing.T) {
 	is := is.New(t)
-	r := newRig(1, eight)
-	r.purse.limit["choir"] = 5
+	r := newRig(1, size8)
+	r.limits.limit["choir"] = 5
 	r.Submit(winch.Job{
 		ID: "j", Team: "choir", State: winch.JobQueued, EndedTasks: []int{1, 0}, Submitted: r.now,
 		Spec: winch.JobSpec{Kind: winch.Batch, Tasks: 2, Need: winch.Resources{Processors: 1, Memory: 1}},
-	}, mix, true, r.now)
+	}, deferred, true, r.now)
 	r.plan()
-	is.Equal(r.finals["j"].State, winch.JobDone)
+	is.Equal(r.results["j"].State, winch.JobDone)
 }
 
 // A gang of a non-repeatable class is stopped because one start was refused. Another
 // start of it was not acknowledged yet, but the worker had begun the task, which may
 // have had effects. The job must end as unknown, and the task must not start again.
-func TestBilledGangTakenBack(t *testing.T) {
+func TestStoppedNonRepeatableGangEndsAsUnknown(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, eight)
-	r.submit("gang", "choir", billed, winch.Gang, 2, 8, time.Minute)
+	r := newRig(2, size8)
+	r.submit("gang", "choir", nonRepeatable, winch.Gang, 2, 8, time.Minute)
 	out := r.Plan(r.now, 10)
 	is.Equal(len(out), 2)
-	r.Refused(out[0].Task.Ref(), r.now)
-	r.Ended(out[1].VM.ID, winch.Task{ID: out[1].Task.ID, State: winch.TaskStopped}, r.now)
+	r.StartRefused(out[0].Task.Ref(), r.now)
+	r.TaskEnded(out[1].VM.ID, winch.Task{ID: out[1].Task.ID, State: winch.TaskStopped}, r.now)
 	r.collect()
-	is.Equal(r.finals["gang"].State, winch.JobUnknown)
+	is.Equal(r.results["gang"].State, winch.JobUnknown)
 }
 
 // A worker still runs a task of an ended job when a new planner contacts it. The task is
 // stopped. Its capacity must not be used for other tasks before it has ended.
-func TestForeignTaskKeepsRoom(t *testing.T) {
+func TestForeignTaskKeepsItsCapacity(t *testing.T) {
 	is := is.New(t)
-	r := newRig(0, eight)
-	r.SetVM(winch.VM{ID: "w0", Size: eight})
+	r := newRig(0, size8)
+	r.SetVM(winch.VM{ID: "w0", Size: size8})
 	old := winch.Task{ID: winch.TaskID{Job: "gone"}, Team: "choir", Attempt: 3, Need: winch.Resources{Processors: 6, Memory: 6}, State: winch.TaskRunning}
-	out := r.Known("w0", []winch.Task{old}, r.now)
+	out := r.Reconcile("w0", []winch.Task{old}, r.now)
 	is.Equal(out[0].Action, Stop)
-	is.Equal(r.purse.used["choir"], 1)
-	r.submit("j", "choir", mix, winch.Batch, 1, 4, time.Minute)
+	is.Equal(r.limits.used["choir"], 1)
+	r.submit("j", "choir", deferred, winch.Batch, 1, 4, time.Minute)
 	r.plan()
 	is.Equal(r.count("j"), 0)
 	old.State = winch.TaskStopped
-	r.Ended("w0", old, r.now)
+	r.TaskEnded("w0", old, r.now)
 	r.plan()
 	is.Equal(r.count("j"), 1)
 }
@@ -242,27 +242,27 @@
 // for another task. It crashed before the completion was recorded, so the worker reports
 // it again to the successor. If the successor returned the unit once more, the team
 // would exceed its limit by one task.
-func TestEndOfEarlierPlacerFreesNoUnit(t *testing.T) {
+func TestCompletionUnderEarlierPlannerReturnsNoUnit(t *testing.T) {
 	is := is.New(t)
-	r := newRig(0, eight)
-	r.SetVM(winch.VM{ID: "w0", Size: eight})
+	r := newRig(0, size8)
+	r.SetVM(winch.VM{ID: "w0", Size: size8})
 	r.Submit(winch.Job{
 		ID: "j", Team: "choir", State: winch.JobQueued, Submitted: r.now,
 		Spec: winch.JobSpec{Kind: winch.Batch, Tasks: 3, Need: winch.Resources{Processors: 1, Memory: 1}},
-	}, mix, true, r.now)
+	}, deferred, true, r.now)
 	task := func(index int, state winch.TaskState) winch.Task {
 		return winch.Task{ID: winch.TaskID{Job: "j", Index: index}, Team: "choir", Attempt: 1, Need: winch.Resources{Processors: 1, Memory: 1}, State: state}
 	}
-	r.purse.limit["choir"] = 1
-	r.Ended("w0", task(0, winch.TaskDone), r.now)
-	is.Equal(r.purse.returned, 0)
-	r.Known("w0", []winch.Task{task(1, winch.TaskRunning)}, r.now)
-	is.Equal(r.purse.used["choir"], 1)
+	r.limits.limit["choir"] = 1
+	r.TaskEnded("w0", task(0, winch.TaskDone), r.now)
+	is.Equal(r.limits.returned, 0)
+	r.Reconcile("w0", []winch.Task{task(1, winch.TaskRunning)}, r.now)
+	is.Equal(r.limits.used["choir"], 1)
 	r.OpenBarrier()
 	r.plan()
 	is.Equal(r.count("j"), 0) // the running task uses the whole limit
-	r.Ended("w0", task(1, winch.TaskDone), r.now)
-	is.Equal(r.purse.returned, 1)
+	r.TaskEnded("w0", task(1, winch.TaskDone), r.now)
+	is.Equal(r.limits.returned, 1)
 	r.plan()
 	is.Equal(r.count("j"), 1)
 }
@@ -270,20 +270,20 @@
 // A start is delayed for so long that its worker is considered lost and the task is
 // placed elsewhere. The delayed start must no longer be sent, and a report about it must
 // not affect the new run. Otherwise the task would run twice.
-func TestHeldUpStartOfALostWorker(t *testing.T) {
+func TestDelayedStartAtALostWorkerIsDropped(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, eight)
-	r.submit("j", "choir", mix, winch.Batch, 1, 1, time.Minute)
+	r := newRig(2, size8)
+	r.submit("j", "choir", deferred, winch.Batch, 1, 1, time.Minute)
 	first := r.Plan(r.now, 10)
 	is.Equal(len(first), 1)
-	is.True(r.Stands(first[0].Task.Ref()))
-	r.Gone(first[0].VM.ID, r.now)
+	is.True(r.StillPlaced(first[0].Task.Ref()))
+	r.RemoveWorker(first[0].VM.ID, r.now)
 	second := r.Plan(r.now, 10)
 	is.Equal(len(second), 1)
-	is.Equal(r.Stands(first[0].Task.Ref()), false)
-	is.Equal(len(r.Refused(first[0].Task.Ref(), r.now)), 0)
-	is.True(r.Stands(second[0].Task.Ref()))
-	is.Equal(r.purse.used["choir"], 1)
+	is.Equal(r.StillPlaced(first[0].Task.Ref()), false)
+	is.Equal(len(r.StartRefused(first[0].Task.Ref(), r.now)), 0)
+	is.True(r.StillPlaced(second[0].Task.Ref()))
+	is.Equal(r.limits.used["choir"], 1)
 	r.now = r.now.Add(time.Minute)
 	is.Equal(len(r.Plan(r.now, 10)), 0)
 }
@@ -291,41 +291,41 @@
 // A job fails or is cancelled while one of its starts is in flight, and the worker then
 // refuses that start. No task of the job may start again, since the caller has already
 // been notified of the job's end.
-func TestStartRefusedAfterTheEnd(t *testing.T) {
+func TestStartRefusedAfterTheJobEnded(t *testing.T) {
 	for _, end := range []string{"cancelled", "failed"} {
 		t.Run(end, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(2, eight)
-			r.submit("gang", "choir", billed, winch.Gang, 2, 8, time.Minute)
+			r := newRig(2, size8)
+			r.submit("gang", "choir", nonRepeatable, winch.Gang, 2, 8, time.Minute)
 			out := r.Plan(r.now, 10)
 			is.Equal(len(out), 2)
 			if end == "cancelled" {
 				r.Cancel("gang")
 			} else {
-				r.Ended(out[1].VM.ID, winch.Task{ID: out[1].Task.ID, State: winch.TaskFailed}, r.now)
+				r.TaskEnded(out[1].VM.ID, winch.Task{ID: out[1].Task.ID, State: winch.TaskFailed}, r.now)
 			}
-			r.Refused(out[0].Task.Ref(), r.now)
+			r.StartRefused(out[0].Task.Ref(), r.now)
 			if end == "cancelled" {
-				r.Refused(out[1].Task.Ref(), r.now)
+				r.StartRefused(out[1].Task.Ref(), r.now)
 			}
 			r.now = r.now.Add(time.Minute)
 			is.Equal(len(r.Plan(r.now, 10)), 0)
 			r.collect()
-			is.True(r.finals["gang"].State.Final())
+			is.True(r.results["gang"].State.Final())
 		})
 	}
 }
 
 // A worker with a gang's task is lost while other tasks of the gang have already
 // succeeded. The remaining tasks must start again together and not be left unqueued.
-func TestGangPartEnded(t *testing.T) {
+func TestRestOfAGangRestartsTogether(t *testing.T) {
 	is := is.New(t)
-	r := newRig(3, eight)
-	r.submit("gang", "choir", mix, winch.Gang, 3, 8, time.Minute)
+	r := newRig(3, size8)
+	r.submit("gang", "choir", deferred, winch.Gang, 3, 8, time.Minute)
 	r.plan()
 	lost := r.running[winch.TaskID{Job: "gang", Index: 1}]
 	delete(r.running, winch.TaskID{Job: "gang", Index: 1})
-	r.Gone(lost, r.now)
+	r.RemoveWorker(lost, r.now)
 	r.end(winch.TaskID{Job: "gang", Index: 0}, winch.TaskDone)
 	r.end(winch.TaskID{Job: "gang", Index: 2}, winch.TaskStopped)
 	r.now = r.now.Add(time.Second)
@@ -335,21 +335,21 @@
 
 // A worker refuses one start of a gang. The whole gang must be stopped and start again as
 // a whole after a delay.
-func TestGangTakenBack(t *testing.T) {
+func TestGangRestartsAsAWholeAfterARefusedStart(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, eight)
-	r.submit("gang", "choir", mix, winch.Gang, 4, 2, time.Minute)
+	r := newRig(2, size8)
+	r.submit("gang", "choir", deferred, winch.Gang, 4, 2, time.Minute)
 	out := r.Plan(r.now, 10)
 	is.Equal(len(out), 4)
 	for _, d := range out[1:] {
 		r.do(d)
 	}
-	for _, d := range r.Refused(out[0].Task.Ref(), r.now) {
+	for _, d := range r.StartRefused(out[0].Task.Ref(), r.now) {
 		is.Equal(d.Action, Stop)
 		r.do(d)
 	}
 	is.Equal(len(r.running), 0)
-	is.Equal(r.purse.used["choir"], 0)
+	is.Equal(r.limits.used["choir"], 0)
 	r.plan()
 	is.Equal(r.count("gang"), 0) // not before the backoff is over
 	r.now = r.now.Add(time.Second)
@@ -360,14 +360,14 @@
 // A worker fails every task at once and therefore always has free capacity, so the whole
 // queue could be started there and fail. It must be quarantined after a few distinct
 // jobs, and all jobs must succeed on other workers.
-func TestBlackHoleWorker(t *testing.T) {
+func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	r := newRig(10, eight)
+	r := newRig(10, size8)
 	for i := range 60 {
-		r.submit(fmt.Sprint("j", i), "choir", mix, winch.Batch, 1, 2, time.Second)
+		r.submit(fmt.Sprint("j", i), "choir", deferred, winch.Batch, 1, 2, time.Second)
 	}
 	bad := 0
-	for len(r.finals) < 60 && r.now.Sub(epoch) < time.Minute {
+	for len(r.results) < 60 && r.now.Sub(startTime) < time.Minute {
 		r.plan()
 		for _, id := range r.ids() {
 			vm := r.running[id]
@@ -379,20 +379,20 @@
 		}
 		r.now = r.now.Add(time.Second)
 	}
-	for _, f := range r.finals {
+	for _, f := range r.results {
 		is.Equal(f.State, winch.JobDone)
 	}
-	is.Equal(len(r.finals), 60)
+	is.Equal(len(r.results), 60)
 	is.True(bad <= 10)
 }
 
 // Jobs fail on every worker. They must end as failed after a few attempts, and no more
 // workers than the bound allows may be quarantined because of them.
-func TestJobFailsEverywhere(t *testing.T) {
+func TestJobsThatFailEverywhereQuarantineFewWorkers(t *testing.T) {
 	is := is.New(t)
-	r := newRig(10, eight)
+	r := newRig(10, size8)
 	for i := range 20 {
-		r.submit(fmt.Sprint("bad", i), "choir", mix, winch.Batch, 1, 1, time.Second)
+		r.submit(fmt.Sprint("bad", i), "choir", deferred, winch.Batch, 1, 1, time.Second)
 	}
 	for range 10 {
 		r.plan()
@@ -401,18 +401,18 @@
 		}
 		r.now = r.now.Add(time.Minute)
 	}
-	is.Equal(len(r.finals), 20)
-	for _, f := range r.finals {
+	is.Equal(len(r.results), 20)
+	for _, f := range r.results {
 		is.Equal(f.State, winch.JobFailed)
 	}
-	is.True(r.asideCount(r.now)*asidePart <= len(r.nodes)+asidePart)
+	is.True(r.quarantinedCount(r.now)*quarantineDivisor <= len(r.nodes)+quarantineDivisor)
 }
 
 // A job is larger than any present worker. Its status must name that reason, and the job
 // must start once a worker that is large enough joins.
-func TestNeverFitsUntilFleetChanges(t *testing.T) {
+func TestJobWaitsForALargeEnoughWorker(t *testing.T) {
 	is := is.New(t)
-	r := newRig(3, eight)
+	r := newRig(3, size8)
 	r.submit("big", "choir", urgent, winch.Batch, 1, 16, time.Second)
 	r.plan()
 	st, _ := r.Status("big", r.now)
@@ -424,11 +424,11 @@
 
 // Thousands of jobs are cancelled at once, each twice. All must end, none of their tasks
 // may keep running, and other work must start afterwards.
-func TestCancelWave(t *testing.T) {
+func TestManyJobsAreCancelledAtOnce(t *testing.T) {
 	is := is.New(t)
-	r := newRig(20, eight)
+	r := newRig(20, size8)
 	for i := range 3000 {
-		r.submit(fmt.Sprint("j", i), "choir", mix, winch.Batch, 2, 1, time.Minute)
+		r.submit(fmt.Sprint("j", i), "choir", deferred, winch.Batch, 2, 1, time.Minute)
 	}
 	r.plan()
 	is.Equal(len(r.running), 160)
@@ -441,22 +441,22 @@
 		}
 	}
 	r.collect()
-	is.Equal(len(r.finals), 3000)
+	is.Equal(len(r.results), 3000)
 	is.Equal(len(r.running), 0)
-	is.Equal(r.purse.used["choir"], 0)
-	r.submit("next", "guild", mix, winch.Batch, 1, 1, time.Minute)
+	is.Equal(r.limits.used["choir"], 0)
+	r.submit("next", "guild", deferred, winch.Batch, 1, 1, time.Minute)
 	r.plan()
 	is.Equal(r.count("next"), 1)
 }
 
 // One team floods the queue before another team submits. Once the workers are full, freed
 // capacity must go to the team with the lower usage relative to its share.
-func TestFloodKeepsShares(t *testing.T) {
+func TestFloodOfOneTeamKeepsShares(t *testing.T) {
 	is := is.New(t)
-	r := newRig(4, eight)
-	r.submit("flood", "flood", mix, winch.Batch, 500, 1, time.Minute)
+	r := newRig(4, size8)
+	r.submit("flood", "flood", deferred, winch.Batch, 500, 1, time.Minute)
 	r.plan()
-	r.submit("quiet", "quiet", mix, winch.Batch, 100, 1, time.Minute)
+	r.submit("quiet", "quiet", deferred, winch.Batch, 100, 1, time.Minute)
 	for range 20 {
 		r.plan()
 		r.end(r.ids()[0], winch.TaskDone) // the tasks of team flood sort first
@@ -468,15 +468,15 @@
 
 // Urgent work arrives when all workers are full. The preemptible tasks that lose the
 // least work must be evicted, and non-repeatable tasks must not be.
-func TestEviction(t *testing.T) {
+func TestUrgentJobEvictsTasksThatLoseLeast(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, eight)
-	r.submit("billed", "choir", billed, winch.Batch, 8, 1, time.Hour)
+	r := newRig(2, size8)
+	r.submit("billed", "choir", nonRepeatable, winch.Batch, 8, 1, time.Hour)
 	r.plan()
-	r.submit("old", "choir", mix, winch.Batch, 4, 1, time.Hour)
+	r.submit("old", "choir", deferred, winch.Batch, 4, 1, time.Hour)
 	r.plan()
 	r.now = r.now.Add(10 * time.Minute)
-	r.submit("young", "choir", mix, winch.Batch, 4, 1, time.Hour)
+	r.submit("young", "choir", deferred, winch.Batch, 4, 1, time.Hour)
 	r.plan()
 	r.now = r.now.Add(time.Minute)
 	r.submit("now", "guild", urgent, winch.Batch, 1, 2, time.Second)
@@ -486,67 +486,67 @@
 	is.Equal(r.count("young"), 2)
 	is.Equal(r.count("old"), 4)
 	is.Equal(r.count("billed"), 8)
-	is.Equal(r.Lost, 2*time.Minute)
+	is.Equal(r.LostRunTime, 2*time.Minute)
 }
 
 // A worker is lost and returns after its task was started elsewhere. Its late report that
 // the old attempt ended must not end the new run.
-func TestLateReportOfLostWorker(t *testing.T) {
+func TestLateReportOfALostWorkerIsIgnored(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, eight)
-	r.submit("j", "choir", mix, winch.Batch, 1, 1, time.Minute)
+	r := newRig(2, size8)
+	r.submit("j", "choir", deferred, winch.Batch, 1, 1, time.Minute)
 	r.plan()
 	id := winch.TaskID{Job: "j"}
 	first := r.running[id]
-	r.Gone(first, r.now)
+	r.RemoveWorker(first, r.now)
 	r.plan()
 	is.True(r.running[id] != first)
-	r.SetVM(winch.VM{ID: first, Size: eight})
-	r.Known(first, nil, r.now)
-	r.Ended(first, winch.Task{ID: id, State: winch.TaskStopped}, r.now)
+	r.SetVM(winch.VM{ID: first, Size: size8})
+	r.Reconcile(first, nil, r.now)
+	r.TaskEnded(first, winch.Task{ID: id, State: winch.TaskStopped}, r.now)
 	r.plan()
 	is.Equal(r.starts[id], 2)
 	r.end(id, winch.TaskDone)
-	is.Equal(r.finals["j"].State, winch.JobDone)
+	is.Equal(r.results["j"].State, winch.JobDone)
 }
 
 // A new planner loads jobs that an earlier planner may have started. They must wait until
 // all workers have answered, or tasks could run twice. Running tasks are adopted, and a
 // non-repeatable job with a start intent for a task that no worker runs ends as unknown.
-func TestBarrier(t *testing.T) {
+func TestBarrierHoldsJobsOfAnEarlierPlanner(t *testing.T) {
 	is := is.New(t)
-	r := newRig(0, eight)
-	r.Planner = NewPlanner(r.purse, r.Team)
-	r.purse.limit["choir"] = 100
-	r.SetVM(winch.VM{ID: "w0", Size: eight})
-	r.SetVM(winch.VM{ID: "w1", Size: eight})
+	r := newRig(0, size8)
+	r.Planner = NewPlanner(r.limits, r.Team)
+	r.limits.limit["choir"] = 100
+	r.SetVM(winch.VM{ID: "w0", Size: size8})
+	r.SetVM(winch.VM{ID: "w1", Size: size8})
 	load := func(id string, class winch.Class, intent ...int) {
 		r.Submit(winch.Job{
 			ID: id, Team: "choir", Class: class.Name, Submitted: r.now, Intent: intent, State: winch.JobQueued,
 			Spec: winch.JobSpec{Kind: winch.Batch, Tasks: 2, Need: winch.Resources{Processors: 1, Memory: 1}, RunTime: time.Minute},
 		}, class, true, r.now)
 	}
-	load("mix", mix)
-	load("lost", billed, 0)
-	load("fresh", billed)
+	load("mix", deferred)
+	load("lost", nonRepeatable, 0)
+	load("fresh", nonRepeatable)
 	task := winch.Task{ID: winch.TaskID{Job: "mix", Index: 1}, Need: winch.Resources{Processors: 1, Memory: 1}, State: winch.TaskRunning, Attempt: 1}
-	r.Known("w0", []winch.Task{task}, r.now)
+	r.Reconcile("w0", []winch.Task{task}, r.now)
 	started, _ := r.plan()
 	is.Equal(len(started), 0)
-	r.Known("w1", nil, r.now)
+	r.Reconcile("w1", nil, r.now)
 	r.OpenBarrier()
 	started, _ = r.plan()
 	is.Equal(len(started), 3) // the other task of mix and both tasks of fresh
 	is.Equal(r.starts[task.ID], 0)
-	is.Equal(r.finals["lost"].State, winch.JobUnknown)
+	is.Equal(r.results["lost"].State, winch.JobUnknown)
 }
 
 // The tasks of a long-running job must be spread over the racks, and a task that ends must
 // be started again.
-func TestServiceKeptAndSpread(t *testing.T) {
+func TestLongRunningTasksAreSpreadAndRestarted(t *testing.T) {
 	is := is.New(t)
-	r := newRig(9, eight)
-	r.submit("room", "choir", room, winch.LongRunning, 6, 1, 0)
+	r := newRig(9, size8)
+	r.submit("room", "choir", longRunning, winch.LongRunning, 6, 1, 0)
 	r.plan()
 	racks := make(map[string]int)
 	for _, vm := range r.running {
@@ -559,16 +559,16 @@
 }
 
 // Declared run times are four times too short. The forecast must adapt to the actual ones.
-func TestForecastLearns(t *testing.T) {
+func TestForecastAdaptsToActualRunTimes(t *testing.T) {
 	is := is.New(t)
-	r := newRig(1, eight)
+	r := newRig(1, size8)
 	for i := range 30 {
-		r.submit(fmt.Sprint("j", i), "choir", mix, winch.Batch, 1, 1, time.Minute)
+		r.submit(fmt.Sprint("j", i), "choir", deferred, winch.Batch, 1, 1, time.Minute)
 		r.plan()
 		r.now = r.now.Add(4 * time.Minute)
 		r.end(winch.TaskID{Job: fmt.Sprint("j", i)}, winch.TaskDone)
 	}
-	r.submit("next", "choir", mix, winch.Batch, 1, 1, time.Minute)
+	r.submit("next", "choir", deferred, winch.Batch, 1, 1, time.Minute)
 	f := r.forecast(r.jobs["next"])
 	is.True(f > 230*time.Second && f <= 4*time.Minute)
 }
@@ -576,23 +576,23 @@
 // A target's time of day must be taken as UTC and lie in the future.
 func TestNextTimeOfDay(t *testing.T) {
 	is := is.New(t)
-	is.Equal(nextTimeOfDay(epoch, "06:00"), time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC))
-	is.Equal(nextTimeOfDay(epoch, "20:00"), time.Date(2026, 3, 2, 20, 0, 0, 0, time.UTC))
-	is.Equal(nextTimeOfDay(epoch, "20:01"), time.Date(2026, 3, 1, 20, 1, 0, 0, time.UTC))
+	is.Equal(nextTimeOfDay(startTime, "06:00"), time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC))
+	is.Equal(nextTimeOfDay(startTime, "20:00"), time.Date(2026, 3, 2, 20, 0, 0, 0, time.UTC))
+	is.Equal(nextTimeOfDay(startTime, "20:01"), time.Date(2026, 3, 1, 20, 1, 0, 0, time.UTC))
 }
 
 // A worker is marked as leaving. It must get no new tasks, and its running tasks end
 // there.
-func TestWorkerLeaves(t *testing.T) {
+func TestLeavingWorkerGetsNoNewTasks(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, eight)
-	r.submit("old", "choir", mix, winch.Batch, 16, 1, time.Minute)
+	r := newRig(2, size8)
+	r.submit("old", "choir", deferred, winch.Batch, 16, 1, time.Minute)
 	r.plan()
-	r.SetVM(winch.VM{ID: "w0", Size: eight, Leaving: true})
+	r.SetVM(winch.VM{ID: "w0", Size: size8, Leaving: true})
 	for _, id := range r.ids() {
 		r.end(id, winch.TaskDone)
 	}
-	r.submit("new", "choir", mix, winch.Batch, 16, 1, time.Minute)
+	r.submit("new", "choir", deferred, winch.Batch, 16, 1, time.Minute)
 	r.plan()
 	is.Equal(r.count("new"), 8)
 	for _, vm := range r.running {
--- a/coord/place/plan.go
+++ b/coord/place/plan.go
@@ -12,10 +12,10 @@
 // one task may exceed that number. The start that an eviction frees capacity for is
 // decided later, once the capacity is free.
 func (p *Planner) Plan(now time.Time, maxDecisions int) []Decision {
-	p.wakeNodes(now)
-	p.wakeJobs(now)
-	r := &round{planner: p, now: now, full: make(map[string]bool)}
-	r.gather()
+	p.endQuarantines(now)
+	p.requeueDelayed(now)
+	r := &round{planner: p, now: now, atLimit: make(map[string]bool)}
+	r.collectShapes()
 	for len(r.out) < maxDecisions {
 		s := r.next()
 		if s == nil {
@@ -25,7 +25,7 @@
 			r.push(s)
 		}
 	}
-	p.queue.tidy()
+	p.queue.removeEmpty()
 	return r.out
 }
 
@@ -35,14 +35,14 @@
 	now     time.Time
 	out     []Decision
 	// ranked is a heap of the shapes to try, atLimit the teams whose limit is reached.
-	open []entry
-	full map[string]bool
+	ranked  []rankedShape
+	atLimit map[string]bool
 	// evictions counts the tasks for which this round evicts others.
-	evicting int
+	evictions int
 }
 
 // rankedShape is a shape with the rank that it had when it was pushed.
-type entry struct {
+type rankedShape struct {
 	rank  rank
 	shape *shape
 }
@@ -53,34 +53,34 @@
 // collectShapes collects the shapes to try. A shape that fitted on no worker is skipped
 // until capacity has become free: with thousands of waiting jobs, trying all of them in
 // every round would take longer than the work itself.
-func (r *round) gather() {
+func (r *round) collectShapes() {
 	for _, s := range r.planner.queue.order {
-		if len(s.jobs) > 0 && s.failed != r.planner.roomVersion {
+		if len(s.jobs) > 0 && s.failedVersion != r.planner.capacityVersion {
 			r.push(s)
 		}
 	}
 }
 
 func (r *round) push(s *shape) {
-	heap.Push(r, entry{r.planner.rank(s, r.now), s})
+	heap.Push(r, rankedShape{r.planner.rank(s, r.now), s})
 }
 
 // Len implements heap.Interface.
-func (r *round) Len() int { return len(r.open) }
+func (r *round) Len() int { return len(r.ranked) }
 
 // Less implements heap.Interface.
-func (r *round) Less(i, j int) bool { return r.open[i].rank.before(r.open[j].rank) }
+func (r *round) Less(i, j int) bool { return r.ranked[i].rank.before(r.ranked[j].rank) }
 
 // Swap implements heap.Interface.
-func (r *round) Swap(i, j int) { r.open[i], r.open[j] = r.open[j], r.open[i] }
+func (r *round) Swap(i, j int) { r.ranked[i], r.ranked[j] = r.ranked[j], r.ranked[i] }
 
 // Push implements heap.Interface.
-func (r *round) Push(x any) { r.open = append(r.open, x.(entry)) }
+func (r *round) Push(x any) { r.ranked = append(r.ranked, x.(rankedShape)) }
 
 // Pop implements heap.Interface.
 func (r *round) Pop() any {
-	e := r.open[len(r.open)-1]
-	r.open = r.open[:len(r.open)-1]
+	e := r.ranked[len(r.ranked)-1]
+	r.ranked = r.ranked[:len(r.ranked)-1]
 	return e
 }
 
@@ -89,13 +89,13 @@
 // start. The baseline takes the oldest job. A start makes the ranks of the team's
 // other shapes worse, so a stored rank is recomputed before it is used.
 func (r *round) next() *shape {
-	for len(r.open) > 0 {
-		e := heap.Pop(r).(entry)
-		if r.full[e.shape.team] || len(e.shape.jobs) == 0 {
+	for len(r.ranked) > 0 {
+		e := heap.Pop(r).(rankedShape)
+		if r.atLimit[e.shape.team] || len(e.shape.jobs) == 0 {
 			continue
 		}
 		if current := r.planner.rank(e.shape, r.now); e.rank.before(current) {
-			heap.Push(r, entry{current, e.shape})
+			heap.Push(r, rankedShape{current, e.shape})
 			continue
 		}
 		return e.shape
@@ -105,21 +105,21 @@
 
 // rank orders shapes; the lowest rank is served first.
 type rank struct {
-	tier   int
-	use    float64
-	latest time.Time
-	seq    uint64
+	tier        int
+	usage       float64
+	latestStart time.Time
+	seq         uint64
 }
 
 func (a rank) before(b rank) bool {
 	if a.tier != b.tier {
 		return a.tier < b.tier
 	}
-	if a.use != b.use {
-		return a.use < b.use
+	if a.usage != b.usage {
+		return a.usage < b.usage
 	}
-	if !a.latest.Equal(b.latest) {
-		return a.latest.Before(b.latest)
+	if !a.latestStart.Equal(b.latestStart) {
+		return a.latestStart.Before(b.latestStart)
 	}
 	return a.seq < b.seq
 }
@@ -130,21 +130,21 @@
 		return rank{seq: j.seq}
 	}
 	tier := 1
-	if s.urgent || !now.Before(j.latest.Add(-overdue)) {
+	if s.urgent || !now.Before(j.latestStart.Add(-urgentBefore)) {
 		tier = 0
 	}
-	return rank{tier: tier, use: p.Use(s.team), latest: j.latest, seq: j.seq}
+	return rank{tier: tier, usage: p.Usage(s.team), latestStart: j.latestStart, seq: j.seq}
 }
 
 // Usage returns a team's dominant fraction of the domain's resources, divided by the
 // team's share.
-func (p *Planner) Use(team string) float64 {
-	return p.part(p.used[team]) / float64(max(1, p.Team(team).Share))
+func (p *Planner) Usage(team string) float64 {
+	return p.dominantFraction(p.used[team]) / float64(max(1, p.Team(team).Share))
 }
 
 // dominantFraction returns the largest of the fractions of the domain's processors,
 // memory and accelerators that the resources amount to.
-func (p *Planner) part(used winch.Resources) float64 {
+func (p *Planner) dominantFraction(used winch.Resources) float64 {
 	fraction := math.Max(ratio(used.Processors, p.size.Processors), ratio(used.Memory, p.size.Memory))
 	return math.Max(fraction, ratio(used.Accelerators, p.size.Accelerators))
 }
@@ -165,12 +165,12 @@
 	p := r.planner
 	n := p.pick(j, r.now)
 	if n == nil {
-		r.blocked(j, s)
+		r.handleBlocked(j, s)
 		return false
 	}
 	if !p.Limits.TryTake(j.rec.Team, 1) {
-		j.why = "team " + j.rec.Team + " is at its upper limit"
-		r.full[j.rec.Team] = true
+		j.waitReason = "team " + j.rec.Team + " is at its upper limit"
+		r.atLimit[j.rec.Team] = true
 		return false
 	}
 	i := j.pending[0]
@@ -183,9 +183,9 @@
 }
 
 func (r *round) commit(j *job, i int, n *node) {
-	j.tries[i]++
+	j.starts[i]++
 	t := r.planner.commit(j, i, n, r.now)
-	t.attempt = int(r.planner.Epoch)<<attemptBits | j.tries[i]
+	t.attempt = int(r.planner.Epoch)<<attemptBits | j.starts[i]
 	r.out = append(r.out, Decision{Action: Start, Task: r.planner.task(t), VM: n.vm, Repeatable: j.class.Repeatable})
 }
 
@@ -200,11 +200,11 @@
 	p := r.planner
 	nodes := p.pickGang(j, r.now)
 	if nodes == nil {
-		r.blocked(j, s)
+		r.handleBlocked(j, s)
 		return false
 	}
 	if !p.Limits.TryTake(j.rec.Team, len(j.pending)) {
-		j.why = "team " + j.rec.Team + " has too few units of its upper limit free for the whole gang"
+		j.waitReason = "team " + j.rec.Team + " has too few units of its upper limit free for the whole gang"
 		return false
 	}
 	pending := j.pending
@@ -222,42 +222,42 @@
 // handleBlocked handles a job that currently fits on no worker. It reserves workers for
 // the job if there is no reservation yet, and evicts other tasks if the job is urgent
 // and no gang.
-func (r *round) blocked(j *job, s *shape) {
+func (r *round) handleBlocked(j *job, s *shape) {
 	p := r.planner
-	j.why = ""
+	j.waitReason = ""
 	if p.Baseline {
-		s.failed = p.roomVersion
+		s.failedVersion = p.capacityVersion
 		return
 	}
 	if p.reserved == nil {
 		p.reserve(j, r.now)
 	}
 	if !j.urgent() || j.gang() {
-		s.failed = p.roomVersion
+		s.failedVersion = p.capacityVersion
 		return
 	}
-	if r.evicting >= maxEvictions {
+	if r.evictions >= maxEvictions {
 		return
 	}
 	out := p.evict(j, r.now)
 	if out == nil {
-		s.failed = p.roomVersion
+		s.failedVersion = p.capacityVersion
 		return
 	}
-	r.evicting++
+	r.evictions++
 	r.out = append(r.out, out...)
 }
 
 // usable reports whether a task of the job may run on the node, apart from its capacity.
 func (p *Planner) usable(n *node, j *job, now time.Time) bool {
-	if !n.known || n.vm.Leaving || now.Before(n.aside) {
+	if !n.reconciled || n.vm.Leaving || now.Before(n.quarantinedUntil) {
 		return false
 	}
-	if j.badOn[n.vm.ID] && len(j.badOn) < len(p.nodes) {
+	if j.failedWorkers[n.vm.ID] && len(j.failedWorkers) < len(p.nodes) {
 		return false
 	}
 	r := p.reserved
-	return r == nil || r.job == j || !r.nodes[n] || !now.Add(p.forecast(j)).After(r.at)
+	return r == nil || r.job == j || !r.nodes[n] || !now.Add(p.forecast(j)).After(r.forecastStart)
 }
 
 // pick returns the best worker for one task, or nil.
@@ -278,7 +278,7 @@
 			best, bestScore = n, score
 		}
 		compared++
-		return compared < candidates
+		return compared < maxCandidates
 	})
 	return best
 }
@@ -286,7 +286,7 @@
 // firstFit implements the baseline: it returns the first worker by ID with enough free
 // capacity, or nil.
 func (p *Planner) firstFit(j *job, now time.Time) *node {
-	for _, n := range p.sorted() {
+	for _, n := range p.sortedNodes() {
 		if j.need.Fits(n.free) && p.usable(n, j, now) {
 			return n
 		}
@@ -303,12 +303,12 @@
 	mem := ratio(remaining.Memory, n.vm.Size.Memory)
 	score := math.Abs(cpu-mem) + (cpu+mem)/4
 	if j.rec.Spec.Kind == winch.LongRunning {
-		score += 10 * float64(p.inRack(j, n.vm.Rack))
+		score += 10 * float64(p.countInRack(j, n.vm.Rack))
 	}
 	return score
 }
 
-func (p *Planner) inRack(j *job, rack string) (count int) {
+func (p *Planner) countInRack(j *job, rack string) (count int) {
 	for _, t := range j.running {
 		if t.node.vm.Rack == rack {
 			count++
--- a/coord/place/planner.go
+++ b/coord/place/planner.go
@@ -11,16 +11,16 @@
 const (
 	// maxTaskFailures is the number of failures of one task after which a repeatable job
 	// fails.
-	failuresToGiveUp = 3
+	maxTaskFailures = 3
 	// urgentBefore is how long before its latest start deferred work counts as urgent.
-	overdue = time.Minute
+	urgentBefore = time.Minute
 	// defaultRunTime is the forecast for a task without a declared run time and history.
-	defaultRun = time.Minute
+	defaultRunTime = time.Minute
 	// minBackoff and maxBackoff bound the delay after a failed start.
-	backoffFirst = 200 * time.Millisecond
-	backoffMost  = 30 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 30 * time.Second
 	// maxCandidates bounds the workers that are compared for one task.
-	candidates = 8
+	maxCandidates = 8
 )
 
 // Preference is the placement goal that the operator selects.
@@ -95,12 +95,12 @@
 	seq     uint64
 	// capacityVersion increases with every change that could let a job fit that did not fit
 	// before.
-	roomVersion uint64
+	capacityVersion uint64
 	// barrier is true once the barrier is open, see OpenBarrier.
-	barrier bool
-	ends    []Final
+	barrierOpen bool
+	completions []Completion
 	// LostRunTime is the total run time that evictions discarded.
-	Lost time.Duration
+	LostRunTime time.Duration
 	// Evictions is the number of evicted tasks.
 	Evictions int
 }
@@ -124,7 +124,7 @@
 		n.vm.Address = vm.Address
 		return
 	}
-	n := &node{vm: vm, free: vm.Size, tasks: make(map[winch.TaskID]*placed)}
+	n := &node{vm: vm, free: vm.Size, tasks: make(map[winch.TaskID]*placement)}
 	p.nodes[vm.ID] = n
 	p.order = nil
 	p.index.add(n)
@@ -133,16 +133,16 @@
 
 // RemoveWorker removes a worker whose leases are guaranteed to have expired. Its tasks
 // are lost: those of repeatable jobs are queued again, and other jobs end as unknown.
-func (p *Planner) Gone(vmID string, now time.Time) {
+func (p *Planner) RemoveWorker(vmID string, now time.Time) {
 	n := p.nodes[vmID]
 	if n == nil {
 		return
 	}
 	for a := range n.foreign {
-		p.freeForeign(vmID, a)
+		p.releaseForeign(vmID, a)
 	}
 	for _, t := range sortedTasks(n) {
-		p.Ended(vmID, winch.Task{ID: t.id, State: winch.TaskStopped}, now)
+		p.TaskEnded(vmID, winch.Task{ID: t.id, State: winch.TaskStopped}, now)
 	}
 	p.index.remove(n)
 	p.size = p.size.Sub(n.vm.Size)
@@ -156,15 +156,15 @@
 // dropReservation makes the reserved workers available to all jobs again.
 func (p *Planner) dropReservation() {
 	p.reserved = nil
-	p.roomVersion++
+	p.capacityVersion++
 }
 
-func sortedTasks(n *node) []*placed {
-	out := make([]*placed, 0, len(n.tasks))
+func sortedTasks(n *node) []*placement {
+	out := make([]*placement, 0, len(n.tasks))
 	for _, t := range n.tasks {
 		out = append(out, t)
 	}
-	slices.SortFunc(out, func(a, b *placed) int {
+	slices.SortFunc(out, func(a, b *placement) int {
 		if c := compareIDs(a.id, b.id); c != 0 {
 			return c
 		}
@@ -191,10 +191,10 @@
 		return
 	}
 	j := &job{
-		rec: rec, class: class, need: rec.Spec.Need, held: held && !p.barrier,
-		running: make(map[int]*placed), ended: make(map[int]bool),
-		attempts: make(map[int]int), tries: make(map[int]int),
-		badOn: make(map[string]bool), seq: p.seq,
+		rec: rec, class: class, need: rec.Spec.Need, held: held && !p.barrierOpen,
+		running: make(map[int]*placement), ended: make(map[int]bool),
+		failures: make(map[int]int), starts: make(map[int]int),
+		failedWorkers: make(map[string]bool), seq: p.seq,
 	}
 	p.seq++
 	for _, i := range rec.EndedTasks {
@@ -205,7 +205,7 @@
 			j.pending = append(j.pending, i)
 		}
 	}
-	j.latest = p.latestStart(j, now)
+	j.latestStart = p.latestStart(j, now)
 	p.jobs[rec.ID] = j
 	if len(j.ended) == rec.Spec.Tasks {
 		p.finish(j, winch.JobDone, "", "") // The earlier planner crashed before it recorded the job's end.
@@ -252,8 +252,8 @@
 
 // commit places a pending task on a worker and charges its resources, but takes no unit
 // of the team's limit.
-func (p *Planner) commit(j *job, i int, n *node, now time.Time) *placed {
-	t := &placed{id: winch.TaskID{Job: j.rec.ID, Index: i}, job: j, node: n, started: now, ends: now.Add(p.forecast(j))}
+func (p *Planner) commit(j *job, i int, n *node, now time.Time) *placement {
+	t := &placement{id: winch.TaskID{Job: j.rec.ID, Index: i}, job: j, node: n, started: now, forecastEnd: now.Add(p.forecast(j))}
 	if j.running[i] != nil {
 		panic(fmt.Sprintf("place: task %s is already running and cannot be placed twice", t.id))
 	}
@@ -264,24 +264,24 @@
 	if j.started.IsZero() {
 		j.started = now
 	}
-	j.why = ""
+	j.waitReason = ""
 	return t
 }
 
 // release removes a task from its worker and returns its unit of the team's limit.
-func (p *Planner) free(t *placed) {
+func (p *Planner) release(t *placement) {
 	j := t.job
-	p.roomVersion++
+	p.capacityVersion++
 	delete(j.running, t.id.Index)
 	delete(t.node.tasks, t.id)
 	p.index.charge(t.node, winch.Resources{}.Sub(j.need))
 	p.used[j.rec.Team] = p.used[j.rec.Team].Sub(j.need)
-	if !t.unpaid {
+	if !t.uncharged {
 		p.Limits.Return(j.rec.Team, 1)
 	}
 }
 
-func (p *Planner) find(id winch.TaskID) *placed {
+func (p *Planner) findTask(id winch.TaskID) *placement {
 	j := p.jobs[id.Job]
 	if j == nil {
 		return nil
@@ -291,8 +291,8 @@
 
 // findAttempt returns the placement of an attempt, or nil if the task has since been
 // released or placed again.
-func (p *Planner) attempt(a winch.Attempt) *placed {
-	if t := p.find(a.Task); t != nil && t.attempt == a.Number {
+func (p *Planner) findAttempt(a winch.Attempt) *placement {
+	if t := p.findTask(a.Task); t != nil && t.attempt == a.Number {
 		return t
 	}
 	return nil
@@ -300,8 +300,8 @@
 
 // StillPlaced reports whether a decided start is still valid. Its worker may have been
 // considered lost since, and its capacity and unit may be used by other tasks.
-func (p *Planner) Stands(a winch.Attempt) bool {
-	return p.attempt(a) != nil
+func (p *Planner) StillPlaced(a winch.Attempt) bool {
+	return p.findAttempt(a) != nil
 }
 
 // Forget removes a job that has ended and has no running tasks, and reports whether it
@@ -325,14 +325,14 @@
 	j.rec.Cancel = true
 	p.queue.remove(j)
 	j.pending = nil
-	out := p.takeBack(j)
-	p.cancelled(j)
+	out := p.stopRunning(j)
+	p.finishCancelled(j)
 	return out, true
 }
 
 // CancelWithdrawnKeys ends the jobs of which no task runs and whose key is no longer
 // valid. A job that is already running continues.
-func (p *Planner) Withdraw(valid func(keyID string) bool) {
+func (p *Planner) CancelWithdrawnKeys(valid func(keyID string) bool) {
 	for _, j := range p.sortedJobs() {
 		if j.rec.State.Final() || valid(j.rec.KeyID) || len(j.running) > 0 || j.held {
 			continue
@@ -341,7 +341,7 @@
 	}
 }
 
-func (p *Planner) task(t *placed) winch.Task {
+func (p *Planner) task(t *placement) winch.Task {
 	j := t.job
 	return winch.Task{
 		ID: t.id, Team: j.rec.Team, Class: j.rec.Class, Need: j.need,
--- a/coord/place/queue.go
+++ b/coord/place/queue.go
@@ -16,28 +16,28 @@
 	need winch.Resources
 	// pending holds the sorted indexes of the tasks that wait to be started.
 	pending []int
-	running map[int]*placed
+	running map[int]*placement
 	// ended holds the tasks that succeeded.
 	ended map[int]bool
 	// failures counts the failures of each task, starts its starts.
-	attempts, tries map[int]int
+	failures, starts map[int]int
 	// held is set while the job waits for the barrier, see OpenBarrier.
 	held bool
 	// latestStart is the time by which the job must start to meet its target.
-	latest time.Time
+	latestStart time.Time
 	// shape is the queue that holds the job, or nil if the job is not queued.
-	shape *shape
-	index int
-	seq   uint64
+	shape     *shape
+	heapIndex int
+	seq       uint64
 	// failedWorkers holds the workers that its tasks failed on.
-	badOn map[string]bool
+	failedWorkers map[string]bool
 	// backoff is the latest delay after a failed start, notBefore the time when the delay
 	// is over.
-	backoff   time.Duration
-	notBefore time.Time
-	delayed   bool
-	why       string
-	started   time.Time
+	backoff    time.Duration
+	notBefore  time.Time
+	delayed    bool
+	waitReason string
+	started    time.Time
 }
 
 // gang reports whether all tasks must start together.
@@ -53,22 +53,22 @@
 	jobs shapeHeap
 	// failedVersion is the planner's capacityVersion at which the first job last failed to
 	// fit on any worker.
-	failed uint64
+	failedVersion uint64
 }
 
 // shapeKey holds the properties that decide where a job's tasks fit.
 type shapeKey struct {
-	team    string
-	need    winch.Resources
-	urgent  bool
-	preempt bool // preemptible is set if the tasks may be checkpointed to free capacity.
-	gang    int  // gangSize is the number of tasks that must start together, or zero.
+	team        string
+	need        winch.Resources
+	urgent      bool
+	preemptible bool // preemptible is set if the tasks may be checkpointed to free capacity.
+	gangSize    int  // gangSize is the number of tasks that must start together, or zero.
 	// runTimeBits is the order of magnitude of the run time, since a short job may be
 	// backfilled on a reserved worker where a long one may not.
-	span int
+	runTimeBits int
 	// separateJob is the ID of a job that avoids the workers on which it failed. Such a job
 	// has a shape of its own.
-	alone string
+	separateJob string
 }
 
 type shapeHeap []*job
@@ -78,8 +78,8 @@
 
 // Less implements heap.Interface.
 func (h shapeHeap) Less(i, k int) bool {
-	if !h[i].latest.Equal(h[k].latest) {
-		return h[i].latest.Before(h[k].latest)
+	if !h[i].latestStart.Equal(h[k].latestStart) {
+		return h[i].latestStart.Before(h[k].latestStart)
 	}
 	return h[i].seq < h[k].seq
 }
@@ -87,13 +87,13 @@
 // Swap implements heap.Interface.
 func (h shapeHeap) Swap(i, k int) {
 	h[i], h[k] = h[k], h[i]
-	h[i].index, h[k].index = i, k
+	h[i].heapIndex, h[k].heapIndex = i, k
 }
 
 // Push implements heap.Interface.
 func (h *shapeHeap) Push(x any) {
 	j := x.(*job)
-	j.index = len(*h)
+	j.heapIndex = len(*h)
 	*h = append(*h, j)
 }
 
@@ -113,13 +113,13 @@
 }
 
 func (q *queue) key(j *job) shapeKey {
-	k := shapeKey{team: j.rec.Team, need: j.need, urgent: j.urgent(), preempt: j.class.Preemptible}
+	k := shapeKey{team: j.rec.Team, need: j.need, urgent: j.urgent(), preemptible: j.class.Preemptible}
 	if j.gang() {
-		k.gang = len(j.pending)
+		k.gangSize = len(j.pending)
 	}
-	k.span = bits.Len64(uint64(j.rec.Spec.RunTime / time.Second))
-	if len(j.badOn) > 0 {
-		k.alone = j.rec.ID
+	k.runTimeBits = bits.Len64(uint64(j.rec.Spec.RunTime / time.Second))
+	if len(j.failedWorkers) > 0 {
+		k.separateJob = j.rec.ID
 	}
 	return k
 }
@@ -136,7 +136,7 @@
 		q.order = append(q.order, s)
 	}
 	j.shape = s
-	s.failed = 0
+	s.failedVersion = 0
 	heap.Push(&s.jobs, j)
 }
 
@@ -144,12 +144,12 @@
 	if j.shape == nil {
 		return
 	}
-	heap.Remove(&j.shape.jobs, j.index)
+	heap.Remove(&j.shape.jobs, j.heapIndex)
 	j.shape = nil
 }
 
 // removeEmpty removes the shapes without jobs, so that unused shapes do not accumulate.
-func (q *queue) tidy() {
+func (q *queue) removeEmpty() {
 	kept := q.order[:0]
 	for _, s := range q.order {
 		if len(s.jobs) > 0 {
--- a/coord/place/random_test.go
+++ b/coord/place/random_test.go
@@ -15,11 +15,11 @@
 // planner's own checks nor these invariants: no worker is overcommitted, no start exceeds
 // a team's limit, units match running tasks, a task has at most one placement, jobs with
 // waiting tasks are queued, and non-repeatable tasks start at most once.
-func TestPlannerHolds(t *testing.T) {
+func TestPlannerKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(rapid.IntRange(1, 8).Draw(t, "workers"), eight)
+		r := newRig(rapid.IntRange(1, 8).Draw(t, "workers"), size8)
 		r.Prefer = rapid.SampledFrom([]Preference{Packing, Waiting}).Draw(t, "prefer")
-		m := &chaos{rig: r}
+		m := &randomOps{rig: r}
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": m.submitOne, "plan": m.planOne, "end": m.endOne, "cancel": m.cancelOne,
 			"lose": m.loseOne, "add": m.addOne, "limit": m.limitOne, "refuse": m.refuseOne, "": m.check,
@@ -28,38 +28,38 @@
 }
 
 // randomOps holds the random operations and the invariant check for rapid.
-type chaos struct {
+type randomOps struct {
 	*rig
-	n       int
-	workers int
+	submitted int
+	added     int
 }
 
-func (m *chaos) submitOne(t *rapid.T) {
-	m.n++
-	class := rapid.SampledFrom([]winch.Class{urgent, mix, billed, room}).Draw(t, "class")
+func (m *randomOps) submitOne(t *rapid.T) {
+	m.submitted++
+	class := rapid.SampledFrom([]winch.Class{urgent, deferred, nonRepeatable, longRunning}).Draw(t, "class")
 	kind := rapid.SampledFrom([]winch.JobKind{winch.Batch, winch.Gang, winch.LongRunning}).Draw(t, "kind")
 	team := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")
-	if _, ok := m.purse.limit[team]; !ok {
-		m.purse.limit[team] = 12
+	if _, ok := m.limits.limit[team]; !ok {
+		m.limits.limit[team] = 12
 	}
-	m.submit(fmt.Sprintf("j%03d", m.n), team, class, kind, rapid.IntRange(1, 6).Draw(t, "tasks"), rapid.IntRange(1, 9).Draw(t, "cpu"),
+	m.submit(fmt.Sprintf("j%03d", m.submitted), team, class, kind, rapid.IntRange(1, 6).Draw(t, "tasks"), rapid.IntRange(1, 9).Draw(t, "cpu"),
 		time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Second)
 }
 
-func (m *chaos) planOne(t *rapid.T) {
+func (m *randomOps) planOne(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pass")) * time.Second)
 	for _, d := range m.Plan(m.now, rapid.IntRange(1, 20).Draw(t, "most")) {
 		m.do(d)
-		if m.purse.used[d.Task.Team] > m.purse.limit[d.Task.Team] && d.Action == Start {
-			t.Fatalf("team %s uses %d units of its limit of %d after a start", d.Task.Team, m.purse.used[d.Task.Team], m.purse.limit[d.Task.Team])
+		if m.limits.used[d.Task.Team] > m.limits.limit[d.Task.Team] && d.Action == Start {
+			t.Fatalf("team %s uses %d units of its limit of %d after a start", d.Task.Team, m.limits.used[d.Task.Team], m.limits.limit[d.Task.Team])
 		}
 	}
 	m.collect()
 }
 
-func (m *chaos) anyTask(t *rapid.T) (winch.TaskID, bool) {
+func (m *randomOps) anyTask(t *rapid.T) (winch.TaskID, bool) {
 	var ids []winch.TaskID
-	for _, n := range sorted(m.nodes) {
+	for _, n := range sortNodes(m.nodes) {
 		for _, p := range sortedTasks(n) {
 			ids = append(ids, p.id)
 		}
@@ -70,23 +70,23 @@
 	return rapid.SampledFrom(ids).Draw(t, "task"), true
 }
 
-func (m *chaos) endOne(t *rapid.T) {
+func (m *randomOps) endOne(t *rapid.T) {
 	if id, ok := m.anyTask(t); ok {
 		m.end(id, rapid.SampledFrom([]winch.TaskState{winch.TaskDone, winch.TaskDone, winch.TaskFailed}).Draw(t, "state"))
 	}
 }
 
-func (m *chaos) cancelOne(t *rapid.T) {
-	if m.n > 0 {
-		out, _ := m.Cancel(fmt.Sprintf("j%03d", rapid.IntRange(1, m.n).Draw(t, "job")))
+func (m *randomOps) cancelOne(t *rapid.T) {
+	if m.submitted > 0 {
+		out, _ := m.Cancel(fmt.Sprintf("j%03d", rapid.IntRange(1, m.submitted).Draw(t, "job")))
 		for _, d := range out {
 			m.do(d)
 		}
 	}
 }
 
-func (m *chaos) loseOne(t *rapid.T) {
-	nodes := sorted(m.nodes)
+func (m *randomOps) loseOne(t *rapid.T) {
+	nodes := sortNodes(m.nodes)
 	if len(nodes) == 0 {
 		return
 	}
@@ -96,33 +96,33 @@
 			delete(m.running, id)
 		}
 	}
-	m.Gone(vm, m.now)
+	m.RemoveWorker(vm, m.now)
 }
 
-func (m *chaos) addOne(*rapid.T) {
-	m.workers++
-	m.addWorker(100+m.workers%20, eight)
+func (m *randomOps) addOne(*rapid.T) {
+	m.added++
+	m.addWorker(100+m.added%20, size8)
 }
 
-func (m *chaos) limitOne(t *rapid.T) {
-	m.purse.limit[rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")] = rapid.IntRange(0, 20).Draw(t, "limit")
+func (m *randomOps) limitOne(t *rapid.T) {
+	m.limits.limit[rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")] = rapid.IntRange(0, 20).Draw(t, "limit")
 }
 
-func (m *chaos) refuseOne(*rapid.T) {
+func (m *randomOps) refuseOne(*rapid.T) {
 	out := m.Plan(m.now, 1)
 	for _, d := range out {
 		if d.Action != Start {
 			m.do(d)
 			continue
 		}
-		for _, stop := range m.Refused(d.Task.Ref(), m.now) {
+		for _, stop := range m.StartRefused(d.Task.Ref(), m.now) {
 			m.do(stop)
 		}
 	}
 	m.collect()
 }
 
-func (m *chaos) check(t *rapid.T) {
+func (m *randomOps) check(t *rapid.T) {
 	for id, j := range m.jobs {
 		idle := len(j.pending) > 0 && len(j.running) == 0 && j.shape == nil && !j.delayed && !j.held
 		if idle && !j.rec.State.Final() {
@@ -147,7 +147,7 @@
 			t.Fatalf("worker %s: used %+v and free %+v do not add up to size %+v", n.vm.ID, sum, n.free, n.vm.Size)
 		}
 	}
-	for team, n := range m.purse.used {
+	for team, n := range m.limits.used {
 		if used[team] != n {
 			t.Fatalf("team %s: %d units taken for %d running tasks", team, n, used[team])
 		}
--- a/coord/place/why.go
+++ b/coord/place/why.go
@@ -19,14 +19,14 @@
 }
 
 // explainWait returns the reason why a job that could not be placed waits.
-func (p *Planner) explain(j *job) string {
+func (p *Planner) explainWait(j *job) string {
 	fitsNow, largeEnough := 0, 0
 	for _, n := range p.nodes {
 		if !j.need.Fits(n.vm.Size) {
 			continue
 		}
 		largeEnough++
-		if n.known && !n.vm.Leaving && j.need.Fits(n.free) {
+		if n.reconciled && !n.vm.Leaving && j.need.Fits(n.free) {
 			fitsNow++
 		}
 	}
@@ -54,17 +54,17 @@
 		s.Why = "a new placer is waiting for all workers to answer, since the job may have been started before"
 	case len(j.pending) == 0:
 		s.Why = ""
-	case j.why != "":
-		s.Why = j.why
-	case j.shape != nil && j.shape.failed == p.roomVersion && j.shape.jobs[0] == j:
-		s.Why = p.explain(j)
+	case j.waitReason != "":
+		s.Why = j.waitReason
+	case j.shape != nil && j.shape.failedVersion == p.capacityVersion && j.shape.jobs[0] == j:
+		s.Why = p.explainWait(j)
 	case j.shape != nil && j.shape.jobs[0] != j:
 		s.Why = "behind job " + j.shape.jobs[0].rec.ID + " of the same team and size"
 	default:
 		s.Why = "next to be placed"
 	}
 	if len(j.pending) > 0 && p.reserved != nil && p.reserved.job == j {
-		s.Forecast = max(0, p.reserved.at.Sub(now))
+		s.Forecast = max(0, p.reserved.forecastStart.Sub(now))
 	}
 	return s, true
 }
@@ -88,9 +88,9 @@
 		return "job " + id + " is unknown to the planner"
 	}
 	out := fmt.Sprintf("job %s: state %s, pending %v, ended %v, held %v, delayed %v, queued %v, barrier %v", id, j.rec.State, j.pending,
-		j.rec.EndedTasks, j.held, j.delayed, j.shape != nil, p.barrier)
+		j.rec.EndedTasks, j.held, j.delayed, j.shape != nil, p.barrierOpen)
 	for i, t := range j.running {
-		out += fmt.Sprintf("; task %d on %s since %s, confirmed %v, uncertain %v, stopping %v", i, t.node.vm.ID, t.started.Format(time.TimeOnly), t.confirmed, t.doubt, t.stopping)
+		out += fmt.Sprintf("; task %d on %s since %s, confirmed %v, uncertain %v, stopping %v", i, t.node.vm.ID, t.started.Format(time.TimeOnly), t.confirmed, t.uncertain, t.stopping)
 	}
 	return out
 }
@@ -100,26 +100,26 @@
 	// Total, OnBusyWorkers and Committed count processors: those of all workers, those of
 	// workers with a task, and those committed to tasks. Stranded counts free processors
 	// that cannot be used for lack of free memory on their worker.
-	All, InUse, Used, Stranded int
+	Total, OnBusyWorkers, Committed, Stranded int
 	// Waiting is the number of waiting tasks.
 	Waiting int
-	Teams   map[string]TeamPart
+	Teams   map[string]TeamUsage
 }
 
 // TeamUsage holds a team's dominant fractions of the domain's resources: Used for its
 // running tasks, Wanted for its waiting ones.
-type TeamPart struct {
-	Part, Wanted float64
+type TeamUsage struct {
+	Used, Wanted float64
 }
 
 // Occupancy returns the current use of the domain.
 func (p *Planner) Occupancy() Occupancy {
-	out := Occupancy{Teams: make(map[string]TeamPart)}
+	out := Occupancy{Teams: make(map[string]TeamUsage)}
 	for _, n := range p.nodes {
-		out.All += n.vm.Size.Processors
-		out.Used += n.vm.Size.Processors - n.free.Processors
+		out.Total += n.vm.Size.Processors
+		out.Committed += n.vm.Size.Processors - n.free.Processors
 		if len(n.tasks) > 0 {
-			out.InUse += n.vm.Size.Processors
+			out.OnBusyWorkers += n.vm.Size.Processors
 		}
 		memoryPerCPU := n.vm.Size.Memory / winch.Bytes(max(1, n.vm.Size.Processors))
 		if usable := int(n.free.Memory / max(1, memoryPerCPU/2)); usable < n.free.Processors {
@@ -134,10 +134,10 @@
 		}
 	}
 	for team := range p.used {
-		out.Teams[team] = TeamPart{Part: p.part(p.used[team]), Wanted: p.part(wanted[team])}
+		out.Teams[team] = TeamUsage{Used: p.dominantFraction(p.used[team]), Wanted: p.dominantFraction(wanted[team])}
 	}
 	for team, need := range wanted {
-		out.Teams[team] = TeamPart{Part: p.part(p.used[team]), Wanted: p.part(need)}
+		out.Teams[team] = TeamUsage{Used: p.dominantFraction(p.used[team]), Wanted: p.dominantFraction(need)}
 	}
 	return out
 }
--- a/coord/slots/home.go
+++ b/coord/slots/home.go
@@ -19,12 +19,12 @@
 			listed[vm.ID] = true
 			t.setExecutor(vm, open)
 		}
-		for id := range t.execs {
+		for id := range t.executors {
 			if !listed[id] {
-				out = append(out, t.drop(id))
+				out = append(out, t.removeExecutor(id))
 			}
 		}
-		t.refuseOrphans()
+		t.refuseUnserved()
 		for _, s := range t.services {
 			t.dispatch(s)
 		}
@@ -33,37 +33,37 @@
 }
 
 func (t *Table) setExecutor(vm winch.VM, open func(winch.VM) int) {
-	if e := t.execs[vm.ID]; e != nil {
+	if e := t.executors[vm.ID]; e != nil {
 		e.vm = vm
 		return
 	}
-	e := &executor{vm: vm, open: min(vm.Slots, open(vm))}
-	t.execs[vm.ID] = e
-	if handoff, ok := t.early[vm.ID]; ok {
-		delete(t.early, vm.ID)
-		e.open = vm.Slots
-		t.hold(e, "", handoff.Held)
+	e := &executor{vm: vm, openSlots: min(vm.Slots, open(vm))}
+	t.executors[vm.ID] = e
+	if handoff, ok := t.earlyHandoffs[vm.ID]; ok {
+		delete(t.earlyHandoffs, vm.ID)
+		e.openSlots = vm.Slots
+		t.addHeld(e, "", handoff.Held)
 	}
 }
 
 // removeExecutor removes an executor and returns its slots in use.
-func (t *Table) drop(id string) proto.Handoff {
-	out := proto.Handoff{Executor: id, Held: t.held(id)}
+func (t *Table) removeExecutor(id string) proto.Handoff {
+	out := proto.Handoff{Executor: id, Held: t.slotsInUse(id)}
 	for _, g := range t.grants {
 		if g.exec.vm.ID == id {
 			t.release(g)
 		}
 	}
-	delete(t.execs, id)
+	delete(t.executors, id)
 	return out
 }
 
 // slotsInUse lists the slots in use of an executor.
-func (t *Table) held(id string) []proto.Held {
+func (t *Table) slotsInUse(id string) []proto.Held {
 	var out []proto.Held
 	for _, g := range t.grants {
 		if g.exec.vm.ID == id {
-			out = append(out, proto.Held{Grant: g.id, Executor: id, Team: g.team, Left: time.Until(g.until)})
+			out = append(out, proto.Held{Grant: g.id, Executor: id, Team: g.team, Left: time.Until(g.expires)})
 		}
 	}
 	return out
@@ -71,18 +71,18 @@
 
 // refuseUnserved refuses the waiters whose service no longer has an executor here,
 // rather than let their callers wait until the deadline.
-func (t *Table) refuseOrphans() {
+func (t *Table) refuseUnserved() {
 	for _, s := range t.services {
-		if s.queued == 0 || t.count(s.name) > 0 {
+		if s.queued == 0 || t.executorCount(s.name) > 0 {
 			continue
 		}
 		why := winch.RefuseFor(winch.NoExecutor, "the last executor of the service has left", time.Second)
-		t.refuseAll(s, why, func(*waiter) bool { return true })
+		t.refuseMatching(s, why, func(*waiter) bool { return true })
 	}
 }
 
 // refuseMatching refuses the service's waiters for which match returns true.
-func (t *Table) refuseAll(s *service, why winch.Result, match func(*waiter) bool) {
+func (t *Table) refuseMatching(s *service, why winch.Result, match func(*waiter) bool) {
 	var matching []*waiter
 	for _, q := range s.teams {
 		for _, w := range *q {
@@ -98,11 +98,11 @@
 }
 
 // RefuseWithdrawnKeys refuses the waiters whose key is no longer valid.
-func (t *Table) Withdraw(ctx context.Context, valid func(keyID string) bool) error {
+func (t *Table) RefuseWithdrawnKeys(ctx context.Context, valid func(keyID string) bool) error {
 	return t.Duty.Do(ctx, func() {
 		why := winch.Refuse(winch.KeyWithdrawn, "the key was withdrawn while the request waited")
 		for _, s := range t.services {
-			t.refuseAll(s, why, func(w *waiter) bool { return !valid(w.ask.KeyID) })
+			t.refuseMatching(s, why, func(w *waiter) bool { return !valid(w.request.KeyID) })
 		}
 	})
 }
@@ -112,7 +112,7 @@
 func (t *Table) Close(ctx context.Context, why winch.Result) error {
 	return t.Duty.Do(ctx, func() {
 		for _, s := range t.services {
-			t.refuseAll(s, why, func(*waiter) bool { return true })
+			t.refuseMatching(s, why, func(*waiter) bool { return true })
 		}
 	})
 }
@@ -121,23 +121,23 @@
 // All other slots of the executor are known to be free, so all of them may be granted.
 func (t *Table) Adopt(handoff proto.Handoff) error {
 	return t.Duty.Post(func() {
-		e := t.execs[handoff.Executor]
+		e := t.executors[handoff.Executor]
 		if e == nil {
-			t.early[handoff.Executor] = handoff // The previous home noticed the change first.
+			t.earlyHandoffs[handoff.Executor] = handoff // The previous home noticed the change first.
 			return
 		}
-		e.open = e.vm.Slots
-		t.hold(e, "", handoff.Held)
+		e.openSlots = e.vm.Slots
+		t.addHeld(e, "", handoff.Held)
 		t.dispatch(t.service(e.vm.Service))
 	})
 }
 
 // addHeld records slots in use that were granted by an earlier home or, for a known
 // grant, updates its holder.
-func (t *Table) hold(e *executor, holder string, held []proto.Held) {
+func (t *Table) addHeld(e *executor, holder string, held []proto.Held) {
 	now := time.Now()
 	for _, h := range held {
-		if _, returned := t.done[h.Grant]; returned {
+		if _, returned := t.returnedEarly[h.Grant]; returned {
 			continue // The slot was returned before the list arrived.
 		}
 		g := t.grants[h.Grant]
@@ -147,7 +147,7 @@
 			}
 			continue
 		}
-		t.take(&grant{id: h.Grant, holder: holder, team: h.Team, exec: e, until: now.Add(h.Left)})
+		t.addGrant(&grant{id: h.Grant, holder: holder, team: h.Team, exec: e, expires: now.Add(h.Left)})
 	}
 }
 
@@ -160,8 +160,8 @@
 		listed := make(map[string]bool, len(list))
 		for _, h := range list {
 			listed[h.Grant] = true
-			if e := t.execs[h.Executor]; e != nil {
-				t.hold(e, holder, []proto.Held{h})
+			if e := t.executors[h.Executor]; e != nil {
+				t.addHeld(e, holder, []proto.Held{h})
 			}
 		}
 		for _, g := range t.grants {
@@ -185,16 +185,16 @@
 }
 
 // publishLoads updates the result of Loads.
-func (t *Table) publish() {
+func (t *Table) publishLoads() {
 	byService := make(map[string]*proto.Load)
-	for _, e := range t.execs {
+	for _, e := range t.executors {
 		l := byService[e.vm.Service]
 		if l == nil {
 			l = &proto.Load{Service: e.vm.Service, Queued: t.service(e.vm.Service).queued}
 			byService[e.vm.Service] = l
 		}
 		if !e.vm.Leaving {
-			l.Slots += e.open
+			l.Slots += e.openSlots
 			l.Busy += e.busy
 		}
 	}
--- a/coord/slots/queue.go
+++ b/coord/slots/queue.go
@@ -9,7 +9,7 @@
 
 // waiter is a request that waits for a slot.
 type waiter struct {
-	ask      proto.SlotAsk
+	request  proto.SlotAsk
 	holder   string
 	deadline time.Time
 	reply    chan proto.SlotGive
@@ -49,34 +49,34 @@
 
 // service holds the queues and the run time statistics of one service.
 type service struct {
-	name    string
-	teams   map[string]*teamQueue
-	classes map[string]int
-	queued  int
-	mean    time.Duration
+	name          string
+	teams         map[string]*teamQueue
+	queuedByClass map[string]int
+	queued        int
+	meanRunTime   time.Duration
 }
 
 func (s *service) push(w *waiter) {
-	q := s.teams[w.ask.Team]
+	q := s.teams[w.request.Team]
 	if q == nil {
 		q = &teamQueue{}
-		s.teams[w.ask.Team] = q
+		s.teams[w.request.Team] = q
 	}
 	heap.Push(q, w)
 	w.queued = true
 	s.queued++
-	s.classes[w.ask.Class]++
+	s.queuedByClass[w.request.Class]++
 }
 
 func (s *service) remove(w *waiter) {
-	q := s.teams[w.ask.Team]
+	q := s.teams[w.request.Team]
 	heap.Remove(q, w.index)
 	if q.Len() == 0 {
-		delete(s.teams, w.ask.Team)
+		delete(s.teams, w.request.Team)
 	}
 	w.queued = false
 	s.queued--
-	s.classes[w.ask.Class]--
+	s.queuedByClass[w.request.Class]--
 }
 
 // next returns the waiter to serve next: the one with the earliest deadline of the team
@@ -94,10 +94,10 @@
 	return best
 }
 
-func (s *service) find(grant string) *waiter {
+func (s *service) findWaiter(grant string) *waiter {
 	for _, q := range s.teams {
 		for _, w := range *q {
-			if w.ask.Grant == grant {
+			if w.request.Grant == grant {
 				return w
 			}
 		}
@@ -107,18 +107,18 @@
 
 // estimateWait returns how long a call that is queued now is expected to wait, based on
 // the mean run time. It returns zero if no run time is known yet.
-func (s *service) estimate(slots int) time.Duration {
+func (s *service) estimateWait(slots int) time.Duration {
 	if slots == 0 {
 		return 0
 	}
-	return s.mean * time.Duration(s.queued+1) / time.Duration(slots)
+	return s.meanRunTime * time.Duration(s.queued+1) / time.Duration(slots)
 }
 
 // recordRunTime adds a run time to the moving average.
-func (s *service) sample(took time.Duration) {
-	if s.mean == 0 {
-		s.mean = took
+func (s *service) recordRunTime(took time.Duration) {
+	if s.meanRunTime == 0 {
+		s.meanRunTime = took
 		return
 	}
-	s.mean += time.Duration(smoothing * float64(took-s.mean))
+	s.meanRunTime += time.Duration(runTimeWeight * float64(took-s.meanRunTime))
 }
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -17,7 +17,7 @@
 )
 
 // withTable runs f on a table with executors in a synctest bubble.
-func bench(t *testing.T, execs, slots int, f func(b *rig)) {
+func withTable(t *testing.T, execs, slots int, f func(b *rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -27,7 +27,7 @@
 		group.Go(func() { b.Table.Run(ctx) })
 		defer group.Wait()
 		defer cancel()
-		b.place(execs, slots, slots)
+		b.setExecutors(execs, slots, slots)
 		f(b)
 	})
 }
@@ -43,7 +43,7 @@
 	return winch.VM{ID: fmt.Sprint("e", i), Role: winch.RoleExecutor, Service: "render", Slots: slots}
 }
 
-func (b *rig) place(execs, slots, open int) []proto.Handoff {
+func (b *rig) setExecutors(execs, slots, open int) []proto.Handoff {
 	var list []winch.VM
 	for i := range execs {
 		list = append(list, vm(i, slots))
@@ -55,16 +55,16 @@
 	return out
 }
 
-func ask(id, team string, remaining time.Duration) proto.SlotAsk {
+func newRequest(id, team string, remaining time.Duration) proto.SlotAsk {
 	return proto.SlotAsk{Grant: id, Service: "render", Class: "preview", Team: team, KeyID: "K-" + team, Remaining: remaining, MaxRun: 30 * time.Second}
 }
 
-func (b *rig) get(id, team string, remaining time.Duration) proto.SlotGive {
-	return b.Ask(context.Background(), "a", ask(id, team, remaining))
+func (b *rig) acquire(id, team string, remaining time.Duration) proto.SlotGive {
+	return b.Acquire(context.Background(), "a", newRequest(id, team, remaining))
 }
 
-func (b *rig) done(id string, v proto.Verdict, after time.Duration) {
-	if err := b.Done(proto.SlotDone{Grant: id, Verdict: v, After: after, Took: time.Second}); err != nil {
+func (b *rig) giveBack(id string, v proto.Verdict, after time.Duration) {
+	if err := b.Return(proto.SlotDone{Grant: id, Verdict: v, After: after, Took: time.Second}); err != nil {
 		b.Fatal(err)
 	}
 	synctest.Wait()
@@ -80,16 +80,16 @@
 // Calls wait for a slot. They must be served in the order of their deadlines, and a call
 // whose deadline passes must be refused at that instant.
 func TestDeadlineOrder(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("first", "choir", time.Second).Refused.OK())
+		is.True(b.acquire("first", "choir", time.Second).Refused.OK())
 		var mu sync.Mutex
 		var order []string
 		for i, remaining := range []time.Duration{9 * time.Second, 3 * time.Second, 6 * time.Second, time.Second} {
 			id := fmt.Sprint("w", i)
 			b.group.Go(func() {
 				started := time.Now()
-				r := b.get(id, "choir", remaining)
+				r := b.acquire(id, "choir", remaining)
 				mu.Lock()
 				defer mu.Unlock()
 				if r.Refused.OK() {
@@ -105,7 +105,7 @@
 		time.Sleep(2 * time.Second)
 		last := "first"
 		for _, want := range []string{"w1", "w2", "w0"} {
-			b.done(last, proto.Answered, 0)
+			b.giveBack(last, proto.Answered, 0)
 			is.Equal(order[len(order)-1], want)
 			last = want
 		}
@@ -115,18 +115,18 @@
 
 // The queue is so long that a call cannot be served before its deadline. It must be
 // refused at once, with a retry time, instead of at its deadline.
-func TestHopeless(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("x", "choir", time.Second).Refused.OK())
-		b.done("x", proto.Answered, 0) // a run takes a second
-		is.True(b.get("y", "choir", time.Second).Refused.OK())
+		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
+		b.giveBack("x", proto.Answered, 0) // a run takes a second
+		is.True(b.acquire("y", "choir", time.Second).Refused.OK())
 		for i := range 5 {
-			b.group.Go(func() { b.get(fmt.Sprint("w", i), "choir", 10*time.Second) })
+			b.group.Go(func() { b.acquire(fmt.Sprint("w", i), "choir", 10*time.Second) })
 		}
 		synctest.Wait()
 		started := time.Now()
-		r := b.get("late", "choir", 3*time.Second)
+		r := b.acquire("late", "choir", 3*time.Second)
 		is.Equal(r.Refused.Reason, winch.DeadlineHopeless)
 		is.Equal(r.Refused.RetryAfter, 6*time.Second)
 		is.Equal(time.Since(started), time.Duration(0))
@@ -137,14 +137,14 @@
 // One team floods the queue before another team queues its calls. As both have the same
 // share, the next freed slots must go to the team that uses fewer.
 func TestShareInQueue(t *testing.T) {
-	bench(t, 1, 2, func(b *rig) {
+	withTable(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("f0", "flood", time.Hour).Refused.OK())
-		is.True(b.get("f1", "flood", time.Hour).Refused.OK())
+		is.True(b.acquire("f0", "flood", time.Hour).Refused.OK())
+		is.True(b.acquire("f1", "flood", time.Hour).Refused.OK())
 		granted := make(chan string, 20)
 		wait := func(id, team string) {
 			b.group.Go(func() {
-				if b.get(id, team, time.Hour).Refused.OK() {
+				if b.acquire(id, team, time.Hour).Refused.OK() {
 					granted <- id
 				}
 			})
@@ -155,9 +155,9 @@
 		}
 		wait("quiet0", "quiet")
 		wait("quiet1", "quiet")
-		b.done("f0", proto.Answered, 0)
+		b.giveBack("f0", proto.Answered, 0)
 		is.Equal(<-granted, "quiet0")
-		b.done("quiet0", proto.Answered, 0)
+		b.giveBack("quiet0", proto.Answered, 0)
 		is.Equal(<-granted, "quiet1")
 		is.NoErr(b.Close(context.Background(), winch.Refuse(winch.Stopping, "")))
 		b.group.Wait()
@@ -166,18 +166,18 @@
 
 // The queue of a class is full. The next call of the class must be refused at once, and
 // other classes must not be affected.
-func TestQueueFull(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+func TestFullQueueRefusesAtOnce(t *testing.T) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("x", "choir", time.Second).Refused.OK())
+		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
 		for i := range 20 {
-			b.group.Go(func() { b.get(fmt.Sprint("w", i), "choir", 10*time.Second) })
+			b.group.Go(func() { b.acquire(fmt.Sprint("w", i), "choir", 10*time.Second) })
 		}
 		synctest.Wait()
-		is.Equal(b.get("more", "choir", 10*time.Second).Refused.Reason, winch.QueueFull)
-		other := ask("other", "choir", 10*time.Second)
+		is.Equal(b.acquire("more", "choir", 10*time.Second).Refused.Reason, winch.QueueFull)
+		other := newRequest("other", "choir", 10*time.Second)
 		other.Class = "invoice"
-		b.group.Go(func() { b.Ask(context.Background(), "a", other) }) // each class has its own queue
+		b.group.Go(func() { b.Acquire(context.Background(), "a", other) }) // each class has its own queue
 		synctest.Wait()
 		is.Equal(b.Loads()[0].Queued, 21)
 		b.group.Wait()
@@ -187,12 +187,12 @@
 // A request times out, so its work may still run. Its slot must not be granted again
 // before the work is guaranteed to have ended.
 func TestSlotKeptWhileWorkMayRun(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("x", "choir", time.Second).Refused.OK())
-		b.done("x", proto.Failed, 20*time.Second)
+		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
+		b.giveBack("x", proto.Failed, 20*time.Second)
 		started := time.Now()
-		is.True(b.get("y", "choir", time.Minute).Refused.OK())
+		is.True(b.acquire("y", "choir", time.Minute).Refused.OK())
 		waited := time.Since(started)
 		is.True(waited >= 20*time.Second && waited < 21*time.Second)
 	})
@@ -200,10 +200,10 @@
 
 // The entry that requested a slot crashes and never returns it. The slot must become free
 // after the maximum run time.
-func TestAskerVanishes(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+func TestSlotOfCrashedEntryIsFreed(t *testing.T) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("x", "choir", time.Second).Refused.OK())
+		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
 		time.Sleep(29 * time.Second)
 		is.Equal(b.busy(), 1)
 		time.Sleep(2 * time.Second)
@@ -213,44 +213,44 @@
 
 // An entry cancels a request for a slot, and the cancellation overtakes the request. The
 // request must then be refused, or the slot would stay in use until it expires.
-func TestDoneBeforeAsk(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+func TestReturnOvertakesRequest(t *testing.T) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		b.done("x", proto.Unused, 0)
-		is.Equal(b.get("x", "choir", time.Second).Refused.Reason, winch.CallerGone)
+		b.giveBack("x", proto.Unused, 0)
+		is.Equal(b.acquire("x", "choir", time.Second).Refused.Reason, winch.CallerGone)
 		is.Equal(b.busy(), 0)
 	})
 }
 
 // Executors move to another home as planned. The new home takes over the slots in use and
 // must grant only the others.
-func TestHandoff(t *testing.T) {
-	bench(t, 2, 3, func(b *rig) {
+func TestHandoffKeepsSlotsInUse(t *testing.T) {
+	withTable(t, 2, 3, func(b *rig) {
 		is := is.New(b.T)
 		for i := range 4 {
-			is.True(b.get(fmt.Sprint("x", i), "choir", time.Second).Refused.OK())
+			is.True(b.acquire(fmt.Sprint("x", i), "choir", time.Second).Refused.OK())
 		}
-		handoffs := b.place(0, 3, 3)
+		handoffs := b.setExecutors(0, 3, 3)
 		is.Equal(len(handoffs), 2)
 		is.Equal(len(handoffs[0].Held)+len(handoffs[1].Held), 4)
 		is.NoErr(b.Adopt(handoffs[0])) // arrives before this home knows of the executor
-		b.place(2, 3, 1)
+		b.setExecutors(2, 3, 1)
 		is.NoErr(b.Adopt(handoffs[1]))
 		synctest.Wait()
 		is.Equal(b.busy(), 4)
 		is.Equal(b.Loads()[0].Slots, 6)
-		is.True(b.get("y0", "choir", time.Second).Refused.OK())
-		is.True(b.get("y1", "choir", time.Second).Refused.OK())
-		is.Equal(b.get("y2", "choir", time.Second).Refused.Reason, winch.DeadlinePassed)
+		is.True(b.acquire("y0", "choir", time.Second).Refused.OK())
+		is.True(b.acquire("y1", "choir", time.Second).Refused.OK())
+		is.Equal(b.acquire("y2", "choir", time.Second).Refused.Reason, winch.DeadlinePassed)
 	})
 }
 
 // A call ends while its executor moves to another home, and the return of the slot
 // overtakes the handoff. The new home must not keep the slot in use for the ended call.
-func TestEndOvertakesHandoff(t *testing.T) {
-	bench(t, 1, 2, func(b *rig) {
+func TestReturnOvertakesHandoff(t *testing.T) {
+	withTable(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
-		b.done("x", proto.Answered, 0)
+		b.giveBack("x", proto.Answered, 0)
 		is.NoErr(b.Adopt(proto.Handoff{Executor: "e0", Held: []proto.Held{
 			{Grant: "x", Executor: "e0", Left: 30 * time.Second}, {Grant: "y", Executor: "e0", Left: 30 * time.Second},
 		}}))
@@ -263,32 +263,32 @@
 // run there. To avoid overload, it must open one slot at first and one more with each
 // answered call.
 func TestSlotsOpenStepByStep(t *testing.T) {
-	bench(t, 0, 0, func(b *rig) {
+	withTable(t, 0, 0, func(b *rig) {
 		is := is.New(b.T)
-		b.place(1, 4, 1)
+		b.setExecutors(1, 4, 1)
 		for n := 1; n <= 4; n++ {
-			is.True(b.get(fmt.Sprint("x", n), "choir", time.Second).Refused.OK())
-			b.done(fmt.Sprint("x", n), proto.Answered, 0)
+			is.True(b.acquire(fmt.Sprint("x", n), "choir", time.Second).Refused.OK())
+			b.giveBack(fmt.Sprint("x", n), proto.Answered, 0)
 			is.Equal(b.Loads()[0].Slots, min(n+1, 4))
 		}
 		is.NoErr(b.Reconcile("b", []proto.Held{{Grant: "old", Executor: "e0", Left: 5 * time.Second}}, false))
 		synctest.Wait()
 		is.Equal(b.busy(), 1) // another entry reports a call that the previous home granted
-		is.Equal(b.get("z", "choir", time.Second).Executor.ID, "e0")
-		b.done("z", proto.Rejected, 0)
+		is.Equal(b.acquire("z", "choir", time.Second).Executor.ID, "e0")
+		b.giveBack("z", proto.Rejected, 0)
 		is.Equal(b.Loads()[0].Slots, 2) // the executor had no free slot after all
 	})
 }
 
 // A link breaks before a grant reaches the requesting entry. Over the new link the entry
 // lists the slots that it uses. The slot of the lost grant must become free at once.
-func TestReconcile(t *testing.T) {
-	bench(t, 1, 3, func(b *rig) {
+func TestReconcileFreesLostGrants(t *testing.T) {
+	withTable(t, 1, 3, func(b *rig) {
 		is := is.New(b.T)
 		for _, id := range []string{"used", "lost"} {
-			is.True(b.get(id, "choir", time.Second).Refused.OK())
+			is.True(b.acquire(id, "choir", time.Second).Refused.OK())
 		}
-		r := b.Ask(context.Background(), "b", ask("other", "choir", time.Second))
+		r := b.Acquire(context.Background(), "b", newRequest("other", "choir", time.Second))
 		is.True(r.Refused.OK())
 		is.NoErr(b.Reconcile("a", []proto.Held{{Grant: "used", Executor: "e0", Left: time.Second}}, true))
 		synctest.Wait()
@@ -299,65 +299,65 @@
 // An executor fails every call at once and therefore always has free slots, so it would
 // attract all calls. It must be quarantined after a few failures and tried again later.
 // At most half of the executors may be quarantined, even if all of them fail.
-func TestExecutorFailsEverything(t *testing.T) {
-	bench(t, 4, 2, func(b *rig) {
+func TestExecutorThatFailsEverythingIsQuarantined(t *testing.T) {
+	withTable(t, 4, 2, func(b *rig) {
 		is := is.New(b.T)
 		failed := 0
 		for i := range 200 {
 			id := fmt.Sprint("x", i)
-			r := b.get(id, "choir", time.Second)
+			r := b.acquire(id, "choir", time.Second)
 			is.True(r.Refused.OK())
 			if r.Executor.ID == "e0" {
 				failed++
-				b.done(id, proto.Failed, 0)
+				b.giveBack(id, proto.Failed, 0)
 				continue
 			}
-			b.done(id, proto.Answered, 0)
+			b.giveBack(id, proto.Answered, 0)
 		}
-		is.Equal(failed, failuresToSuspend)
+		is.Equal(failed, failuresToQuarantine)
 		time.Sleep(2 * time.Second)
 		for i := range 100 {
 			id := fmt.Sprint("y", i)
-			if b.get(id, "choir", time.Second).Executor.ID == "e0" {
+			if b.acquire(id, "choir", time.Second).Executor.ID == "e0" {
 				failed++
 			}
-			b.done(id, proto.Answered, 0)
+			b.giveBack(id, proto.Answered, 0)
 		}
-		is.True(failed > failuresToSuspend) // its quarantine is over
+		is.True(failed > failuresToQuarantine) // its quarantine is over
 		for i := range 400 {
 			id := fmt.Sprint("z", i)
-			r := b.get(id, "choir", time.Second)
+			r := b.acquire(id, "choir", time.Second)
 			is.True(r.Refused.OK()) // all executors fail, yet half of them stay available
-			b.done(id, proto.Failed, 0)
+			b.giveBack(id, proto.Failed, 0)
 		}
 	})
 }
 
 // The last executor of a service leaves while calls wait for a slot. They must be refused
 // at once, not at their deadline.
-func TestLastExecutorLeaves(t *testing.T) {
-	bench(t, 1, 1, func(b *rig) {
+func TestWaitersAreRefusedWhenTheLastExecutorLeaves(t *testing.T) {
+	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		is.True(b.get("x", "choir", time.Second).Refused.OK())
-		b.group.Go(func() { is.Equal(b.get("w", "choir", time.Hour).Refused.Reason, winch.NoExecutor) })
+		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
+		b.group.Go(func() { is.Equal(b.acquire("w", "choir", time.Hour).Refused.Reason, winch.NoExecutor) })
 		synctest.Wait()
 		started := time.Now()
-		b.place(0, 1, 1)
+		b.setExecutors(0, 1, 1)
 		b.group.Wait()
 		is.Equal(time.Since(started), time.Duration(0))
-		is.Equal(b.get("y", "choir", time.Second).Refused.Reason, winch.NoExecutor)
+		is.Equal(b.acquire("y", "choir", time.Second).Refused.Reason, winch.NoExecutor)
 	})
 }
 
 // Requests, returns and cancellations come in random order. No executor may ever have more
 // calls than slots, and in the end all slots must be free, so that none is leaked.
-func TestRandomOrder(t *testing.T) {
+func TestRandomOrderKeepsSlotLimits(t *testing.T) {
 	for seed := range uint64(30) {
-		bench(t, 3, 4, func(b *rig) { randomOrder(b, seed) })
+		withTable(t, 3, 4, func(b *rig) { runRandomOrder(b, seed) })
 	}
 }
 
-func randomOrder(b *rig, seed uint64) {
+func runRandomOrder(b *rig, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	var mu sync.Mutex
 	inUse := make(map[string]int)
@@ -372,7 +372,7 @@
 			if giveUp {
 				time.AfterFunc(remaining/2, cancel)
 			}
-			r := b.Ask(ctx, "a", ask(id, fmt.Sprint("team", i%3), remaining))
+			r := b.Acquire(ctx, "a", newRequest(id, fmt.Sprint("team", i%3), remaining))
 			if !r.Refused.OK() {
 				return
 			}
@@ -386,7 +386,7 @@
 			mu.Lock()
 			inUse[r.Executor.ID]--
 			mu.Unlock()
-			_ = b.Done(proto.SlotDone{Grant: id, Verdict: proto.Answered, Took: runTime})
+			_ = b.Return(proto.SlotDone{Grant: id, Verdict: proto.Answered, Took: runTime})
 		})
 		time.Sleep(time.Duration(rnd.IntN(60)) * time.Millisecond)
 	}
--- a/coord/slots/table.go
+++ b/coord/slots/table.go
@@ -18,17 +18,17 @@
 
 const (
 	// sweepInterval is the interval at which the slots of expired grants are freed.
-	sweepEvery = 100 * time.Millisecond
+	sweepInterval = 100 * time.Millisecond
 	// DefaultQueueLimit is the default of Table.QueueLimit.
-	DefaultQueue = 1000
+	DefaultQueueLimit = 1000
 	// failuresToQuarantine is the number of failures in a row after which an executor is
 	// quarantined.
-	failuresToSuspend = 5
+	failuresToQuarantine = 5
 	// minQuarantine and maxQuarantine bound the duration of a quarantine.
-	suspendFirst = time.Second
-	suspendMost  = 30 * time.Second
+	minQuarantine = time.Second
+	maxQuarantine = 30 * time.Second
 	// runTimeWeight is the weight of a new sample in the moving average of run times.
-	smoothing = 0.1
+	runTimeWeight = 0.1
 )
 
 // grant is a slot in use.
@@ -39,7 +39,7 @@
 	exec   *executor
 	// expires is when the work is guaranteed to have ended, even if no report of it
 	// arrives.
-	until time.Time
+	expires time.Time
 }
 
 // executor is an executor whose home is this entry.
@@ -48,19 +48,19 @@
 	// openSlots bounds the slots in use. After a change of home without a handoff it starts
 	// at one and grows with each answered call, since calls that the previous home granted
 	// may still occupy the other slots.
-	open     int
-	busy     int
-	failures int
-	aside    time.Time
-	backoff  time.Duration
+	openSlots        int
+	busy             int
+	failures         int
+	quarantinedUntil time.Time
+	backoff          time.Duration
 }
 
 // free returns the number of slots that may be granted now.
 func (e *executor) free(now time.Time) int {
-	if e.vm.Leaving || now.Before(e.aside) {
+	if e.vm.Leaving || now.Before(e.quarantinedUntil) {
 		return 0
 	}
-	return e.open - e.busy
+	return e.openSlots - e.busy
 }
 
 // Table manages the slots of the executors whose home is this entry. Set the exported
@@ -75,20 +75,20 @@
 	Metrics metrics.Registry
 	Rand    *rand.Rand
 
-	execs    map[string]*executor
-	services map[string]*service
-	grants   map[string]*grant
-	done     map[string]time.Time // returnedEarly holds when the slots of unknown grants were returned.
-	running  map[string]int       // inUse counts the slots in use by team.
+	executors     map[string]*executor
+	services      map[string]*service
+	grants        map[string]*grant
+	returnedEarly map[string]time.Time // returnedEarly holds when the slots of unknown grants were returned.
+	inUse         map[string]int       // inUse counts the slots in use by team.
 	// earlyHandoffs holds handoffs of executors that are not known here yet.
-	early map[string]proto.Handoff
-	loads atomic.Pointer[[]proto.Load]
+	earlyHandoffs map[string]proto.Handoff
+	loads         atomic.Pointer[[]proto.Load]
 }
 
 // Prepare sets defaults for the fields that are not set and makes the table ready for Run.
 func (t *Table) Prepare() {
 	if t.QueueLimit == 0 {
-		t.QueueLimit = DefaultQueue
+		t.QueueLimit = DefaultQueueLimit
 	}
 	if t.Metrics == nil {
 		t.Metrics = metrics.NewRegistry()
@@ -102,27 +102,27 @@
 	if t.Share == nil {
 		t.Share = func(string) int { return 1 }
 	}
-	t.execs = make(map[string]*executor)
+	t.executors = make(map[string]*executor)
 	t.services = make(map[string]*service)
 	t.grants = make(map[string]*grant)
-	t.done = make(map[string]time.Time)
-	t.running = make(map[string]int)
-	t.early = make(map[string]proto.Handoff)
+	t.returnedEarly = make(map[string]time.Time)
+	t.inUse = make(map[string]int)
+	t.earlyHandoffs = make(map[string]proto.Handoff)
 }
 
 // Run processes the table's requests and sweeps it until ctx is done.
 func (t *Table) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	t.Duty.Every(ctx, ticker.C, t.sweep)
 }
 
 // Acquire waits for a slot and grants it, or refuses the request. The result is final and
 // is returned as soon as it is known.
-func (t *Table) Ask(ctx context.Context, holder string, request proto.SlotAsk) proto.SlotGive {
-	w := &waiter{ask: request, holder: holder, reply: make(chan proto.SlotGive, 1)}
+func (t *Table) Acquire(ctx context.Context, holder string, request proto.SlotAsk) proto.SlotGive {
+	w := &waiter{request: request, holder: holder, reply: make(chan proto.SlotGive, 1)}
 	w.deadline = time.Now().Add(request.Remaining)
-	if err := t.Duty.Do(ctx, func() { t.enter(w) }); err != nil {
+	if err := t.Duty.Do(ctx, func() { t.admit(w) }); err != nil {
 		return proto.SlotGive{Refused: winch.RefuseFor(winch.QueueFull, "the entry is overloaded", time.Second)}
 	}
 	timer := time.NewTimer(request.Remaining)
@@ -131,17 +131,17 @@
 	case response := <-w.reply:
 		return response
 	case <-timer.C:
-		t.abandon(w, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", t.retryAfter(ctx, request.Service)))
+		t.refuseWaiting(w, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", t.retryAfter(ctx, request.Service)))
 	case <-ctx.Done():
-		t.abandon(w, winch.Refuse(winch.CallerGone, "the caller went away"))
+		t.refuseWaiting(w, winch.Refuse(winch.CallerGone, "the caller went away"))
 	}
 	return <-w.reply
 }
 
 // refuseWaiting refuses a waiter unless it has been answered in the meantime.
-func (t *Table) abandon(w *waiter, why winch.Result) {
+func (t *Table) refuseWaiting(w *waiter, why winch.Result) {
 	err := t.Duty.Do(context.Background(), func() {
-		if t.unqueue(w) {
+		if t.dequeue(w) {
 			w.reply <- proto.SlotGive{Refused: why}
 		}
 	})
@@ -158,55 +158,55 @@
 func (t *Table) retryAfter(ctx context.Context, name string) (wait time.Duration) {
 	_ = t.Duty.Do(ctx, func() {
 		if s := t.services[name]; s != nil {
-			wait = s.estimate(t.slots(name))
+			wait = s.estimateWait(t.openSlots(name))
 		}
 	})
 	return max(wait, time.Second)
 }
 
 // admit grants a slot at once, queues the waiter or refuses it.
-func (t *Table) enter(w *waiter) {
-	if _, returned := t.done[w.ask.Grant]; returned {
+func (t *Table) admit(w *waiter) {
+	if _, returned := t.returnedEarly[w.request.Grant]; returned {
 		w.reply <- proto.SlotGive{Refused: winch.Refuse(winch.CallerGone, "the slot was given back before it was granted")}
 		return
 	}
-	s := t.service(w.ask.Service)
-	if len(t.usable(w.ask)) == 0 {
+	s := t.service(w.request.Service)
+	if len(t.eligible(w.request)) == 0 {
 		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.NoExecutor, "no executor of the service is known here", time.Second)}
 		return
 	}
 	if s.queued == 0 {
-		if e := t.pick(w.ask); e != nil {
-			t.give(w, e)
+		if e := t.pick(w.request); e != nil {
+			t.grantTo(w, e)
 			return
 		}
 	}
-	if s.classes[w.ask.Class] >= t.QueueLimit {
-		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.QueueFull, "the queue of class "+w.ask.Class+" is full", s.estimate(t.slots(w.ask.Service)))}
+	if s.queuedByClass[w.request.Class] >= t.QueueLimit {
+		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.QueueFull, "the queue of class "+w.request.Class+" is full", s.estimateWait(t.openSlots(w.request.Service)))}
 		return
 	}
-	if wait := s.estimate(t.slots(w.ask.Service)); wait > w.ask.Remaining {
+	if wait := s.estimateWait(t.openSlots(w.request.Service)); wait > w.request.Remaining {
 		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.DeadlineHopeless, "the queue is longer than the deadline", wait)}
 		return
 	}
 	s.push(w)
 	t.dispatch(s)
-	t.publish()
+	t.publishLoads()
 }
 
 func (t *Table) service(name string) *service {
 	s := t.services[name]
 	if s == nil {
-		s = &service{name: name, teams: make(map[string]*teamQueue), classes: make(map[string]int)}
+		s = &service{name: name, teams: make(map[string]*teamQueue), queuedByClass: make(map[string]int)}
 		t.services[name] = s
 	}
 	return s
 }
 
 // eligible lists the executors that the request may be sent to, including busy ones.
-func (t *Table) usable(request proto.SlotAsk) []*executor {
+func (t *Table) eligible(request proto.SlotAsk) []*executor {
 	var out []*executor
-	for _, e := range t.execs {
+	for _, e := range t.executors {
 		if e.vm.Service == request.Service && !e.vm.Leaving && !contains(request.Avoid, e.vm.ID) {
 			out = append(out, e)
 		}
@@ -229,7 +229,7 @@
 func (t *Table) pick(request proto.SlotAsk) *executor {
 	now := time.Now()
 	var free []*executor
-	for _, e := range t.execs {
+	for _, e := range t.executors {
 		if e.vm.Service == request.Service && e.free(now) > 0 && !contains(request.Avoid, e.vm.ID) {
 			free = append(free, e)
 		}
@@ -245,45 +245,45 @@
 }
 
 // grantTo grants a slot of the executor to the waiter.
-func (t *Table) give(w *waiter, e *executor) {
-	g := &grant{id: w.ask.Grant, holder: w.holder, team: w.ask.Team, exec: e}
-	g.until = time.Now().Add(w.ask.MaxRun)
-	t.take(g)
+func (t *Table) grantTo(w *waiter, e *executor) {
+	g := &grant{id: w.request.Grant, holder: w.holder, team: w.request.Team, exec: e}
+	g.expires = time.Now().Add(w.request.MaxRun)
+	t.addGrant(g)
 	w.reply <- proto.SlotGive{Executor: e.vm}
 }
 
 // addGrant records a slot as in use.
-func (t *Table) take(g *grant) {
+func (t *Table) addGrant(g *grant) {
 	t.grants[g.id] = g
 	g.exec.busy++
-	t.running[g.team]++
-	t.publish()
+	t.inUse[g.team]++
+	t.publishLoads()
 }
 
 // release frees the slot of a grant.
 func (t *Table) release(g *grant) {
 	delete(t.grants, g.id)
 	g.exec.busy--
-	t.running[g.team]--
-	t.publish()
+	t.inUse[g.team]--
+	t.publishLoads()
 }
 
 // dispatch grants free slots to waiters until either runs out.
 func (t *Table) dispatch(s *service) {
 	for s.queued > 0 {
-		w := s.next(t.running, t.Share)
-		e := t.pick(w.ask)
+		w := s.next(t.inUse, t.Share)
+		e := t.pick(w.request)
 		if e == nil {
 			return
 		}
 		s.remove(w)
-		t.give(w, e)
+		t.grantTo(w, e)
 	}
 }
 
 // dequeue removes a waiter from its queue and reports whether it was queued.
-func (t *Table) unqueue(w *waiter) bool {
-	s := t.services[w.ask.Service]
+func (t *Table) dequeue(w *waiter) bool {
+	s := t.services[w.request.Service]
 	if s == nil || !w.queued {
 		return false
 	}
@@ -292,11 +292,11 @@
 }
 
 // openSlots returns how many slots of a service may be in use at most.
-func (t *Table) slots(name string) int {
+func (t *Table) openSlots(name string) int {
 	total := 0
-	for _, e := range t.execs {
+	for _, e := range t.executors {
 		if e.vm.Service == name && !e.vm.Leaving {
-			total += e.open
+			total += e.openSlots
 		}
 	}
 	return total
@@ -304,17 +304,17 @@
 
 // Return gives a slot back. If the slot was not granted yet, its request is refused, also
 // if it has yet to arrive, so that a return that overtakes its request leaks no slot.
-func (t *Table) Done(done proto.SlotDone) error {
+func (t *Table) Return(done proto.SlotDone) error {
 	return t.Duty.Post(func() {
 		g := t.grants[done.Grant]
 		if g == nil {
-			t.done[done.Grant] = time.Now()
-			t.cancel(done.Grant)
+			t.returnedEarly[done.Grant] = time.Now()
+			t.cancelRequest(done.Grant)
 			return
 		}
-		t.judge(g.exec, done)
+		t.applyVerdict(g.exec, done)
 		if done.After > 0 {
-			g.until = time.Now().Add(done.After)
+			g.expires = time.Now().Add(done.After)
 			return
 		}
 		t.release(g)
@@ -323,9 +323,9 @@
 }
 
 // cancelRequest refuses the waiter for a grant, if there is one.
-func (t *Table) cancel(id string) {
+func (t *Table) cancelRequest(id string) {
 	for _, s := range t.services {
-		if w := s.find(id); w != nil {
+		if w := s.findWaiter(id); w != nil {
 			s.remove(w)
 			w.reply <- proto.SlotGive{Refused: winch.Refuse(winch.CallerGone, "the request was given up")}
 		}
@@ -334,17 +334,17 @@
 
 // applyVerdict updates the failure count, open slots and run time statistics with the
 // result of one call.
-func (t *Table) judge(e *executor, done proto.SlotDone) {
+func (t *Table) applyVerdict(e *executor, done proto.SlotDone) {
 	switch done.Verdict {
 	case proto.Answered:
 		e.failures, e.backoff = 0, 0
-		e.open = min(e.open+1, e.vm.Slots)
-		t.service(e.vm.Service).sample(done.Took)
+		e.openSlots = min(e.openSlots+1, e.vm.Slots)
+		t.service(e.vm.Service).recordRunTime(done.Took)
 	case proto.Rejected:
-		e.open = max(1, e.open/2)
-		t.fail(e)
+		e.openSlots = max(1, e.openSlots/2)
+		t.recordFailure(e)
 	case proto.Failed:
-		t.fail(e)
+		t.recordFailure(e)
 	case proto.Unused:
 	}
 }
@@ -353,28 +353,28 @@
 // executor that fails every call at once always has free slots and would attract all
 // calls. At most half of a service's executors are quarantined, so that requests that
 // fail on every executor cannot make the service unavailable.
-func (t *Table) fail(e *executor) {
+func (t *Table) recordFailure(e *executor) {
 	e.failures++
-	if e.failures < failuresToSuspend || t.asideCount(e.vm.Service)*2 >= t.count(e.vm.Service) {
+	if e.failures < failuresToQuarantine || t.quarantinedCount(e.vm.Service)*2 >= t.executorCount(e.vm.Service) {
 		return
 	}
-	e.backoff = min(max(2*e.backoff, suspendFirst), suspendMost)
-	e.aside = time.Now().Add(e.backoff)
+	e.backoff = min(max(2*e.backoff, minQuarantine), maxQuarantine)
+	e.quarantinedUntil = time.Now().Add(e.backoff)
 	metrics.GetOrRegisterCounter("Slots.SetAside", t.Metrics).Inc(1)
 }
 
-func (t *Table) asideCount(name string) (n int) {
+func (t *Table) quarantinedCount(name string) (n int) {
 	now := time.Now()
-	for _, e := range t.execs {
-		if e.vm.Service == name && now.Before(e.aside) {
+	for _, e := range t.executors {
+		if e.vm.Service == name && now.Before(e.quarantinedUntil) {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *Table) count(name string) (n int) {
-	for _, e := range t.execs {
+func (t *Table) executorCount(name string) (n int) {
+	for _, e := range t.executors {
 		if e.vm.Service == name {
 			n++
 		}
@@ -387,18 +387,18 @@
 func (t *Table) sweep() {
 	now := time.Now()
 	for _, g := range t.grants {
-		if now.After(g.until) {
+		if now.After(g.expires) {
 			t.release(g)
 			metrics.GetOrRegisterCounter("Slots.RanOut", t.Metrics).Inc(1)
 		}
 	}
-	for id, returnedAt := range t.done {
+	for id, returnedAt := range t.returnedEarly {
 		if now.Sub(returnedAt) > time.Minute {
-			delete(t.done, id)
+			delete(t.returnedEarly, id)
 		}
 	}
 	for _, s := range t.services {
 		t.dispatch(s)
 	}
-	t.publish()
+	t.publishLoads()
 }
--- a/entry/links.go
+++ b/entry/links.go
@@ -82,7 +82,7 @@
 	case proto.KindSlot:
 		return handle(decode, func(a proto.SlotAsk) any { return e.giveSlot(ctx, from, a) })
 	case proto.KindSlotDone:
-		return handle(decode, func(d proto.SlotDone) any { _ = e.table.Done(d); return nil })
+		return handle(decode, func(d proto.SlotDone) any { _ = e.table.Return(d); return nil })
 	case proto.KindSlotHeld:
 		return handle(decode, func(h proto.SlotHeld) any { _ = e.table.Reconcile(from, h.Held, h.Complete); return nil })
 	case proto.KindHandoff:
@@ -128,5 +128,5 @@
 	if e.draining.Load() {
 		return proto.SlotGive{Refused: winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second)}
 	}
-	return e.table.Ask(ctx, from, ask)
+	return e.table.Acquire(ctx, from, ask)
 }
--- a/entry/slot.go
+++ b/entry/slot.go
@@ -102,7 +102,7 @@
 
 func (e *Entry) ask(ctx context.Context, home string, ask proto.SlotAsk) (give proto.SlotGive, err error) {
 	if home == e.Name() {
-		return e.table.Ask(ctx, home, ask), nil
+		return e.table.Acquire(ctx, home, ask), nil
 	}
 	metrics.GetOrRegisterCounter("Calls.Hops", e.Metrics).Inc(1)
 	ctx, cancel := context.WithTimeout(ctx, ask.Remaining+storeCall)
@@ -144,7 +144,7 @@
 
 func (e *Entry) tellDone(home string, done proto.SlotDone) {
 	if home == e.Name() {
-		_ = e.table.Done(done)
+		_ = e.table.Return(done)
 		return
 	}
 	_ = e.Peers.Tell(home, proto.KindSlotDone, done)
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -106,7 +106,7 @@
 		return
 	}
 	e.Log.Info("configuration in force", zap.Uint64("Version", doc.Version))
-	_ = e.table.Withdraw(ctx, func(id string) bool {
+	_ = e.table.RefuseWithdrawnKeys(ctx, func(id string) bool {
 		_, ok := doc.Keys[id]
 		return ok
 	})
--- a/trial/stats.go
+++ b/trial/stats.go
@@ -41,14 +41,14 @@
 		return
 	}
 	o := d.planner.Occupancy()
-	if o.InUse > 0 {
-		s.packing.add(float64(o.Used) / float64(o.InUse))
+	if o.OnBusyWorkers > 0 {
+		s.packing.add(float64(o.Committed) / float64(o.OnBusyWorkers))
 	}
 	if o.Waiting == 0 {
 		return
 	}
-	s.full.add(float64(o.Used) / float64(o.All))
-	s.stranded.add(float64(o.Stranded) / float64(o.All))
+	s.full.add(float64(o.Committed) / float64(o.Total))
+	s.stranded.add(float64(o.Stranded) / float64(o.Total))
 	s.distance.add(distance(o, d.fleet))
 }
 
@@ -58,7 +58,7 @@
 	fair := fairParts(o, f)
 	sum := 0.0
 	for team, want := range fair {
-		sum += math.Abs(o.Teams[team].Part - want)
+		sum += math.Abs(o.Teams[team].Used - want)
 	}
 	return sum / 2
 }
@@ -70,7 +70,7 @@
 	left := 0.0
 	open := make(map[string]bool, len(o.Teams))
 	for team, t := range o.Teams {
-		left += t.Part
+		left += t.Used
 		open[team] = true
 	}
 	for len(open) > 0 {
@@ -81,7 +81,7 @@
 		spare := left
 		for team := range open {
 			part := left * float64(share(f, team)) / float64(shares)
-			if want := o.Teams[team].Part + o.Teams[team].Wanted; want <= part {
+			if want := o.Teams[team].Used + o.Teams[team].Wanted; want <= part {
 				out[team], closed = want, true
 				spare -= want
 				delete(open, team)
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -159,7 +159,7 @@
 			vm.Size.Accelerators = 2
 		}
 		d.planner.SetVM(vm)
-		d.planner.Known(vm.ID, nil, start)
+		d.planner.Reconcile(vm.ID, nil, start)
 	}
 	d.planner.OpenBarrier()
 }
@@ -190,8 +190,8 @@
 	delete(d.live, e.task.ID)
 	e.task.State = winch.TaskDone
 	d.done += time.Duration(e.task.Need.Processors) * d.byID[e.task.ID.Job].truth[e.task.ID.Index]
-	d.do(d.planner.Ended(e.vm, e.task, start.Add(d.now)))
-	for _, f := range d.planner.Finals() {
+	d.do(d.planner.TaskEnded(e.vm, e.task, start.Add(d.now)))
+	for _, f := range d.planner.TakeCompletions() {
 		d.planner.Forget(f.Job)
 	}
 }
@@ -219,7 +219,7 @@
 		}
 		delete(d.live, x.Task.ID)
 		x.Task.State = winch.TaskStopped
-		d.do(d.planner.Ended(x.VM.ID, x.Task, start.Add(d.now)))
+		d.do(d.planner.TaskEnded(x.VM.ID, x.Task, start.Add(d.now)))
 	}
 }
 
@@ -228,7 +228,7 @@
 	d.seq++
 	d.live[x.Task.ID] = d.seq
 	heap.Push(&d.ends, ending{at: d.now + a.truth[x.Task.ID.Index], vm: x.VM.ID, task: x.Task, seq: d.seq})
-	d.planner.Confirmed(x.Task.Ref())
+	d.planner.StartConfirmed(x.Task.Ref())
 	if d.waited[x.Task.ID] {
 		return
 	}
@@ -261,7 +261,7 @@
 	out := Result{
 		Fleet: d.fleet.Name, Placer: string(prefer), Urgent: waits(d.urgent), Deferred: waits(d.other),
 		Met: float64(min(d.met, urgent)) / float64(max(1, urgent)), Decisions: d.count, PerSecond: float64(d.count) / d.spent.Seconds(),
-		P99: time.Duration(d.cost.ValueAtQuantile(99)), Evictions: d.planner.Evictions, Lost: d.planner.Lost, Done: int(d.done.Minutes()),
+		P99: time.Duration(d.cost.ValueAtQuantile(99)), Evictions: d.planner.Evictions, Lost: d.planner.LostRunTime, Done: int(d.done.Minutes()),
 	}
 	if baseline {
 		out.Placer = "baseline"
