--- a/coord/office/elect.go
+++ b/coord/office/elect.go
@@ -15,30 +15,30 @@
 
 const (
 	// electionInterval is the longest time between two reads of the office in the store.
-	retryEvery = 500 * time.Millisecond
+	electionInterval = 500 * time.Millisecond
 	// successorHeadStart is how long an entry that is not the recorded successor waits
 	// once the office is free, so that a live successor acquires it.
-	deference = time.Second
+	successorHeadStart = time.Second
 	// callTimeout limits one access to the store.
 	callTimeout = 2 * time.Second
 )
 
 // knownHolder is the last known holder of the office and its epoch. Other goroutines read
 // it, so a mutex protects it.
-type holding struct {
+type knownHolder struct {
 	mu    sync.Mutex
 	name  string
 	epoch uint64
 }
 
-func (h *holding) holder() (string, uint64) {
+func (h *knownHolder) get() (string, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.name, h.epoch
 }
 
 // set stores the holder unless a newer epoch is already known.
-func (h *holding) set(name string, epoch uint64) {
+func (h *knownHolder) set(name string, epoch uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if epoch >= h.epoch {
@@ -47,7 +47,7 @@
 }
 
 // clear removes the holder after this entry's term of the given epoch ended.
-func (h *holding) resign(self string, epoch uint64) {
+func (h *knownHolder) clear(self string, epoch uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.name == self && h.epoch == epoch {
@@ -62,7 +62,7 @@
 	mu    sync.Mutex
 	// validUntil is the time until which the lease is guaranteed to be valid. It counts
 	// from before the last confirmed renewal was sent, as the store counts from its receipt.
-	until time.Time
+	validUntil time.Time
 	// lost is set once this entry has released the office or another one may hold it.
 	lost bool
 }
@@ -70,25 +70,25 @@
 func (t *term) extend(sent time.Time, lease time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.until = sent.Add(lease)
+	t.validUntil = sent.Add(lease)
 }
 
 // leaseValid reports whether the lease is guaranteed to be valid at the given time.
-func (t *term) valid(now time.Time) bool {
+func (t *term) leaseValid(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.lost && now.Before(t.until)
+	return !t.lost && now.Before(t.validUntil)
 }
 
 // active reports whether the term goes on as far as this entry knows. The lease may have
 // expired nevertheless.
-func (t *term) standing() bool {
+func (t *term) active() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.lost
 }
 
-func (t *term) lose() {
+func (t *term) markLost() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = true
@@ -104,15 +104,15 @@
 			return nil
 		default:
 		}
-		free, record, err := o.look(ctx)
+		free, record, err := o.readOffice(ctx)
 		switch {
 		case err != nil || !free:
 			freeSince = time.Time{}
 		case freeSince.IsZero():
 			freeSince = time.Now()
 		}
-		if free && err == nil && o.mayTake(record, freeSince) {
-			if t := o.take(ctx); t != nil {
+		if free && err == nil && o.mayAcquire(record, freeSince) {
+			if t := o.acquire(ctx); t != nil {
 				return t
 			}
 		}
@@ -121,8 +121,8 @@
 			return nil
 		case <-o.leaving:
 			return nil
-		case <-o.signal:
-		case <-time.After(retryEvery):
+		case <-o.recheckRequested:
+		case <-time.After(electionInterval):
 		}
 	}
 }
@@ -130,13 +130,13 @@
 // mayAcquire reports whether this entry may acquire the free office. The recorded successor
 // may do so at once, as may any entry if there was no holder yet. Other entries wait for
 // successorHeadStart.
-func (o *Office) mayTake(record winch.DomainRecord, freeSince time.Time) bool {
+func (o *Office) mayAcquire(record winch.DomainRecord, freeSince time.Time) bool {
 	first := record.Successor == o.Self || record.Successor == "" && record.Placer == ""
-	return first || time.Since(freeSince) >= deference
+	return first || time.Since(freeSince) >= successorHeadStart
 }
 
 // readOffice reads the office's record from the store and whether the office is free.
-func (o *Office) look(ctx context.Context) (bool, winch.DomainRecord, error) {
+func (o *Office) readOffice(ctx context.Context) (bool, winch.DomainRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rec, err := swap.Read[winch.DomainRecord](ctx, o.Store, RecordPrefix+o.Domain)
@@ -146,17 +146,17 @@
 	_, err = o.Store.Get(ctx, LeasePrefix+o.Domain)
 	switch {
 	case errors.Is(err, winch.ErrMissing):
-		o.holds.set("", rec.Body.Epoch)
+		o.knownHolder.set("", rec.Body.Epoch)
 		return true, rec.Body, nil
 	case err == nil:
-		o.holds.set(rec.Body.Placer, rec.Body.Epoch)
+		o.knownHolder.set(rec.Body.Placer, rec.Body.Epoch)
 	}
 	return false, rec.Body, err
 }
 
 // acquire tries to acquire the office and returns nil if it fails. It first creates the
 // lease key, which only one entry can do, and then writes the next epoch to the record.
-func (o *Office) take(ctx context.Context) *term {
+func (o *Office) acquire(ctx context.Context) *term {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
 	sent := time.Now()
@@ -173,7 +173,7 @@
 		return nil
 	})
 	if err == nil {
-		err = o.Quota.Assume(ctx, rec.Body.Epoch)
+		err = o.Quota.TakeOver(ctx, rec.Body.Epoch)
 	}
 	if err != nil {
 		o.Log.Warn("acquiring the office lease failed", zap.String("Domain", o.Domain), zap.Error(err))
@@ -182,20 +182,20 @@
 	}
 	t := &term{epoch: rec.Body.Epoch, lease: lease}
 	t.extend(sent, o.Lease)
-	o.holds.set(o.Self, t.epoch)
+	o.knownHolder.set(o.Self, t.epoch)
 	return t
 }
 
 // successor returns the entry that may acquire the office first after this one, or "".
 func (o *Office) successor() string {
-	if others := o.Rivals(); len(others) > 0 {
+	if others := o.OtherEntries(); len(others) > 0 {
 		return others[0]
 	}
 	return ""
 }
 
 // renewLoop renews the office lease until the office is lost or released.
-func (o *Office) renew(ctx context.Context, t *term) {
+func (o *Office) renewLoop(ctx context.Context, t *term) {
 	ticker := time.NewTicker(o.Lease / 3)
 	defer ticker.Stop()
 	for {
@@ -203,7 +203,7 @@
 		case <-ctx.Done():
 			return
 		case <-o.leaving:
-			o.giveUp(t)
+			o.release(t)
 			return
 		case <-ticker.C:
 		}
@@ -224,40 +224,40 @@
 	switch {
 	case err == nil:
 		t.extend(sent, o.Lease)
-		return t.standing()
+		return t.active()
 	case errors.Is(err, winch.ErrMissing):
-		return o.reclaim(ctx, t)
+		return o.reacquire(ctx, t)
 	default:
 		metrics.GetOrRegisterCounter("Office.RenewFailed", o.Metrics).Inc(1)
-		return t.standing()
+		return t.active()
 	}
 }
 
 // reacquire creates the lease key again after the lease expired, for example in a long
 // outage of the store or a pause of this process, if no other entry has acquired the office
 // since. It reports whether the term goes on.
-func (o *Office) reclaim(ctx context.Context, t *term) bool {
+func (o *Office) reacquire(ctx context.Context, t *term) bool {
 	sent := time.Now()
 	rec, err := swap.Read[winch.DomainRecord](ctx, o.Store, RecordPrefix+o.Domain)
 	if err != nil {
-		return t.standing()
+		return t.active()
 	}
 	if rec.Body.Epoch != t.epoch || !o.FenceAtVM {
-		o.holds.set(rec.Body.Placer, rec.Body.Epoch)
-		t.lose()
+		o.knownHolder.set(rec.Body.Placer, rec.Body.Epoch)
+		t.markLost()
 		return false
 	}
 	lease, err := o.Store.Grant(ctx, o.Lease)
 	if err != nil {
-		return t.standing()
+		return t.active()
 	}
 	if _, err := o.Store.Put(ctx, LeasePrefix+o.Domain, []byte(o.Self), 0, lease); err != nil {
 		_ = o.Store.Revoke(ctx, lease)
 		if errors.Is(err, winch.ErrConflict) {
-			t.lose()
+			t.markLost()
 			return false
 		}
-		return t.standing()
+		return t.active()
 	}
 	t.lease = lease
 	t.extend(sent, o.Lease)
@@ -265,8 +265,8 @@
 }
 
 // release ends the term and revokes the lease for a planned stop.
-func (o *Office) giveUp(t *term) {
-	t.lose()
+func (o *Office) release(t *term) {
+	t.markLost()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	_ = o.Store.Revoke(ctx, t.lease)
--- a/coord/office/events.go
+++ b/coord/office/events.go
@@ -17,31 +17,31 @@
 	defer cancel()
 	jobs, err := o.Ledger.JobsAt(ctx, key)
 	if err != nil {
-		s.reload()
+		s.markStale()
 		return
 	}
 	err = o.Duty.Do(ctx, func() {
 		for _, j := range jobs {
-			s.take(j)
+			s.applyJob(j)
 		}
 	})
 	if err != nil {
-		s.reload() // The process was paused until ctx expired, so the jobs may not have been applied.
+		s.markStale() // The process was paused until ctx expired, so the jobs may not have been applied.
 	}
-	o.Wake()
+	o.PlanSoon()
 }
 
 // Reload makes the planner read the whole ledger again.
 func (o *Office) Reload() {
 	if s := o.current.Load(); s != nil {
-		s.reload()
-		o.Wake()
+		s.markStale()
+		o.PlanSoon()
 	}
 }
 
 // markStale makes the session read the whole ledger again because a change of it could
 // not be read or applied.
-func (s *session) reload() {
+func (s *session) markStale() {
 	_ = s.Duty.Do(context.Background(), func() { s.stale = true })
 }
 
@@ -53,13 +53,13 @@
 }
 
 // AccessKeysChanged cancels the waiting jobs whose access keys have been withdrawn.
-func (o *Office) KeysChanged(ctx context.Context) {
+func (o *Office) AccessKeysChanged(ctx context.Context) {
 	s := o.current.Load()
 	if s == nil {
 		return
 	}
-	_ = o.Duty.Do(ctx, func() { s.withdraw() })
-	o.Wake()
+	_ = o.Duty.Do(ctx, func() { s.cancelWithdrawnKeys() })
+	o.PlanSoon()
 }
 
 // Status returns what the planner knows of a job.
@@ -88,6 +88,6 @@
 }
 
 // IsHolder reports whether this entry currently serves as the domain's planner.
-func (o *Office) Holds() bool {
+func (o *Office) IsHolder() bool {
 	return o.current.Load() != nil
 }
--- a/coord/office/office.go
+++ b/coord/office/office.go
@@ -34,13 +34,13 @@
 	// DefaultTaskLease is the default duration of a task's lease.
 	DefaultTaskLease = 15 * time.Second
 	// planInterval is the longest time between two planning rounds.
-	planEvery = 100 * time.Millisecond
+	planInterval = 100 * time.Millisecond
 	// maxDecisions limits the decisions of one planning round.
-	planSize = 256
+	maxDecisions = 256
 	// maxConcurrentDecisions limits the decisions that are carried out concurrently.
-	starters = 128
+	maxConcurrentDecisions = 128
 	// clockDriftMargin is added to lease durations because clocks run at different rates.
-	driftMargin = time.Second
+	clockDriftMargin = time.Second
 )
 
 // Office competes for a domain's office, does the planner's work while it holds the
@@ -67,15 +67,15 @@
 	// list has been read once.
 	Workers func() (list []winch.VM, ok bool)
 	// OtherEntries returns the domain's other live entries.
-	Rivals func() []string
+	OtherEntries func() []string
 	// OnAcquired is called when this entry has acquired the office. It may be nil.
-	Taken func()
+	OnAcquired func()
 
-	holds    holding
-	current  atomic.Pointer[session]
-	leaving  chan struct{}
-	signal   chan struct{}
-	planning chan struct{}
+	knownHolder      knownHolder
+	current          atomic.Pointer[session]
+	leaving          chan struct{}
+	recheckRequested chan struct{}
+	planRequested    chan struct{}
 }
 
 // Prepare sets the defaults and creates the channels. It must be called before Run.
@@ -87,22 +87,22 @@
 		o.TaskLease = DefaultTaskLease
 	}
 	o.leaving = make(chan struct{})
-	o.signal = make(chan struct{}, 1)
-	o.planning = make(chan struct{}, 1)
+	o.recheckRequested = make(chan struct{}, 1)
+	o.planRequested = make(chan struct{}, 1)
 }
 
 // RecheckOffice makes an entry that competes for the office read its keys in the store at
 // once. It is called when one of the keys may have changed.
-func (o *Office) Changed() {
-	poke(o.signal)
+func (o *Office) RecheckOffice() {
+	notify(o.recheckRequested)
 }
 
 // PlanSoon starts the next planning round without waiting for planInterval.
-func (o *Office) Wake() {
-	poke(o.planning)
+func (o *Office) PlanSoon() {
+	notify(o.planRequested)
 }
 
-func poke(ch chan struct{}) {
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -112,7 +112,7 @@
 // Holder returns the last known holder of the office, or "" if there is none, and the
 // last known epoch.
 func (o *Office) Holder() (string, uint64) {
-	return o.holds.holder()
+	return o.knownHolder.get()
 }
 
 // Run competes for the office and serves a term whenever it acquires it, until ctx ends
@@ -133,23 +133,23 @@
 	defer cancel()
 	o.Log.Info("acquired the office lease; serving as planner", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
 	metrics.GetOrRegisterCounter("Office.Taken", o.Metrics).Inc(1)
-	s := &session{Office: o, term: term, cancel: cancel, vms: make(map[string]*vmState), closed: make(map[string]bool)}
+	s := &session{Office: o, term: term, cancel: cancel, workers: make(map[string]*workerState), finishedJobs: make(map[string]bool)}
 	o.current.Store(s)
 	defer o.current.Store(nil)
-	if o.Taken != nil {
-		o.Taken()
+	if o.OnAcquired != nil {
+		o.OnAcquired()
 	}
 	var group conc.WaitGroup
 	group.Go(func() {
 		defer cancel()
-		o.renew(ctx, term)
+		o.renewLoop(ctx, term)
 	})
 	group.Go(func() {
 		defer cancel()
 		s.run(ctx)
 	})
 	group.Wait()
-	o.holds.resign(o.Self, term.epoch)
+	o.knownHolder.clear(o.Self, term.epoch)
 	o.Log.Info("term as planner ended", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
 }
 
@@ -161,7 +161,7 @@
 	default:
 		close(o.leaving)
 	}
-	for o.Holds() {
+	for o.IsHolder() {
 		select {
 		case <-ctx.Done():
 			return
--- a/coord/office/office_test.go
+++ b/coord/office/office_test.go
@@ -19,36 +19,36 @@
 )
 
 // testPlanner is a session with a simulated store and one accepted job.
-type placer struct {
+type testPlanner struct {
 	*session
 	doc   *winch.Document
 	job   winch.Job
-	store *slowStore
+	store *hookStore
 }
 
 // hookStore runs a function after each read, to simulate an event during the read.
-type slowStore struct {
+type hookStore struct {
 	*stand.Platform
-	after func()
+	afterGet func()
 }
 
 // Get implements winch.Store.
-func (s *slowStore) Get(ctx context.Context, key string) (winch.Value, error) {
+func (s *hookStore) Get(ctx context.Context, key string) (winch.Value, error) {
 	v, err := s.Platform.Get(ctx, key)
-	if s.after != nil {
-		s.after()
+	if s.afterGet != nil {
+		s.afterGet()
 	}
 	return v, err
 }
 
 // withPlanner runs a test with a planner whose duty and ledger run.
-func withPlacer(t *testing.T, f func(t *testing.T, p *placer)) {
+func withPlanner(t *testing.T, f func(t *testing.T, p *testPlanner)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var group conc.WaitGroup
 		defer group.Wait()
 		defer cancel()
-		p := newPlacer(t)
+		p := newTestPlanner(t)
 		group.Go(func() { p.Duty.Run(ctx) })
 		group.Go(func() { p.Ledger.Run(ctx) })
 		job, err := p.Ledger.Accept(ctx, p.job)
@@ -60,10 +60,10 @@
 	})
 }
 
-func newPlacer(t *testing.T) *placer {
+func newTestPlanner(t *testing.T) *testPlanner {
 	t.Helper()
-	p := &placer{doc: &winch.Document{Version: 1, Classes: map[string]winch.Class{"mix": {Name: "mix", By: "06:00", Repeatable: true}}}}
-	store := &slowStore{Platform: &stand.Platform{}}
+	p := &testPlanner{doc: &winch.Document{Version: 1, Classes: map[string]winch.Class{"mix": {Name: "mix", By: "06:00", Repeatable: true}}}}
+	store := &hookStore{Platform: &stand.Platform{}}
 	p.store = store
 	jobs := &ledger.Ledger{Store: store, Prefix: ledger.JobsPrefix, Partitions: 1, Metrics: metrics.NewRegistry()}
 	jobs.Prepare()
@@ -76,7 +76,7 @@
 		Document: func() *winch.Document { return p.doc },
 	}
 	o.Prepare()
-	p.session = &session{Office: o, term: &term{epoch: 1}, vms: make(map[string]*vmState), closed: make(map[string]bool)}
+	p.session = &session{Office: o, term: &term{epoch: 1}, workers: make(map[string]*workerState), finishedJobs: make(map[string]bool)}
 	o.current.Store(p.session)
 	p.job = winch.Job{
 		ID: "Jone", Domain: "d1", Team: "choir", Class: "mix", State: winch.JobQueued, Epoch: 1,
@@ -85,7 +85,7 @@
 	return p
 }
 
-func (p *placer) knows(ctx context.Context) (ok bool) {
+func (p *testPlanner) hasJob(ctx context.Context) (ok bool) {
 	_ = p.Duty.Do(ctx, func() { _, ok = p.Planner.Record(p.job.ID) })
 	return ok
 }
@@ -93,33 +93,33 @@
 // The process is paused while it handles the notification of a new job, until the context
 // of that call expires. The planner must submit the job all the same: the caller has been
 // told that it is accepted and would otherwise wait forever.
-func TestJobIsTakenUpAfterAPause(t *testing.T) {
+func TestJobIsSubmittedAfterAPause(t *testing.T) {
 	const tries = 20 // Duty.Do may or may not accept work if the context has expired.
 	for range tries {
-		withPlacer(t, func(t *testing.T, p *placer) {
+		withPlanner(t, func(t *testing.T, p *testPlanner) {
 			is := is.New(t)
 			p.loaded = true
 			ctx, cancel := context.WithCancel(t.Context())
-			p.store.after = cancel
+			p.store.afterGet = cancel
 			p.JobsChanged(ctx, p.Ledger.Key(0))
-			p.store.after = nil
+			p.store.afterGet = nil
 			p.load(t.Context())
-			is.True(p.knows(t.Context()))
+			is.True(p.hasJob(t.Context()))
 		})
 	}
 }
 
 // A planner acquires the office before it has read the configuration. It must not lose the
 // jobs in the ledger, whose classes it does not know yet, but submit them once it has read it.
-func TestJobsAreTakenUpOnceTheConfigurationIsThere(t *testing.T) {
-	withPlacer(t, func(t *testing.T, p *placer) {
+func TestJobsAreSubmittedOnceTheConfigurationIsRead(t *testing.T) {
+	withPlanner(t, func(t *testing.T, p *testPlanner) {
 		is := is.New(t)
 		doc := p.doc
 		p.doc = nil
 		p.load(t.Context())
-		is.Equal(p.knows(t.Context()), false)
+		is.Equal(p.hasJob(t.Context()), false)
 		p.doc = doc
 		p.load(t.Context())
-		is.True(p.knows(t.Context()))
+		is.True(p.hasJob(t.Context()))
 	})
 }
--- a/coord/office/session.go
+++ b/coord/office/session.go
@@ -18,53 +18,53 @@
 // its state.
 type session struct {
 	*Office
-	term   *term
-	cancel context.CancelFunc
-	vms    map[string]*vmState
-	ends   ends
-	group  *conc.WaitGroup
-	room   chan struct{}
-	began  time.Time
+	term        *term
+	cancel      context.CancelFunc
+	workers     map[string]*workerState
+	completions completions
+	group       *conc.WaitGroup
+	semaphore   chan struct{}
+	startTime   time.Time
 	// loaded is set once the ledger has been read, stale if it must be read again.
 	loaded, stale bool
 	// lastRecording is when the completions of tasks were last written.
-	progressed time.Time
+	lastRecording time.Time
 	// finishedJobs holds the jobs whose end is recorded but whose tasks may still be stopping.
-	closed map[string]bool
+	finishedJobs map[string]bool
 }
 
 // workerState is the planner's state of its exchange with one worker.
-type vmState struct {
+type workerState struct {
 	vm     winch.VM
 	cancel context.CancelFunc
 	// lastContact is the latest time at which a message that extends leases can have arrived.
-	contacted time.Time
+	lastContact time.Time
 	// reconciled is set once the worker has listed its tasks in this term.
-	known    bool
-	failures int // The number of consecutive failed renewals.
+	reconciled bool
+	failures   int // The number of consecutive failed renewals.
 	// needsFullList is set if the response to a start was lost or a task is missing: the next
 	// renewal asks for all tasks.
-	doubt bool
+	needsFullList bool
 	// forget lists the completions that the current renewal lets the worker forget.
 	forget []winch.Attempt
 	// acknowledged lists the running tasks that the worker had acknowledged when the current
 	// renewal was created.
-	expect []winch.Attempt
+	acknowledged []winch.Attempt
 	// expired is set while the worker is removed from the planner because its leases expired.
-	gone bool
+	expired bool
 }
 
 // run does the work until ctx ends, and returns once all goroutines it started are done.
 func (s *session) run(ctx context.Context) {
 	var group conc.WaitGroup
 	s.group = &group
-	s.room = make(chan struct{}, starters)
-	s.began = time.Now()
+	s.semaphore = make(chan struct{}, maxConcurrentDecisions)
+	s.startTime = time.Now()
 	defer group.Wait()
 	if !s.reset(ctx) {
 		return
 	}
-	ticker := time.NewTicker(planEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		s.load(ctx)
@@ -72,7 +72,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.planning:
+		case <-s.planRequested:
 		case <-ticker.C:
 		}
 	}
@@ -106,7 +106,7 @@
 	jobs, err := s.Ledger.Jobs(ctx)
 	if err != nil {
 		metrics.GetOrRegisterCounter("Office.LoadFailed", s.Metrics).Inc(1)
-		s.reload()
+		s.markStale()
 		return
 	}
 	_ = s.Duty.Do(ctx, func() {
@@ -124,7 +124,7 @@
 		return
 	}
 	if j.Epoch > s.term.epoch {
-		s.depose("a job was accepted under a newer epoch")
+		s.endTerm("a job was accepted under a newer epoch")
 		return
 	}
 	doc := s.Document()
@@ -143,7 +143,7 @@
 }
 
 // applyJob submits a new job or cancels a known one.
-func (s *session) take(j winch.Job) {
+func (s *session) applyJob(j winch.Job) {
 	if !s.loaded {
 		s.stale = true // The load in progress may not include the job.
 		return
@@ -159,7 +159,7 @@
 
 // cancelWithdrawnKeys cancels the waiting jobs of access keys that are not in the
 // configuration any more. Running tasks continue.
-func (s *session) withdraw() {
+func (s *session) cancelWithdrawnKeys() {
 	doc := s.Document()
 	if doc == nil {
 		return
@@ -172,26 +172,26 @@
 
 func (s *session) cancelJob(id string) {
 	out, _ := s.Planner.Cancel(id)
-	s.carryOut(out)
+	s.execute(out)
 }
 
 // endTerm ends the term because a planner of a newer epoch exists.
-func (s *session) depose(why string) {
-	if s.term.standing() {
+func (s *session) endTerm(why string) {
+	if s.term.active() {
 		s.Log.Warn("planner of a later term has taken over; ending this term", zap.String("Domain", s.Domain), zap.Uint64("Epoch", s.term.epoch), zap.String("Why", why))
 		metrics.GetOrRegisterCounter("Office.Deposed", s.Metrics).Inc(1)
 	}
-	s.term.lose()
+	s.term.markLost()
 	s.cancel()
 }
 
 // mayStart reports whether the planner may still start work. It is checked after every wait
 // and right before every start, since the process may have been paused at any point.
-func (s *session) mayAct() bool {
+func (s *session) mayStart() bool {
 	if s.FenceAtVM {
-		return s.term.standing()
+		return s.term.active()
 	}
-	return s.term.valid(time.Now())
+	return s.term.leaseValid(time.Now())
 }
 
 // step applies the VM list, records completions, plans, and has the decisions carried out.
@@ -203,23 +203,23 @@
 	if !s.loaded {
 		return
 	}
-	s.follow(ctx)
+	s.updateWorkers(ctx)
 	s.checkBarrier()
-	s.recordFinals(ctx)
-	s.recordProgress()
-	if !s.mayAct() {
+	s.recordFinishedJobs(ctx)
+	s.recordCompletions()
+	if !s.mayStart() {
 		return
 	}
 	begin := time.Now()
-	out := s.Planner.Plan(begin, planSize)
+	out := s.Planner.Plan(begin, maxDecisions)
 	if len(out) > 0 {
 		s.planTime().Update(time.Since(begin).Microseconds())
 		metrics.GetOrRegisterCounter("Office.Decisions", s.Metrics).Inc(int64(len(out)))
 	}
-	s.carryOut(out)
-	s.recordFinals(ctx)
-	if len(out) == planSize {
-		s.Wake()
+	s.execute(out)
+	s.recordFinishedJobs(ctx)
+	if len(out) == maxDecisions {
+		s.PlanSoon()
 	}
 }
 
@@ -233,7 +233,7 @@
 
 // updateWorkers starts a renewal loop for each new worker and removes the workers that are
 // no longer listed, once the leases of their tasks are guaranteed to have expired.
-func (s *session) follow(ctx context.Context) {
+func (s *session) updateWorkers(ctx context.Context) {
 	list, ok := s.Workers()
 	if !ok {
 		return
@@ -242,31 +242,31 @@
 	for _, vm := range list {
 		listed[vm.ID] = true
 		s.Planner.SetVM(vm)
-		if s.vms[vm.ID] == nil {
-			s.attend(ctx, vm)
+		if s.workers[vm.ID] == nil {
+			s.addWorker(ctx, vm)
 		}
 	}
 	now := time.Now()
-	for id, w := range s.vms {
+	for id, w := range s.workers {
 		if listed[id] {
 			continue
 		}
-		if now.Sub(w.contacted) > s.TaskLease+driftMargin {
-			s.drop(id, w, now)
+		if now.Sub(w.lastContact) > s.TaskLease+clockDriftMargin {
+			s.removeWorker(id, w, now)
 		}
 	}
 }
 
-func (s *session) attend(ctx context.Context, vm winch.VM) {
+func (s *session) addWorker(ctx context.Context, vm winch.VM) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &vmState{vm: vm, cancel: cancel, contacted: time.Now()}
-	s.vms[vm.ID] = w
-	s.group.Go(func() { s.attendLoop(ctx, w) })
+	w := &workerState{vm: vm, cancel: cancel, lastContact: time.Now()}
+	s.workers[vm.ID] = w
+	s.group.Go(func() { s.renewLoop(ctx, w) })
 }
 
-func (s *session) drop(id string, w *vmState, now time.Time) {
+func (s *session) removeWorker(id string, w *workerState, now time.Time) {
 	w.cancel()
-	delete(s.vms, id)
+	delete(s.workers, id)
 	s.Planner.RemoveWorker(id, now)
 	metrics.GetOrRegisterCounter("Office.WorkersLost", s.Metrics).Inc(1)
 }
@@ -284,31 +284,31 @@
 		return
 	}
 	unresponsive := false
-	for _, w := range s.vms {
-		unresponsive = unresponsive || !w.known
+	for _, w := range s.workers {
+		unresponsive = unresponsive || !w.reconciled
 	}
-	if unresponsive && (s.FenceAtVM || time.Since(s.began) < s.TaskLease+2*driftMargin) {
+	if unresponsive && (s.FenceAtVM || time.Since(s.startTime) < s.TaskLease+2*clockDriftMargin) {
 		return
 	}
 	if s.Planner.OpenBarrier() {
-		s.Quota.Found()
-		s.Wake()
+		s.Quota.CompleteTakeover()
+		s.PlanSoon()
 	}
 }
 
 // execute carries out the decisions in goroutines of their own, at most
 // maxConcurrentDecisions at a time.
-func (s *session) carryOut(list []place.Decision) {
+func (s *session) execute(list []place.Decision) {
 	for _, d := range list {
 		s.group.Go(func() {
-			s.room <- struct{}{}
-			defer func() { <-s.room }()
-			s.act(d)
+			s.semaphore <- struct{}{}
+			defer func() { <-s.semaphore }()
+			s.executeOne(d)
 		})
 	}
 }
 
-func (s *session) act(d place.Decision) {
+func (s *session) executeOne(d place.Decision) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.TaskLease)
 	defer cancel()
 	switch d.Action {
@@ -316,27 +316,27 @@
 		s.start(ctx, d)
 	case place.Evict, place.Stop:
 		_, err := s.Worker.Stop(ctx, d.VM, s.term.epoch, d.Task)
-		s.heard(err)
+		s.checkFenced(err)
 	}
 }
 
 // start starts a task. For a non-repeatable task it first records the intent, so that a
 // later planner never starts the task again.
 func (s *session) start(ctx context.Context, d place.Decision) {
-	err := s.intent(ctx, d)
-	if err == nil && !s.mayAct() {
+	err := s.recordIntent(ctx, d)
+	if err == nil && !s.mayStart() {
 		err = winch.ErrRefused
 	}
-	if err == nil && !s.stands(ctx, d) {
+	if err == nil && !s.stillPlaced(ctx, d) {
 		return
 	}
 	if err == nil {
 		err = s.Worker.Start(ctx, d.VM, s.term.epoch, d.Task, s.TaskLease)
 	}
-	s.heard(err)
+	s.checkFenced(err)
 	_ = s.Duty.Do(context.Background(), func() {
-		s.touch(d.VM.ID)
-		s.started(d, err)
+		s.noteContact(d.VM.ID)
+		s.handleStartResult(d, err)
 	})
 }
 
@@ -344,16 +344,16 @@
 // contact with the worker. Recording the intent can take as long as the store is down. If
 // the worker was unresponsive as well, its tasks may have been given up by then; a start
 // would run the task twice and could exceed its team's limit.
-func (s *session) stands(ctx context.Context, d place.Decision) (ok bool) {
+func (s *session) stillPlaced(ctx context.Context, d place.Decision) (ok bool) {
 	_ = s.Duty.Do(ctx, func() {
 		ok = s.Planner.StillPlaced(d.Task.Ref())
-		s.touch(d.VM.ID)
+		s.noteContact(d.VM.ID)
 	})
 	return ok
 }
 
 // recordIntent records that a non-repeatable task is about to be started.
-func (s *session) intent(ctx context.Context, d place.Decision) error {
+func (s *session) recordIntent(ctx context.Context, d place.Decision) error {
 	if d.Repeatable {
 		return nil
 	}
@@ -365,39 +365,39 @@
 }
 
 // noteContact notes that a message that extends leases may just have reached a worker.
-func (s *session) touch(id string) {
-	if w := s.vms[id]; w != nil {
-		w.contacted = time.Now()
+func (s *session) noteContact(id string) {
+	if w := s.workers[id]; w != nil {
+		w.lastContact = time.Now()
 	}
 }
 
 // checkFenced ends the term if a worker refused a call because it knows a newer epoch.
-func (s *session) heard(err error) {
+func (s *session) checkFenced(err error) {
 	if errors.Is(err, winch.ErrFenced) {
-		s.depose("a worker knows a newer epoch")
+		s.endTerm("a worker knows a newer epoch")
 	}
 }
 
 // handleStartResult applies the outcome of a start. Any error other than a refusal means
 // that the task may or may not run.
-func (s *session) started(d place.Decision, err error) {
+func (s *session) handleStartResult(d place.Decision, err error) {
 	switch {
 	case err == nil:
 		s.Planner.StartConfirmed(d.Task.Ref())
 		metrics.GetOrRegisterCounter("Office.Starts", s.Metrics).Inc(1)
 	case errors.Is(err, winch.ErrRefused) || errors.Is(err, winch.ErrFenced):
-		s.carryOut(s.Planner.StartRefused(d.Task.Ref(), time.Now()))
-		s.Wake()
+		s.execute(s.Planner.StartRefused(d.Task.Ref(), time.Now()))
+		s.PlanSoon()
 	default:
 		s.Planner.StartUncertain(d.Task.Ref())
-		if w := s.vms[d.VM.ID]; w != nil {
-			w.doubt = true
+		if w := s.workers[d.VM.ID]; w != nil {
+			w.needsFullList = true
 		}
 	}
 }
 
 // recordFinishedJobs starts writing the results of finished jobs to the ledger.
-func (s *session) recordFinals(ctx context.Context) {
+func (s *session) recordFinishedJobs(ctx context.Context) {
 	for _, f := range s.Planner.TakeCompletions() {
 		rec, ok := s.Planner.Record(f.Job)
 		if !ok {
@@ -405,23 +405,23 @@
 		}
 		rec.State, rec.Reason, rec.Detail = f.State, f.Reason, f.Detail
 		rec.Finished = time.Now().UTC()
-		s.group.Go(func() { s.recordFinal(ctx, rec) })
+		s.group.Go(func() { s.recordFinishedJob(ctx, rec) })
 	}
 }
 
 // recordCompletions starts writing the completions of tasks whose jobs are unfinished, at
 // most once per recordInterval, and removes finished jobs from the planner.
-func (s *session) recordProgress() {
-	if time.Since(s.progressed) < progressEvery {
+func (s *session) recordCompletions() {
+	if time.Since(s.lastRecording) < recordInterval {
 		return
 	}
-	s.progressed = time.Now()
-	for id := range s.closed {
+	s.lastRecording = time.Now()
+	for id := range s.finishedJobs {
 		if s.Planner.Forget(id) {
-			delete(s.closed, id)
+			delete(s.finishedJobs, id)
 		}
 	}
-	for id, done := range s.ends.open() {
+	for id, done := range s.completions.takeUnrecorded() {
 		if rec, ok := s.Planner.Record(id); ok && rec.State.Final() {
 			continue // The result of the whole job will be recorded.
 		}
@@ -431,7 +431,7 @@
 
 // recordInterval is the shortest time between two writes of task completions. A task whose
 // completion is not written yet does not run again as long as its worker lives.
-const progressEvery = 500 * time.Millisecond
+const recordInterval = 500 * time.Millisecond
 
 // recordTasks writes the successful ones of a job's ended tasks to the ledger. It then lets
 // the workers forget all of the ended tasks, or has them written again after an error.
@@ -449,32 +449,32 @@
 		err = s.Ledger.Progress(ctx, id, succeeded)
 	}
 	if err == nil || errors.Is(err, ledger.ErrFinal) || errors.Is(err, winch.ErrMissing) {
-		_ = s.Duty.Do(context.Background(), func() { s.ends.recorded(id, done) })
+		_ = s.Duty.Do(context.Background(), func() { s.completions.markRecorded(id, done) })
 	} else {
-		_ = s.Duty.Do(context.Background(), func() { s.ends.reopen(id) })
+		_ = s.Duty.Do(context.Background(), func() { s.completions.retryRecording(id) })
 	}
 }
 
 // recordRetryDelay is the pause before the result of a job is written again.
-const recordRetry = 500 * time.Millisecond
+const recordRetryDelay = 500 * time.Millisecond
 
 // recordFinishedJob retries until the result of the job is in the ledger or the term ends.
-func (s *session) recordFinal(ctx context.Context, rec winch.Job) {
-	for s.term.standing() && ctx.Err() == nil {
+func (s *session) recordFinishedJob(ctx context.Context, rec winch.Job) {
+	for s.term.active() && ctx.Err() == nil {
 		call, cancel := context.WithTimeout(context.Background(), s.TaskLease)
 		err := s.Ledger.Finish(call, rec)
 		cancel()
 		if err == nil || errors.Is(err, ledger.ErrFinal) {
-			_ = s.Duty.Do(context.Background(), func() { s.settled(rec) })
+			_ = s.Duty.Do(context.Background(), func() { s.handleJobRecorded(rec) })
 			return
 		}
-		wait(ctx, recordRetry)
+		sleep(ctx, recordRetryDelay)
 	}
 }
 
 // handleJobRecorded lets the workers forget the tasks of a job whose result is recorded.
-func (s *session) settled(rec winch.Job) {
-	s.closed[rec.ID] = true
-	s.ends.recorded(rec.ID, nil)
+func (s *session) handleJobRecorded(rec winch.Job) {
+	s.finishedJobs[rec.ID] = true
+	s.completions.markRecorded(rec.ID, nil)
 	metrics.GetOrRegisterCounter("Office.Finished", s.Metrics).Inc(1)
 }
--- a/coord/quota/balance.go
+++ b/coord/quota/balance.go
@@ -16,16 +16,16 @@
 // the demand.
 func (h *Holder) Run(ctx context.Context) {
 	for {
-		pause := balanceEvery
-		if h.short.Load() {
-			pause = shortEvery
+		pause := balanceInterval
+		if h.shortage.Load() {
+			pause = shortageInterval
 		}
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-h.wake:
+		case <-h.balanceRequested:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -35,23 +35,23 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(balanceGap):
+		case <-time.After(minBalanceInterval):
 		}
 	}
 }
 
 // transferPlan holds the units to move in one exchange with the pool, by team. A positive
 // number takes units from the pool, a negative one returns units to it.
-type plan map[string]int
+type transferPlan map[string]int
 
 // Balance takes missing units from the pool and returns idle ones to it.
 func (h *Holder) Balance(ctx context.Context) error {
-	var plan plan
+	var plan transferPlan
 	var epoch uint64
 	var force, stale bool
 	err := h.Duty.Do(ctx, func() {
-		plan, epoch, force = h.prepare(), h.epoch, h.doubt
-		stale = h.Document() != nil && h.config < h.Document().Version
+		plan, epoch, force = h.planTransfers(), h.epoch, h.uncertain
+		stale = h.Document() != nil && h.configVersion < h.Document().Version
 	})
 	if err != nil {
 		return err
@@ -64,57 +64,57 @@
 
 // planTransfers returns the units to move. It withholds the units to be returned, so that no
 // start uses them during the write.
-func (h *Holder) prepare() plan {
+func (h *Holder) planTransfers() transferPlan {
 	doc := h.Document()
 	if doc == nil {
 		return nil
 	}
-	plan := make(plan)
+	plan := make(transferPlan)
 	shortage := false
 	for name, team := range doc.Teams {
 		shortage = shortage || len(h.account(name).waiting) > 0
-		if n := h.wish(name, team.Limit); n != 0 {
+		if n := h.transferFor(name, team.Limit); n != 0 {
 			plan[name] = n
 		}
 	}
-	h.short.Store(shortage)
-	for name, a := range h.teams {
+	h.shortage.Store(shortage)
+	for name, a := range h.accounts {
 		if _, ok := doc.Teams[name]; !ok && a.free() > 0 {
 			plan[name] = -a.free()
 		}
 	}
 	for name, n := range plan {
 		if n < 0 {
-			h.teams[name].spare += -n
+			h.accounts[name].returning += -n
 		}
 	}
 	return plan
 }
 
 // transferFor returns how many units of a team to take (positive) or return (negative).
-func (h *Holder) wish(name string, limit int) int {
+func (h *Holder) transferFor(name string, limit int) int {
 	a := h.account(name)
-	defer a.restart()
-	headroom := limit / h.Part
-	need := max(len(a.waiting), a.wanted())
+	defer a.restartMinimum()
+	headroom := limit / h.HeadroomDivisor
+	need := max(len(a.waiting), a.currentDemand())
 	missing := need - a.free()
 	if a.owed > 0 && a.free() > 0 {
 		return -min(a.owed, a.free())
 	}
-	if missing > 0 && h.yield(name, a) {
+	if missing > 0 && h.shouldYield(name, a) {
 		return -a.free()
 	}
 	if missing > 0 {
 		return missing + headroom
 	}
-	if h.others[name] > 0 && a.free() > need {
-		return -min(h.others[name], a.free()-need)
+	if h.otherDemand[name] > 0 && a.free() > need {
+		return -min(h.otherDemand[name], a.free()-need)
 	}
-	idle := min(a.low, a.free()) - headroom
-	if idle > 0 && time.Since(a.lowAt) >= idleAfter {
+	idle := min(a.minFree, a.free()) - headroom
+	if idle > 0 && time.Since(a.minFreeSince) >= idlePeriod {
 		return -idle
 	}
-	if a.free() < headroom && a.row < limit && h.others[name] == 0 {
+	if a.free() < headroom && a.rowUnits < limit && h.otherDemand[name] == 0 {
 		return headroom - a.free()
 	}
 	return 0
@@ -123,33 +123,33 @@
 // shouldYield decides at random whether to return free units that are too few for the work
 // that waits here, if other holders want units too. Otherwise two holders that each have
 // half of the units that a gang needs would wait for each other forever.
-func (h *Holder) yield(name string, a *account) bool {
-	return h.others[name] > 0 && a.free() > 0 && len(a.waiting) == 0 && rand.IntN(2) == 0
+func (h *Holder) shouldYield(name string, a *account) bool {
+	return h.otherDemand[name] > 0 && a.free() > 0 && len(a.waiting) == 0 && rand.IntN(2) == 0
 }
 
 // currentDemand returns the most units that a recent TryTake failed to take. It returns 0 if
 // a later call succeeded or no call failed within demandLifetime.
-func (a *account) wanted() int {
-	if time.Since(a.wantAt) > wantFor {
+func (a *account) currentDemand() int {
+	if time.Since(a.demandAt) > demandLifetime {
 		return 0
 	}
-	return a.want
+	return a.demand
 }
 
 // restartMinimum starts a new measurement of the fewest free units after idlePeriod.
-func (a *account) restart() {
-	if time.Since(a.lowAt) >= idleAfter {
-		a.low, a.lowAt = a.free(), time.Now()
+func (a *account) restartMinimum() {
+	if time.Since(a.minFreeSince) >= idlePeriod {
+		a.minFree, a.minFreeSince = a.free(), time.Now()
 	}
 }
 
 // exchange writes the planned transfers to the store and applies the resulting rows.
-func (h *Holder) exchange(ctx context.Context, plan plan, epoch uint64, force bool) error {
+func (h *Holder) exchange(ctx context.Context, plan transferPlan, epoch uint64, force bool) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	doc := h.Document()
 	v, err := swap.Update(ctx, h.Store, Key, func(u *Units) error {
-		resized := u.settle(doc)
+		resized := u.applyConfig(doc)
 		if h.Office && u.Offices[h.Name] != epoch {
 			return ErrFenced
 		}
@@ -165,7 +165,7 @@
 		}
 		return nil
 	})
-	return h.settle(plan, epoch, v.Body, err)
+	return h.handleOutcome(plan, epoch, v.Body, err)
 }
 
 func abs(n int) int {
@@ -176,13 +176,13 @@
 // to the pool, they stay withheld, since using them could exceed the team's limit. The next
 // exchange then always writes. After that write, the uncertain one can no longer take
 // effect, because it is based on an older version of the value.
-func (h *Holder) settle(plan plan, epoch uint64, u Units, err error) error {
+func (h *Holder) handleOutcome(plan transferPlan, epoch uint64, u Units, err error) error {
 	_ = h.Duty.Do(context.Background(), func() {
 		// If the office has been acquired again in the meantime, its row has been read again.
 		// Making units usable again that were withheld before would create units that do
 		// not exist.
 		if h.epoch == epoch {
-			h.settleHere(plan, u, err)
+			h.applyOutcome(plan, u, err)
 		}
 	})
 	if errors.Is(err, swap.ErrUnchanged) {
@@ -192,50 +192,50 @@
 }
 
 // applyOutcome applies the outcome of a write to the accounts.
-func (h *Holder) settleHere(plan plan, u Units, err error) {
+func (h *Holder) applyOutcome(plan transferPlan, u Units, err error) {
 	switch {
 	case err == nil || errors.Is(err, swap.ErrUnchanged):
-		h.adopt(u)
+		h.applyUnits(u)
 	case errors.Is(err, winch.ErrUncertain):
-		h.doubt = true
+		h.uncertain = true
 	default:
-		h.undo(plan)
+		h.undoReturns(plan)
 	}
 }
 
 // undoReturns makes units usable again whose return to the pool failed.
-func (h *Holder) undo(plan plan) {
+func (h *Holder) undoReturns(plan transferPlan) {
 	for name, n := range plan {
 		if n < 0 {
-			h.account(name).spare += n
+			h.account(name).returning += n
 		}
 	}
 }
 
 // applyUnits updates the accounts from the value in the store and serves waiting callers.
-func (h *Holder) adopt(u Units) {
-	h.doubt = false
-	h.config = max(h.config, u.Config)
+func (h *Holder) applyUnits(u Units) {
+	h.uncertain = false
+	h.configVersion = max(h.configVersion, u.Config)
 	for name, t := range u.Teams {
 		a := h.account(name)
 		before := a.free()
-		a.row = t.Rows[h.Name].Units
-		a.spare = 0
+		a.rowUnits = t.Rows[h.Name].Units
+		a.returning = 0
 		a.owed = max(0, -t.Pool)
 		a.limit = t.Limit
-		h.serve(name, a)
-		if a.free() > before && h.Refill != nil {
-			h.Refill(name)
+		h.serveWaiting(name, a)
+		if a.free() > before && h.OnRefill != nil {
+			h.OnRefill(name)
 		}
 	}
 }
 
 // TakeOver takes over an office's row under a new epoch. After it returns, no earlier
 // holder of the office can change the row. It must be called before work starts.
-func (h *Holder) Assume(ctx context.Context, epoch uint64) error {
+func (h *Holder) TakeOver(ctx context.Context, epoch uint64) error {
 	doc := h.Document()
 	v, err := swap.Update(ctx, h.Store, Key, func(u *Units) error {
-		u.settle(doc)
+		u.applyConfig(doc)
 		if u.Offices[h.Name] > epoch {
 			return ErrFenced
 		}
@@ -247,10 +247,10 @@
 	}
 	return h.Duty.Do(ctx, func() {
 		h.epoch = epoch
-		h.teams = make(map[string]*account)
-		h.adopt(v.Body)
-		for _, a := range h.teams {
-			a.base = a.row
+		h.accounts = make(map[string]*account)
+		h.applyUnits(v.Body)
+		for _, a := range h.accounts {
+			a.inherited = a.rowUnits
 		}
 	})
 }
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -15,18 +15,18 @@
 
 const (
 	// balanceInterval is the longest time between two exchanges with the pool.
-	balanceEvery = time.Second
+	balanceInterval = time.Second
 	// shortageInterval replaces balanceInterval while callers wait for units here. Other
 	// holders return units through the store without notifying this one, so a returned unit
 	// would stay unused for the rest of balanceInterval.
-	shortEvery = 200 * time.Millisecond
+	shortageInterval = 200 * time.Millisecond
 	// minBalanceInterval is the shortest pause between two exchanges. It limits the store
 	// calls of one holder.
-	balanceGap = 50 * time.Millisecond
+	minBalanceInterval = 50 * time.Millisecond
 	// idlePeriod is how long units must have been unused before they are returned.
-	idleAfter = 10 * time.Second
+	idlePeriod = 10 * time.Second
 	// demandLifetime is how long a failed TryTake counts as demand if it is not repeated.
-	wantFor = 3 * time.Second
+	demandLifetime = 3 * time.Second
 	// storeTimeout limits one change of the rows in the store.
 	storeTimeout = 3 * time.Second
 )
@@ -36,30 +36,30 @@
 
 // account is a holder's state for one team.
 type account struct {
-	row   int // The units in the holder's row in the store.
-	used  int // The units in use.
-	spare int // The units being returned to the pool.
+	rowUnits  int // The units in the holder's row in the store.
+	inUse     int // The units in use.
+	returning int // The units being returned to the pool.
 	// inherited is the number of units that an earlier holder of the office may be using.
 	// adopted counts the units of its work that has been found. Both are zero once all of
 	// its work has been found.
-	base, adopted int
+	inherited, adopted int
 	// waiting holds the waiting calls of Take in the order of their arrival.
-	waiting []*taker
-	low     int // The fewest free units since minFreeSince.
-	lowAt   time.Time
+	waiting      []*waiter
+	minFree      int // The fewest free units since minFreeSince.
+	minFreeSince time.Time
 	// demand is the most units that a recent TryTake failed to take, last at demandAt. Waiting
 	// calls of Take are not included.
-	want   int
-	wantAt time.Time
-	owed   int // The units that all holders together must return after the limit was lowered.
-	limit  int // The team's limit when the row was last read.
+	demand   int
+	demandAt time.Time
+	owed     int // The units that all holders together must return after the limit was lowered.
+	limit    int // The team's limit when the row was last read.
 }
 
 // free returns the units that are neither in use, nor being returned, nor possibly in use by
 // work of an earlier holder of the office. It is negative if more is in use than the row has.
 func (a *account) free() int {
-	own := a.used - a.adopted
-	return a.row - own - max(a.base, a.adopted) - a.spare
+	own := a.inUse - a.adopted
+	return a.rowUnits - own - max(a.inherited, a.adopted) - a.returning
 }
 
 // usable returns how many units may be taken now. While the holders owe units, released
@@ -76,7 +76,7 @@
 }
 
 // waiter is a call of Take that waits for n units.
-type taker struct {
+type waiter struct {
 	n     int
 	reply chan winch.Result
 }
@@ -97,22 +97,22 @@
 	// reclaim the units.
 	Valid func() bool
 	// HeadroomDivisor sets how many units are taken in advance: the team's limit divided by it.
-	Part int
+	HeadroomDivisor int
 	// OnRefill is called in Duty when a team has more free units than before. It may be nil.
-	Refill  func(team string)
-	Metrics metrics.Registry
+	OnRefill func(team string)
+	Metrics  metrics.Registry
 
-	teams map[string]*account
-	epoch uint64
-	wake  chan struct{}
+	accounts         map[string]*account
+	epoch            uint64
+	balanceRequested chan struct{}
 	// otherDemand is the number of units that other holders want, by team.
-	others  map[string]int
-	covered atomic.Int64 // The longest run time that is recorded in the store.
+	otherDemand    map[string]int
+	longestRunTime atomic.Int64 // The longest run time that is recorded in the store.
 	// configVersion is the version of the configuration when the rows were last read.
-	config uint64
-	short  atomic.Bool // Set if callers waited for units at the last exchange.
+	configVersion uint64
+	shortage      atomic.Bool // Set if callers waited for units at the last exchange.
 	// uncertain is set while a write with an unknown outcome may still take effect.
-	doubt bool
+	uncertain bool
 }
 
 // Prepare sets the defaults and creates the maps and channels. It must be called before Run.
@@ -123,52 +123,52 @@
 	if h.Duty == nil {
 		h.Duty = duty.New("Quota", 0, h.Metrics)
 	}
-	if h.Part == 0 {
-		h.Part = 12
+	if h.HeadroomDivisor == 0 {
+		h.HeadroomDivisor = 12
 	}
 	if h.Valid == nil {
 		h.Valid = func() bool { return true }
 	}
-	h.teams = make(map[string]*account)
-	h.others = make(map[string]int)
-	h.wake = make(chan struct{}, 1)
+	h.accounts = make(map[string]*account)
+	h.otherDemand = make(map[string]int)
+	h.balanceRequested = make(chan struct{}, 1)
 }
 
 // account returns the account of a team and creates it if needed.
 func (h *Holder) account(team string) *account {
-	a := h.teams[team]
+	a := h.accounts[team]
 	if a == nil {
-		a = &account{lowAt: time.Now()}
-		h.teams[team] = a
+		a = &account{minFreeSince: time.Now()}
+		h.accounts[team] = a
 	}
 	return a
 }
 
 // RecordRunTime records the longest run time of work before such work starts. If the holder
 // crashes, its units are reclaimed only after the longest recorded run time.
-func (h *Holder) Cover(ctx context.Context, run time.Duration) winch.Result {
-	if time.Duration(h.covered.Load()) >= run {
+func (h *Holder) RecordRunTime(ctx context.Context, run time.Duration) winch.Result {
+	if time.Duration(h.longestRunTime.Load()) >= run {
 		return winch.Result{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	_, err := swap.Update(ctx, h.Store, Key, func(u *Units) error {
-		u.settle(h.Document())
+		u.applyConfig(h.Document())
 		u.Longest[h.Name] = max(u.Longest[h.Name], run)
 		return nil
 	})
 	if err != nil {
 		return winch.RefuseFor(winch.StoreUnavailable, "the first use of this class at this entry could not be recorded", time.Second)
 	}
-	_ = h.Duty.Do(ctx, func() { h.covered.Store(max(h.covered.Load(), int64(run))) })
+	_ = h.Duty.Do(ctx, func() { h.longestRunTime.Store(max(h.longestRunTime.Load(), int64(run))) })
 	return winch.Result{}
 }
 
 // Take takes a unit of the team. If none is free, it waits for one and refuses after the
 // given time or when ctx ends.
 func (h *Holder) Take(ctx context.Context, team string, wait time.Duration) winch.Result {
-	w := &taker{n: 1, reply: make(chan winch.Result, 1)}
-	if err := h.Duty.Do(ctx, func() { h.enter(team, w) }); err != nil {
+	w := &waiter{n: 1, reply: make(chan winch.Result, 1)}
+	if err := h.Duty.Do(ctx, func() { h.admit(team, w) }); err != nil {
 		return winch.RefuseFor(winch.QueueFull, "the entry is overloaded", time.Second)
 	}
 	timer := time.NewTimer(wait)
@@ -177,15 +177,15 @@
 	case r := <-w.reply:
 		return r
 	case <-timer.C:
-		h.abandon(team, w, winch.RefuseFor(winch.OverLimit, "team "+team+" is at its upper limit", time.Second))
+		h.refuseWaiter(team, w, winch.RefuseFor(winch.OverLimit, "team "+team+" is at its upper limit", time.Second))
 	case <-ctx.Done():
-		h.abandon(team, w, winch.Refuse(winch.CallerGone, "the caller went away"))
+		h.refuseWaiter(team, w, winch.Refuse(winch.CallerGone, "the caller went away"))
 	}
 	return <-w.reply
 }
 
 // admit gives a unit to the call, lets it wait, or refuses it.
-func (h *Holder) enter(team string, w *taker) {
+func (h *Holder) admit(team string, w *waiter) {
 	doc := h.Document()
 	if doc == nil || doc.Teams[team].Limit <= 0 {
 		w.reply <- winch.RefuseFor(winch.OverLimit, "team "+team+" has no limit to run under", time.Minute)
@@ -197,24 +197,24 @@
 	}
 	a := h.account(team)
 	if len(a.waiting) == 0 && h.usable(team, a) > 0 {
-		h.use(a)
+		h.takeUnit(a)
 		w.reply <- winch.Result{}
 		return
 	}
 	a.waiting = append(a.waiting, w)
-	h.nudge()
+	h.balanceSoon()
 }
 
 // takeUnit counts one more unit as in use.
-func (h *Holder) use(a *account) {
-	a.used++
-	if f := a.free(); f < a.low {
-		a.low = f
+func (h *Holder) takeUnit(a *account) {
+	a.inUse++
+	if f := a.free(); f < a.minFree {
+		a.minFree = f
 	}
 }
 
 // refuseWaiter refuses a waiting call unless it has received its unit in the meantime.
-func (h *Holder) abandon(team string, w *taker, refusal winch.Result) {
+func (h *Holder) refuseWaiter(team string, w *waiter, refusal winch.Result) {
 	err := h.Duty.Do(context.Background(), func() {
 		a := h.account(team)
 		for i, other := range a.waiting {
@@ -238,11 +238,11 @@
 func (h *Holder) Release(team string) {
 	_ = h.Duty.Do(context.Background(), func() {
 		a := h.account(team)
-		a.used--
-		if a.used < 0 {
+		a.inUse--
+		if a.inUse < 0 {
 			panic("quota: team " + team + " returned more units than it took")
 		}
-		h.serve(team, a)
+		h.serveWaiting(team, a)
 	})
 }
 
@@ -251,13 +251,13 @@
 func (h *Holder) TryTake(team string, n int) bool {
 	a := h.account(team)
 	if h.usable(team, a) < n || !h.Valid() {
-		a.want, a.wantAt = max(a.wanted(), n), time.Now()
-		h.nudge()
+		a.demand, a.demandAt = max(a.currentDemand(), n), time.Now()
+		h.balanceSoon()
 		return false
 	}
-	a.want = 0
+	a.demand = 0
 	for range n {
-		h.use(a)
+		h.takeUnit(a)
 	}
 	return true
 }
@@ -267,7 +267,7 @@
 // ended. It must be called in Duty.
 func (h *Holder) Charge(team string, n int) {
 	a := h.account(team)
-	a.used += n
+	a.inUse += n
 	a.adopted += n
 }
 
@@ -275,58 +275,58 @@
 // and charged. Until then, every unit that the row had at the takeover counts as in use: the
 // earlier holder may have started work on workers that have not responded yet. It must be
 // called in Duty.
-func (h *Holder) Found() {
-	for team, a := range h.teams {
-		a.base, a.adopted = 0, 0
-		h.serve(team, a)
+func (h *Holder) CompleteTakeover() {
+	for team, a := range h.accounts {
+		a.inherited, a.adopted = 0, 0
+		h.serveWaiting(team, a)
 	}
 }
 
 // Return releases n units. It must be called in Duty.
 func (h *Holder) Return(team string, n int) {
 	a := h.account(team)
-	a.used -= n
-	if a.used < 0 {
+	a.inUse -= n
+	if a.inUse < 0 {
 		panic("quota: team " + team + " returned more units than it took")
 	}
-	h.serve(team, a)
+	h.serveWaiting(team, a)
 }
 
 // serveWaiting gives free units to waiting calls. Units that are left over and owed or
 // wanted by other holders are returned with the next exchange, which it starts early.
-func (h *Holder) serve(team string, a *account) {
+func (h *Holder) serveWaiting(team string, a *account) {
 	if a.owed > 0 && a.free() > 0 {
-		h.nudge()
+		h.balanceSoon()
 	}
 	for len(a.waiting) > 0 && h.usable(team, a) > 0 {
 		w := a.waiting[0]
 		a.waiting = a.waiting[1:]
-		h.use(a)
+		h.takeUnit(a)
 		w.reply <- winch.Result{}
 	}
-	if h.others[team] > 0 && a.free() > 0 {
-		h.nudge() // Other holders want the free units.
+	if h.otherDemand[team] > 0 && a.free() > 0 {
+		h.balanceSoon() // Other holders want the free units.
 	}
 }
 
 // BalanceSoon starts the next exchange early, for example after a change of the limits.
-func (h *Holder) Nudge() { h.nudge() }
+func (h *Holder) BalanceSoon() { h.balanceSoon() }
 
-func (h *Holder) nudge() {
+func (h *Holder) balanceSoon() {
 	select {
-	case h.wake <- struct{}{}:
+	case h.balanceRequested <- struct{}{}:
 	default:
 	}
 }
 
 // Usage returns, by team, the number of units in use and the number that are missing.
-func (h *Holder) Use(ctx context.Context) (map[string][2]int, error) {
+func (h *Holder) Usage(ctx context.Context) (map[string][2]int, error) {
 	out := make(map[string][2]int)
 	err := h.Duty.Do(ctx, func() {
-		for team, a := range h.teams {
-			missing := max(len(a.waiting), a.wanted()) - max(0, a.free())
-			if a.used > 0 || missing > 0 {
-				out[team] = [2]int{a.used, max(0, missing)}
+		for team, a := range h.accounts {
+			missing := max(len(a.waiting), a.currentDemand()) - max(0, a.free())
+			if a.inUse > 0 || missing > 0 {
+				out[team] = [2]int{a.inUse, max(0, missing)}
 			}
 		}
 	})
@@ -335,12 +335,12 @@
 
 // SetOtherDemand sets how many units other holders want, by team. Free units of this holder
 // are returned for them.
-func (h *Holder) Wants(ctx context.Context, demand map[string]int) {
+func (h *Holder) SetOtherDemand(ctx context.Context, demand map[string]int) {
 	_ = h.Duty.Do(ctx, func() {
-		h.others = demand
+		h.otherDemand = demand
 		for team, n := range demand {
-			if a := h.teams[team]; a != nil && n > 0 && a.free() > 0 {
-				h.nudge()
+			if a := h.accounts[team]; a != nil && n > 0 && a.free() > 0 {
+				h.balanceSoon()
 			}
 		}
 	})
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -40,7 +40,7 @@
 		f.group.Go(func() { h.Duty.Run(ctx) })
 		f.group.Go(func() { h.Run(ctx) })
 	}
-	f.group.Go(func() { f.share(ctx) })
+	f.group.Go(func() { f.shareDemand(ctx) })
 	return f
 }
 
@@ -61,18 +61,18 @@
 }
 
 // shareDemand sets each holder's view of the demand of the others once per second.
-func (f *fleet) share(ctx context.Context) {
+func (f *fleet) shareDemand(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
 		for i, h := range f.holders {
 			demand := make(map[string]int)
 			for j, other := range f.holders {
-				usage, _ := other.Use(ctx)
+				usage, _ := other.Usage(ctx)
 				if j != i {
 					demand["choir"] += usage["choir"][1]
 				}
 			}
-			h.Wants(ctx, demand)
+			h.SetOtherDemand(ctx, demand)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 // All units are in use at one holder and a caller waits at another. A released unit must
 // reach that caller soon. If it stayed idle until both holders access the store at their
 // regular intervals, calls would miss their deadlines while slots are free.
-func TestFreedUnitReachesWhoWaits(t *testing.T) {
+func TestReleasedUnitReachesWaitingCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(2, 4)
@@ -137,14 +137,14 @@
 			released := time.Now()
 			f.holders[0].Release("choir")
 			group.Wait()
-			is.True(got.Sub(released) <= 2*shortEvery)
+			is.True(got.Sub(released) <= 2*shortageInterval)
 		}
 	})
 }
 
 // A limit is lowered below the number of units in use. Nothing may start until the excess
 // has ended, and then only as much as the new limit allows.
-func TestLowering(t *testing.T) {
+func TestLoweredLimitStopsStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(2, 20)
@@ -177,7 +177,7 @@
 
 // A holder returns units and the response of the store is lost. The holder must not use
 // them until it knows the outcome, since another holder may have taken them already.
-func TestGiveBackReplyLost(t *testing.T) {
+func TestUnitsOfAnUncertainReturnAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(1, 12)
@@ -187,26 +187,26 @@
 		time.Sleep(3 * time.Second)
 		is.NoErr(h.Duty.Do(ctx, func() {
 			is.True(h.account("choir").free() > 0)
-			h.others["choir"] = 100
-			plan := h.prepare()
+			h.otherDemand["choir"] = 100
+			plan := h.planTransfers()
 			is.True(plan["choir"] < 0)
 			before := h.account("choir").free()
-			h.settleHere(plan, Units{}, winch.ErrUncertain)
+			h.applyOutcome(plan, Units{}, winch.ErrUncertain)
 			is.Equal(h.account("choir").free(), before) // Still withheld.
-			is.True(h.doubt)
-			h.others["choir"] = 0
+			is.True(h.uncertain)
+			h.otherDemand["choir"] = 0
 		}))
 		is.NoErr(h.Balance(ctx))
 		is.NoErr(h.Duty.Do(ctx, func() {
-			is.Equal(h.doubt, false)
-			is.Equal(h.account("choir").spare, 0)
+			is.Equal(h.uncertain, false)
+			is.Equal(h.account("choir").returning, 0)
 		}))
 	})
 }
 
 // An earlier planner resumes after a process pause, when its successor has taken over the
 // office's row. It must not be able to return units of that row.
-func TestOfficeRowFenced(t *testing.T) {
+func TestEarlierPlannerCannotChangeItsRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
@@ -221,16 +221,16 @@
 			group.Go(func() { h.Duty.Run(ctx) })
 			offices = append(offices, h)
 		}
-		is.NoErr(offices[0].Assume(ctx, 1))
+		is.NoErr(offices[0].TakeOver(ctx, 1))
 		is.NoErr(offices[0].Balance(ctx))
-		is.NoErr(offices[1].Assume(ctx, 2))
-		is.NoErr(offices[0].Duty.Do(ctx, func() { offices[0].others["choir"] = 9 }))
+		is.NoErr(offices[1].TakeOver(ctx, 2))
+		is.NoErr(offices[0].Duty.Do(ctx, func() { offices[0].otherDemand["choir"] = 9 }))
 		is.True(errors.Is(offices[0].Balance(ctx), ErrFenced))
-		is.True(errors.Is(offices[0].Assume(ctx, 1), ErrFenced))
+		is.True(errors.Is(offices[0].TakeOver(ctx, 1), ErrFenced))
 		is.NoErr(offices[1].Duty.Do(ctx, func() {
 			is.Equal(offices[1].TryTake("choir", 2), false) // Work of the first may use these units.
 			offices[1].Charge("choir", 1)
-			offices[1].Found()
+			offices[1].CompleteTakeover()
 			is.True(offices[1].TryTake("choir", 1))
 			is.Equal(offices[1].TryTake("choir", 1), false)
 		}))
@@ -257,7 +257,7 @@
 // An entry loses its office and acquires it again while its write that returns idle units
 // is in progress. The write fails because it belongs to the earlier term. If the holder then
 // made the units usable again, they would exist twice, and the team could exceed its limit.
-func TestOfficeTakenAgainDuringBalance(t *testing.T) {
+func TestOfficeReacquiredDuringBalance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &hookStore{Platform: &stand.Platform{}}
@@ -268,13 +268,13 @@
 		h := &Holder{Name: "Office/d1", Office: true, Store: store, Document: f.document}
 		h.Prepare()
 		group.Go(func() { h.Duty.Run(ctx) })
-		is.NoErr(h.Assume(ctx, 1))
+		is.NoErr(h.TakeOver(ctx, 1))
 		is.NoErr(h.Balance(ctx))
 		is.NoErr(h.Duty.Do(ctx, func() {
 			is.True(h.account("choir").free() > 0)
-			h.others["choir"] = 9
+			h.otherDemand["choir"] = 9
 		}))
-		store.hook = func() { is.NoErr(h.Assume(ctx, 2)) }
+		store.hook = func() { is.NoErr(h.TakeOver(ctx, 2)) }
 		is.True(errors.Is(h.Balance(ctx), ErrFenced))
 		is.NoErr(h.Duty.Do(ctx, func() {
 			is.Equal(h.account("choir").free(), 0) // Work of the first term may still run.
@@ -288,11 +288,11 @@
 // responses. Together they must never use more than the limit.
 func TestNeverOverLimit(t *testing.T) {
 	for seed := range uint64(40) {
-		synctest.Test(t, func(t *testing.T) { randomFleet(t, seed) })
+		synctest.Test(t, func(t *testing.T) { runRandomFleet(t, seed) })
 	}
 }
 
-func randomFleet(t *testing.T, seed uint64) {
+func runRandomFleet(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	limit := 2 + rnd.IntN(30)
 	f := newFleet(4, limit)
@@ -338,7 +338,7 @@
 
 // A limit was lowered under load, and a unit is released while a caller waits for it. The
 // unit must return to the pool first; otherwise the lowered limit never comes into force.
-func TestOwedUnitsGoBackFirst(t *testing.T) {
+func TestOwedUnitsAreReturnedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(1, 10)
@@ -355,7 +355,7 @@
 		synctest.Wait()
 		h.Release("choir")
 		is.NoErr(h.Duty.Do(ctx, func() {
-			is.Equal(h.account("choir").used, 9)
+			is.Equal(h.account("choir").inUse, 9)
 			is.Equal(h.TryTake("choir", 1), false)
 		}))
 		group.Wait()
--- a/coord/quota/units.go
+++ b/coord/quota/units.go
@@ -47,7 +47,7 @@
 // applyConfig applies the limits of a newer configuration and reports whether it was newer.
 // A raised limit adds units to the pool. A lowered limit removes units from the pool, which
 // may become negative; the holders then return units as their work ends.
-func (u *Units) settle(doc *winch.Document) bool {
+func (u *Units) applyConfig(doc *winch.Document) bool {
 	if u.Teams == nil {
 		u.Teams = make(map[string]*TeamUnits)
 	}
--- a/entry/alive.go
+++ b/entry/alive.go
@@ -134,10 +134,10 @@
 			wants[use.Team] += use.Want
 		}
 	}
-	own, _ := e.units.Use(ctx)
-	jobs, _ := e.office.Quota.Use(ctx)
-	e.units.Wants(ctx, addWants(wants, jobs))
-	e.office.Quota.Wants(ctx, addWants(wants, own))
+	own, _ := e.units.Usage(ctx)
+	jobs, _ := e.office.Quota.Usage(ctx)
+	e.units.SetOtherDemand(ctx, addWants(wants, jobs))
+	e.office.Quota.SetOtherDemand(ctx, addWants(wants, own))
 }
 
 func addWants(wants map[string]int, use map[string][2]int) map[string]int {
--- a/entry/call.go
+++ b/entry/call.go
@@ -124,7 +124,7 @@
 	if r := f.keepBody(); !r.OK() {
 		return refused(r)
 	}
-	if r := e.units.Cover(ctx, f.maxRun); !r.OK() {
+	if r := e.units.RecordRunTime(ctx, f.maxRun); !r.OK() {
 		return refused(r)
 	}
 	if r := e.units.Take(ctx, who.team.Name, time.Until(f.startBy())); !r.OK() {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -151,9 +151,9 @@
 		Planner: e.planner, Quota: officeUnits, Duty: own, Log: e.Log, Metrics: e.Metrics,
 		Lease: e.Settings.Timing.Office, TaskLease: e.Settings.Timing.Tasks,
 		FenceAtVM: e.Settings.Cell.FenceAtVM, Document: e.held.Get,
-		Workers: e.workers, Rivals: e.rivals, Taken: func() { poke(e.rewatch) },
+		Workers: e.workers, OtherEntries: e.rivals, OnAcquired: func() { poke(e.rewatch) },
 	}
-	officeUnits.Refill = func(string) { e.office.Wake() }
+	officeUnits.OnRefill = func(string) { e.office.PlanSoon() }
 	e.office.Prepare()
 }
 
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -416,7 +416,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.entries {
-		if n.office.Holds() && n.Domain() == domain {
+		if n.office.IsHolder() && n.Domain() == domain {
 			return n
 		}
 	}
--- a/entry/job_test.go
+++ b/entry/job_test.go
@@ -151,8 +151,8 @@
 		old.resume()
 		is.Equal(w.await(other, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
 		is.Equal(w.await(other, "choir", second.ID, 2*time.Minute).State, winch.JobDone)
-		is.Equal(old.office.Holds(), false)
-		is.Equal(other.office.Holds(), true)
+		is.Equal(old.office.IsHolder(), false)
+		is.Equal(other.office.IsHolder(), true)
 	})
 }
 
@@ -413,14 +413,14 @@
 		w.cut(true, []string{"a"}, []string{"b"})
 		old.cutStore(true)
 		time.Sleep(time.Minute)
-		is.True(other.office.Holds())
+		is.True(other.office.IsHolder())
 		is.Equal(w.workers[busy].Counts().Running, 8) // the old placer keeps them alive
 		w.cut(false, []string{other.Name()}, []string{busy})
 		w.cut(false, []string{old.Name()}, []string{free})
 		w.cut(false, []string{"a"}, []string{"b"})
 		old.cutStore(false)
 		is.Equal(w.await(other, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
-		is.Equal(old.office.Holds(), false)
+		is.Equal(old.office.IsHolder(), false)
 	})
 }
 
--- a/entry/links.go
+++ b/entry/links.go
@@ -21,12 +21,12 @@
 func (e *Entry) beat(ctx context.Context) proto.Beat {
 	b := proto.Beat{Config: e.held.Version(), Loads: e.table.Loads(), Store: e.alive.within(memberLease)}
 	b.Placer, b.Epoch = e.office.Holder()
-	use, _ := e.units.Use(ctx)
+	use, _ := e.units.Usage(ctx)
 	for team, n := range use {
 		b.Teams = append(b.Teams, proto.TeamUse{Team: team, Running: n[0], Want: n[1]})
 	}
 	if b.Placer == e.Name() {
-		jobs, _ := e.office.Quota.Use(ctx)
+		jobs, _ := e.office.Quota.Usage(ctx)
 		for team, n := range jobs {
 			b.Teams = append(b.Teams, proto.TeamUse{Team: team, Running: n[0], Want: n[1]})
 		}
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -46,7 +46,7 @@
 
 // leaveUnits gives the units back unless work started with them may still run.
 func (e *Entry) leaveUnits(ctx context.Context) {
-	use, err := e.units.Use(ctx)
+	use, err := e.units.Usage(ctx)
 	if err != nil {
 		return
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -32,8 +32,8 @@
 			fresh = !e.readConfig(ctx)
 		}
 		prefixes := []string{config.Key, office.RecordPrefix + e.Domain(), office.LeasePrefix + e.Domain()}
-		began := e.office.Holds() && !jobs
-		if jobs = e.office.Holds(); jobs {
+		began := e.office.IsHolder() && !jobs
+		if jobs = e.office.IsHolder(); jobs {
 			prefixes = append(prefixes, ledger.JobsPrefix)
 		}
 		if began {
@@ -82,7 +82,7 @@
 		case strings.HasPrefix(c.Key, ledger.JobsPrefix):
 			e.office.JobsChanged(ctx, c.Key)
 		default:
-			e.office.Changed()
+			e.office.RecheckOffice()
 		}
 	}
 }
@@ -110,8 +110,8 @@
 		_, ok := doc.Keys[id]
 		return ok
 	})
-	e.units.Nudge()
-	e.office.Quota.Nudge()
-	e.office.KeysChanged(ctx)
+	e.units.BalanceSoon()
+	e.office.Quota.BalanceSoon()
+	e.office.AccessKeysChanged(ctx)
 	e.members.Announce(ctx)
 }
