--- a/proto/keep.go
+++ b/proto/keep.go
@@ -6,7 +6,7 @@
 	"plantainwinch/winch"
 )
 
-// Kinds of messages between the entries of a region.
+// Kinds of the messages between the entries of a region.
 const (
 	KindKeepSet    winch.Kind = "KeepSet"
 	KindKeepOrders winch.Kind = "KeepOrders"
@@ -23,38 +23,38 @@
 	KindTerm       winch.Kind = "Term"
 )
 
-// Session names one uninterrupted relation of a planner with a keeper. A
-// planner that loses a keeper's answers begins a new session with new tokens,
-// so nothing of the old one has to be repaired.
+// Session identifies one uninterrupted planner-keeper connection. A planner that
+// misses a keeper's response begins a new session with new fencing tokens, so no
+// state of the old session has to be reconciled.
 type Session struct {
 	Term   uint64 `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// Kept is one worker that a keeper holds, with the fencing token to use.
+// Assignment assigns one worker to a keeper, with the fencing token to use.
 type Kept struct {
 	VM    winch.WorkerVM `cbor:"1,keyasint"`
 	Token uint64         `cbor:"2,keyasint"`
-	// Empty says that nothing runs there but what is ordered in this session.
+	// Empty reports that the worker runs nothing except what is ordered in this session.
 	Empty bool `cbor:"3,keyasint,omitempty"`
-	// Left is how long leases that earlier holdings of the worker gave may yet run,
-	// from the arrival of the message on at most.
+	// Left is the maximum remaining time of the leases granted under earlier assignments
+	// of the worker, counted from the arrival of the message.
 	Left time.Duration `cbor:"4,keyasint,omitempty"`
-	// Turn is that of the roster's record by which the keeper has the worker.
+	// Generation is the generation of the assignment as recorded in the roster.
 	Turn uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// KeepSet tells a keeper which workers it holds from now on.
+// AssignmentSet is sent to a keeper and lists all workers assigned to it from now on.
 type KeepSet struct {
 	Session Session `cbor:"1,keyasint"`
 	Workers []Kept  `cbor:"2,keyasint,omitempty"`
-	// Authority is how long the keeper may keep what runs without hearing of the
-	// planner again, from the session's first set on. A duration crosses machines whose
-	// clocks differ.
+	// Authority is how long the keeper may go on renewing leases without another message
+	// from the planner, counted from the first set of the session. It is a duration
+	// because the clocks of the two machines differ.
 	Authority time.Duration `cbor:"3,keyasint"`
 }
 
-// OrderKind says what an Order asks for.
+// OrderKind is the action that an Order requests.
 type OrderKind uint8
 
 // Kinds of orders.
@@ -63,10 +63,11 @@
 	OrderStop
 	OrderPace
 	OrderForget
-	// OrderLook says whether the worker's runs are to be reported more often.
+	// OrderReportRate sets whether the status of the worker's runs is reported more often.
 	OrderLook
-	// OrderRenew lets the keeper renew the lease at a worker that has listed what it
-	// runs, or answers again: the planner knows now that it does. Spell is the event's.
+	// OrderAllowRenewal allows the keeper to renew the lease of a worker that has listed
+	// its runs or become responsive again: the planner has received that event. Spell is
+	// copied from the event.
 	OrderRenew
 )
 
@@ -74,9 +75,9 @@
 type Order struct {
 	_    struct{} `cbor:",toarray"`
 	Kind OrderKind
-	// Token is the one under which the worker was held when the order was decided.
-	// An order that waited while the worker was given to another keeper is dropped.
-	// It names the worker on the way.
+	// Token is the fencing token of the worker's assignment when the order was created.
+	// It identifies the worker in the encoded order, and an order that was delayed until
+	// after the worker was reassigned is dropped.
 	Token      uint64
 	Task       winch.RunID
 	Run        uint64
@@ -84,140 +85,149 @@
 	Ticket     string
 	Percent    int
 	Forget     uint64
-	Closely    bool
-	Spell      uint64
-	Worker     string `cbor:"-"`
+	// Closely is set by an OrderReportRate that asks for more frequent status reports.
+	Closely bool
+	// Spell is the number of the worker's unresponsive period that an
+	// OrderAllowRenewal responds to.
+	Spell  uint64
+	Worker string `cbor:"-"`
 }
 
-// KeepOrders carries orders. Origins names, for each job that is started, the entry that
-// accepted it and still has its command.
+// KeeperOrders carries orders to a keeper. Origins maps each job that is started to the
+// entry that accepted it and still has its command.
 type KeepOrders struct {
 	Session Session           `cbor:"1,keyasint"`
 	Orders  []Order           `cbor:"2,keyasint"`
 	Origins map[string]string `cbor:"3,keyasint,omitempty"`
 }
 
-// CommandAsk asks the entry that accepted a job for its command.
+// CommandRequest asks the entry that accepted a job for its command.
 type CommandAsk struct {
 	Job string `cbor:"1,keyasint"`
 }
 
-// CommandGive is the answer; Known is false if the entry does not have it any more.
+// CommandResponse is the response to a CommandRequest; Known is false if the entry no
+// longer has the command.
 type CommandGive struct {
 	Known   bool   `cbor:"1,keyasint,omitempty"`
 	Command string `cbor:"2,keyasint,omitempty"`
 }
 
-// TermAsk asks an entry for how long it has known that a term, or a later one, began.
+// TermRequest asks an entry how long it has known that a term, or a later one, began.
 type TermAsk struct {
 	Term uint64 `cbor:"1,keyasint"`
 }
 
-// TermGive is the answer; Known is false if the entry has not seen that.
+// TermResponse is the response to a TermRequest; Known is false if the entry has seen
+// neither the term nor a later one.
 type TermGive struct {
 	Known bool          `cbor:"1,keyasint,omitempty"`
 	Age   time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// KeepPoll asks a keeper for what has happened; it answers at once if there is
-// something, and after Wait at the latest.
+// KeeperPollRequest asks a keeper for new events. The keeper responds at once if there
+// are any, and after Wait at the latest.
 type KeepPoll struct {
 	Session   Session       `cbor:"1,keyasint"`
 	Authority time.Duration `cbor:"2,keyasint"`
 	Wait      time.Duration `cbor:"3,keyasint"`
-	// Stamp is that of the keeper's last answer in the session. Authority counts from
-	// then, by the keeper's own clock: a question may wait for seconds before it is
-	// read, and the planner counts from when it was sent.
+	// Stamp is copied from the keeper's last response in the session. Authority counts
+	// from that time on the keeper's own clock: a request may be queued for seconds
+	// before it is read, while the planner counts from when it was sent.
 	Stamp time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// KeepNews is what happened at a keeper's workers since its last answer.
+// KeeperPollResponse holds the events at a keeper's workers since its last response.
 type KeepNews struct {
 	Session Session     `cbor:"1,keyasint"`
 	Events  []KeepEvent `cbor:"2,keyasint,omitempty"`
-	// Term is that of the keeper's own session, if it is another.
+	// Term is the term of the keeper's own session if that differs from the request's.
 	Term uint64 `cbor:"3,keyasint,omitempty"`
-	// Stamp is the keeper's clock as it answered.
+	// Stamp is the keeper's clock at the time of the response.
 	Stamp time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// EventKind says what a KeepEvent tells.
+// EventKind is the kind of a KeeperEvent.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	// EventListed: the first answer of a worker under the session's token. What is
-	// not in its lists does not run there and never will through earlier orders.
+	// EventListed is the first response of a worker under the session's token. A run that
+	// is not in its lists is not running there, and no earlier order can start it anymore.
 	EventListed EventKind = iota + 1
 	EventStarted
-	// EventNotStarted: a start surely had no effect and never will; Result says why.
+	// EventNotStarted reports that a start is guaranteed to have had no effect and never
+	// to have one; Result is the reason.
 	EventNotStarted
 	EventEnded
-	// EventVanished: a run that the worker neither runs nor lists as ended.
+	// EventVanished reports a run that the worker lists neither as running nor as ended.
 	EventVanished
-	// EventStatus: how the runs of a worker go.
+	// EventStatus reports the status of the runs of a worker.
 	EventStatus
-	// EventLost: the lease on everything at the worker has surely lapsed unless
-	// another planner's keeper renews it, or, if Result says so, another boot has
-	// taken its place.
+	// EventLost reports that the lease on everything at the worker is guaranteed to have
+	// expired unless another planner's keeper renews it or, if Result is StartOtherBoot,
+	// that another boot has replaced the worker.
 	EventLost
-	// EventFenced: the worker knows a higher token.
+	// EventFenced reports that the worker knows a higher token.
 	EventFenced
-	// EventFound: a run that the planner did not order in this session.
+	// EventFound reports runs that the planner did not order in this session.
 	EventFound
-	// EventKnown: what a keeper knew of a worker when a later planner's session
-	// began. It lets that planner go on if the worker does not answer.
+	// EventKnownRuns reports the runs that a keeper knew of at a worker when the session
+	// of a later planner began. With it that planner can proceed if the worker is
+	// unresponsive.
 	EventKnown
-	// EventSilent: the worker does not answer; no start is sent to it, and its lease
-	// is not renewed before an OrderRenew. EventBack: it answers again.
+	// EventUnresponsive reports that the worker is unresponsive: no start is sent to it,
+	// and its lease is not renewed before an OrderAllowRenewal.
 	EventSilent
+	// EventResponsive reports that an unresponsive worker responds again.
 	EventBack
-	// EventReleased: the keeper holds the worker under the event's token no more. It
-	// is told again until the planner is known to have it.
+	// EventReleased reports that the assignment with the event's token has ended. It is
+	// sent again until the planner is known to have received it.
 	EventReleased
 )
 
-// KeepEvent is one event at a worker.
+// KeeperEvent is one event at a worker.
 type KeepEvent struct {
 	_    struct{} `cbor:",toarray"`
 	Kind EventKind
-	// Token is the one under which the keeper held the worker. An event of an
-	// earlier holding tells nothing of the present one.
+	// Token is the fencing token of the worker's assignment. An event of an earlier
+	// assignment says nothing about the current one.
 	Token   uint64
 	Task    winch.RunID
 	Run     uint64
 	Result  winch.StartResult
 	Ended   []winch.Ended
 	Running []winch.Running
-	// Left is, with EventSilent and EventReleased, after how long all leases at the
-	// worker have surely lapsed if nobody renews them.
+	// Left is set for EventUnresponsive and EventReleased: the time after which all leases
+	// at the worker are guaranteed to have expired if nobody renews them.
 	Left time.Duration
-	// Spell counts, with EventListed and EventBack, the worker's times of silence in
-	// this holding.
+	// Spell is set for EventListed and EventResponsive: the number of unresponsive periods
+	// of the worker in this assignment.
 	Spell uint64
-	// Turn is, with EventKnown and EventReleased, that of the holding.
+	// Turn is set for EventKnownRuns and EventReleased: the generation of the assignment.
 	Turn uint64
-	// Blind is, with EventEnded, for how long nothing had been heard of the worker
-	// although it was asked; zero if its last call was answered.
+	// Blind is set for EventEnded: the time since the last contact with a worker whose
+	// preceding call failed; zero if that call was answered.
 	Blind time.Duration
-	// Worker is empty on the way with an event of a present holding: Token names it.
+	// Worker is empty in an encoded event of a current assignment, which Token identifies.
 	Worker string
 }
 
-// AdviseAsk asks an entry to call the advice service in its lane.
+// AdviseRequest asks an entry to call the advice service in its lane.
 type AdviseAsk struct {
 	Phase   winch.RunID `cbor:"1,keyasint"`
 	Workers []string    `cbor:"2,keyasint"`
 }
 
-// AdviseGive is the answer; Failed says that the service gave none.
+// AdviseResponse is the response to an AdviseRequest; Failed is the error text if the
+// call to the advice service failed.
 type AdviseGive struct {
 	Tickets []winch.Ticket `cbor:"1,keyasint,omitempty"`
 	Valid   time.Duration  `cbor:"2,keyasint,omitempty"`
 	Failed  string         `cbor:"3,keyasint,omitempty"`
 }
 
-// Accepted tells the planner of jobs that were committed.
+// AcceptedJobs notifies the planner of jobs that were committed.
 type Accepted struct {
 	Jobs []AcceptedJob `cbor:"1,keyasint"`
 }
@@ -226,69 +236,71 @@
 type AcceptedJob struct {
 	Job      winch.PhasedJob `cbor:"1,keyasint"`
 	Revision uint64          `cbor:"2,keyasint"`
-	// Command is told by the entry that accepted the job.
+	// Command is set by the entry that accepted the job.
 	Command string `cbor:"3,keyasint,omitempty"`
 }
 
-// CancelJob tells the planner of a committed cancel.
+// CancelJob notifies the planner of a committed cancellation.
 type CancelJob struct {
 	ID string `cbor:"1,keyasint"`
 }
 
-// StateAsk asks the planner for a job's state.
+// StateRequest asks the planner for a job's state.
 type StateAsk struct {
 	ID string `cbor:"1,keyasint"`
 }
 
-// StateGive is the answer; Known is false if the planner has not heard of the
-// job, or is no planner.
+// StateResponse is the response to a StateRequest; Known is false if the receiver does
+// not know the job or is not the planner.
 type StateGive struct {
 	Known bool           `cbor:"1,keyasint,omitempty"`
 	State winch.JobState `cbor:"2,keyasint,omitempty"`
 }
 
-// Waiting tells all entries how many jobs of each queue have not begun.
+// WaitingJobs notifies all entries of the number of jobs in each queue that have not begun.
 type Waiting struct {
 	Term   uint64         `cbor:"1,keyasint"`
 	Queues map[string]int `cbor:"2,keyasint,omitempty"`
-	// Settings is the version of the configuration that the planner has.
+	// Settings is the version of the planner's configuration.
 	Settings uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Settings tells which version of the operator's configuration an entry has. An
-// answer to a SettingsAsk also carries it, as the store holds it.
+// Settings announces the version of the operator's configuration at an entry. As the
+// response to a SettingsRequest it also carries the configuration as stored.
 type Settings struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Data    []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// SettingsAsk asks for the configuration; it is sent if it is newer than Have.
+// SettingsRequest asks for the configuration, which is sent only if it is newer than Have.
 type SettingsAsk struct {
 	Have uint64 `cbor:"1,keyasint,omitempty"`
 }
 
-// Mirror tells the standby of the planner which runs may exist from now on,
-// before they are started, and which do not exist any more.
+// Mirror replicates the set of possible runs to the planner's standby: runs are added
+// before they are started, and removed when they are known not to exist anymore.
 type Mirror struct {
 	Term    uint64 `cbor:"1,keyasint"`
 	Session uint64 `cbor:"2,keyasint"`
-	// Full says that Add holds all runs, and that the message begins the session.
+	// Full reports that Add holds all runs and that the message begins the session.
 	Full   bool        `cbor:"3,keyasint,omitempty"`
 	Add    []MirrorRun `cbor:"4,keyasint,omitempty"`
 	Remove []MirrorRun `cbor:"5,keyasint,omitempty"`
-	// Lapses are those of all workers that do not answer and on which work may run, and
-	// from a planner that is about to stop also of those that have not answered yet.
-	// None of their leases is renewed before a message without the worker is taken.
+	// LeaseExpiries holds the lease expiries of all unresponsive workers that may run work.
+	// A planner that is about to stop adds the workers that have not responded yet. None of
+	// these leases is renewed before the standby accepts a message without the worker.
 	Lapses []MirrorLapse `cbor:"6,keyasint,omitempty"`
-	// Same says that the lapses are those of the session's last message that told them.
+	// ExpiriesUnchanged reports that the lease expiries are those of the last message of
+	// the session that held any.
 	Same bool `cbor:"8,keyasint,omitempty"`
-	// Stamp is that of the standby's last answer. Lapses are good for a short time from
-	// then: the planner may renew the leases after it without being heard.
+	// Stamp is copied from the standby's last response. The lease expiries are valid only
+	// for a short time from then: after that the planner may renew the leases without the
+	// standby being notified.
 	Stamp time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// MirrorLapse tells after how long the leases that a keeper gave at a worker have
-// surely lapsed. A worker that had several keepers has several.
+// MirrorLeaseExpiry is the time after which the leases that a keeper granted at a worker
+// are guaranteed to have expired. A worker that had several keepers has several.
 type MirrorLapse struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
@@ -304,10 +316,10 @@
 	Run    uint64
 }
 
-// MirrorAck says whether the standby has taken a Mirror. It takes none of a
-// planner that has been replaced.
+// MirrorAck reports whether the standby accepted a Mirror. It rejects those of a planner
+// that has been replaced.
 type MirrorAck struct {
 	OK bool `cbor:"1,keyasint,omitempty"`
-	// Stamp is the standby's clock as it answered.
+	// Stamp is the standby's clock at the time of the response.
 	Stamp time.Duration `cbor:"2,keyasint,omitempty"`
 }
--- a/proto/keep_test.go
+++ b/proto/keep_test.go
@@ -9,8 +9,8 @@
 	"plantainwinch/winch"
 )
 
-// Times lose their fractions of a second on the way, and a job counts from up to a second
-// before it was accepted.
+// Guards against an encoding that truncates times to whole seconds: a job's age would then
+// count from up to a second before the job was accepted.
 func TestTimesKeepTheirFractions(t *testing.T) {
 	is := is.New(t)
 	accepted := time.Unix(1_790_000_000, 987_654_000)
@@ -21,8 +21,9 @@
 	is.True(got.Job.Accepted.Sub(accepted).Abs() < time.Microsecond)
 }
 
-// Each start is told to a keeper, a standby and, as it begins and ends, to the planner. On a
-// thin link what that takes bounds how many there can be.
+// Guards against larger messages for a start. Each start is sent to a keeper and a standby, and
+// its begin and completion are reported to the planner, so on a slow link the size of these
+// messages limits the rate of starts.
 func TestMessagesOfAStartAreShort(t *testing.T) {
 	is := is.New(t)
 	size := func(v any) int {
--- a/proto/proto.go
+++ b/proto/proto.go
@@ -1,4 +1,4 @@
-// Package proto holds the messages between entries. They travel as CBOR.
+// Package proto defines the messages between entries, which are encoded as CBOR.
 package proto
 
 import (
@@ -9,11 +9,11 @@
 	"plantainwinch/winch"
 )
 
-// Version is the version of the protocol. Entries of different versions refuse
-// each other in the hello, before any other message.
+// Version is the version of the protocol. Entries with different versions reject
+// each other's Hello, before any other message.
 const Version = 2
 
-// Kinds of messages.
+// Kinds of the messages between the entries of a cell.
 const (
 	KindHello     winch.Kind = "Hello"
 	KindBeat      winch.Kind = "Beat"
@@ -28,7 +28,7 @@
 
 // Frame is one message on a link.
 type Frame struct {
-	ID    uint64          `cbor:"1,keyasint,omitempty"` // ID joins an answer to its question; zero for a message that was told.
+	ID    uint64          `cbor:"1,keyasint,omitempty"` // ID matches a response to its request; zero for a notification.
 	Kind  winch.Kind      `cbor:"2,keyasint,omitempty"`
 	Reply bool            `cbor:"3,keyasint,omitempty"`
 	Body  cbor.RawMessage `cbor:"4,keyasint,omitempty"`
@@ -42,7 +42,7 @@
 	Domain  string
 }
 
-// Load is how full an entry's executors of one service are.
+// Load is the slot usage of an entry's executors of one service.
 type Load struct {
 	Service string `cbor:"1,keyasint"`
 	Slots   int    `cbor:"2,keyasint"`
@@ -50,125 +50,126 @@
 	Queued  int    `cbor:"4,keyasint,omitempty"`
 }
 
-// TeamUse is what a team has running at an entry or in an office, and what it
-// could use beyond the units that the holder has.
+// TeamUse is a team's number of running units at an entry or in an office (the planner's
+// leadership lease in the store). Want is the number that the team could use beyond the units
+// granted to the sender.
 type TeamUse struct {
 	Team    string `cbor:"1,keyasint"`
 	Running int    `cbor:"2,keyasint,omitempty"`
 	Want    int    `cbor:"3,keyasint,omitempty"`
 }
 
-// Beat is the heartbeat that an entry sends to every other.
+// Heartbeat is sent by each entry to every other one.
 type Beat struct {
 	Domain  string    `cbor:"1,keyasint"`
 	Leaving bool      `cbor:"2,keyasint,omitempty"`
 	Config  uint64    `cbor:"3,keyasint,omitempty"`
 	Loads   []Load    `cbor:"4,keyasint,omitempty"`
 	Teams   []TeamUse `cbor:"5,keyasint,omitempty"`
-	// Store says that the sender reaches the store.
+	// Store reports whether the sender can reach the store.
 	Store bool `cbor:"6,keyasint,omitempty"`
-	// Epoch is the newest epoch of the sender's domain that it knows, and
-	// Placer its holder.
+	// Epoch is the newest epoch of the sender's domain that the sender knows, and
+	// Placer the entry that places work in that epoch.
 	Epoch  uint64 `cbor:"7,keyasint,omitempty"`
 	Placer string `cbor:"8,keyasint,omitempty"`
-	// Office is set by the domain's placer.
+	// Office is set only by the domain's placer.
 	Office *OfficeLoad `cbor:"9,keyasint,omitempty"`
 }
 
-// OfficeLoad is how full a domain's workers are.
+// OfficeLoad is the resource usage of a domain's workers.
 type OfficeLoad struct {
 	Size    winch.Resources `cbor:"1,keyasint"`
 	Used    winch.Resources `cbor:"2,keyasint"`
 	Waiting int             `cbor:"3,keyasint,omitempty"`
 }
 
-// ConfigAsk asks for the configuration if it is newer than Have.
+// ConfigRequest asks for the configuration if it is newer than Have.
 type ConfigAsk struct {
 	Have uint64
 }
 
-// ConfigGive carries a configuration document as JSON, empty if not newer.
+// ConfigResponse carries a configuration document as JSON, empty if there is no newer one.
 type ConfigGive struct {
 	Document []byte
 }
 
-// SlotAsk asks the home entry of executors for a slot.
+// SlotRequest asks the home entry of executors for a slot.
 type SlotAsk struct {
-	// Grant is chosen by the asker, so that it can give back a slot whose grant
-	// it never received.
+	// Grant is the ID of the grant. The requester chooses it, so that it can release
+	// a slot even if the response is lost.
 	Grant   string
 	Service string
 	Class   string
 	Team    string
 	KeyID   string
-	// Remaining is the time until the request's deadline. A duration crosses
-	// machines whose clocks differ; a time of day would not.
+	// Remaining is the time until the request's deadline. It is a duration because
+	// the clocks of the two machines differ.
 	Remaining time.Duration
-	// MaxRun is the time after which the work has surely ended.
+	// MaxRun is the time after which the work is guaranteed to have ended.
 	MaxRun time.Duration
-	// Avoid lists executors that the request was already tried at.
+	// Avoid lists executors on which the request was already attempted.
 	Avoid []string `cbor:",omitempty"`
 }
 
-// SlotGive grants a slot or refuses with a result.
+// SlotResponse grants a slot or refuses the request with a result.
 type SlotGive struct {
 	Executor winch.VM
 	Refused  winch.Result
 }
 
-// Verdict is what the use of a slot told about the executor.
+// Verdict is the result of using a slot, as evidence of the executor's health.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Unused   Verdict = iota // Unused: nothing was sent.
-	Answered                // Answered: a whole answer came.
-	Failed                  // Failed: the executor answered with an error of its own or broke off.
-	Rejected                // Rejected: the executor could not be reached or had no slot free.
+	Answered                // Answered: a complete response was received.
+	Failed                  // Failed: the executor returned an error of its own or closed the connection early.
+	Rejected                // Rejected: the executor was unreachable or had no free slot.
 )
 
-// SlotDone gives a slot back.
+// SlotRelease releases a slot.
 type SlotDone struct {
 	Grant   string
 	Verdict Verdict
-	// After is how long the slot stays taken because the work may still run.
+	// After is how long the slot stays occupied because the work may still run.
 	After time.Duration
 	Took  time.Duration
 }
 
-// Held is a slot in use.
+// HeldSlot is a slot in use.
 type Held struct {
 	Grant    string
 	Executor string
 	Team     string
-	Left     time.Duration // Left is the time after which the work has surely ended.
+	Left     time.Duration // Left is the time after which the work is guaranteed to have ended.
 }
 
-// SlotHeld lists slots that the sender uses of the receiver's executors.
+// HeldSlots lists slots of the receiver's executors that the sender uses.
 type SlotHeld struct {
 	Held []Held
-	// Complete says that the sender uses no others: it is the first message on a
-	// new link, before any grant on it.
+	// Complete reports that the sender uses no other slots. It is set in the first
+	// message on a new link, before any grant on that link.
 	Complete bool
 }
 
-// Handoff gives an executor to a new home, all slots in use with it.
+// Handoff transfers an executor and its slots in use to a new home entry.
 type Handoff struct {
 	Executor string
 	Held     []Held
 }
 
-// JobHint tells a domain's placer that a job was committed or changed.
+// JobHint notifies a domain's placer that a job was committed or changed.
 type JobHint struct {
 	ID string
 }
 
-// JobStatusAsk asks a domain's placer why a job waits.
+// JobStatusRequest asks a domain's placer why a job is waiting.
 type JobStatusAsk struct {
 	ID string
 }
 
-// JobStatus is what a placer knows of a job beyond the ledger.
+// JobStatus is the part of a job's status that the placer knows and the ledger does not hold.
 type JobStatus struct {
 	Known    bool
 	Why      string
@@ -178,7 +179,7 @@
 	Forecast time.Duration
 }
 
-// mode encodes times to the microsecond, and numbers in as few bytes as hold them.
+// encMode encodes times with microsecond precision and floats in the shortest exact form.
 var mode = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Time: cbor.TimeUnixMicro, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
