--- a/coord/keep/command.go
+++ b/coord/keep/command.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Bounds of the commands that are remembered: so many, and so many bytes in all.
+// Limits of the command cache: the number of commands and their total size in bytes.
 const (
 	mostCommands     = 4096
 	mostCommandBytes = 4 << 20
 )
 
-// Commands remembers the commands of the jobs that were added last. The zero value is
-// ready for use.
+// Commands caches the commands of the most recently added jobs. The zero value is ready
+// for use.
 type Commands struct {
 	mu    sync.Mutex
 	text  map[string]string
@@ -17,7 +17,7 @@
 	bytes int
 }
 
-// Add remembers the command of a job.
+// Add caches the command of a job and evicts the oldest ones beyond the limits.
 func (c *Commands) Add(job, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// Get returns the command of a job, and whether it is known.
+// Get returns the command of a job, and whether it is in the cache.
 func (c *Commands) Get(job string) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/keep/hold.go
+++ b/coord/keep/hold.go
@@ -12,11 +12,13 @@
 	"plantainwinch/winch"
 )
 
-// renew holds the worker until it is surely gone, fenced off or given up.
+// renewLoop sends holds to the worker until its lease is guaranteed to have expired, a
+// newer token has fenced it off, another boot responds, or the assignment ends.
 func (h *holder) renew(ctx context.Context) {
 	for ctx.Err() == nil {
 		if h.keeper.authority() <= 0 {
-			// Nothing may be kept without the planner; a new one sets new holders.
+			// No lease may be renewed without the planner's authority. A new planner
+			// sends new assignments.
 			duty.Pause(ctx, retryPause)
 			continue
 		}
@@ -44,9 +46,9 @@
 	}
 }
 
-// doubt reports whether the worker is to be asked once more before it counts as
-// silent. An answer that is lost says nothing of the worker, and a silent one gets
-// no work until planner and standby have heard that it answers.
+// shouldRetry reports whether the hold is to be retried once before the worker counts as
+// unresponsive. A lost response says nothing about the worker, and an unresponsive worker
+// gets no work until the planner and the standby know that it responds again.
 func (h *holder) doubt(err error) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,7 +59,7 @@
 	return true
 }
 
-// waitRecorded waits until the ends that were told are recorded, not for long.
+// waitForRecording waits until all reported completions are recorded, or until a timeout.
 func (h *holder) waitRecorded(ctx context.Context) {
 	duty.Pause(ctx, holdPause)
 	h.mu.Lock()
@@ -94,9 +96,10 @@
 		call.Until = h.until
 	}
 	if h.silent || h.doubted {
-		// Another boot may answer under the same ID, whose ends are numbered anew:
-		// told the numbers of the last one it would drop ends that nobody has seen.
-		// It is asked at once who it is, and told nothing.
+		// Another boot may respond under the same ID. It numbers its completions from
+		// the start again, so a Forget meant for the previous boot would make it drop
+		// completions that nobody has seen. The call therefore carries no Forget, and no
+		// Wait, to learn at once which boot responds.
 		call.Forget, call.Wait = 0, 0
 	}
 	if h.keeper.trips.lossy() && len(h.runs) > 0 {
@@ -104,7 +107,8 @@
 	}
 	limit := call.Wait + h.keeper.trips.limit(h.unanswered)
 	if !h.open {
-		// No answer is waited for long beyond the loss: work waits for it.
+		// The call must not last much beyond the lease expiry: the worker's work waits
+		// until the worker counts as lost.
 		limit = min(limit, max(time.Until(h.lapse()), lapseLook))
 	}
 	h.mu.Unlock()
@@ -118,27 +122,28 @@
 	return answer, err
 }
 
-// list asks for the worker's lists at once, beside the hold that waits for an end.
-// It does not renew the lease.
+// requestLists requests the worker's lists at once, in parallel to the hold that waits for a
+// completion. It does not renew the lease.
 func (h *holder) list(ctx context.Context) {
 	h.mu.Lock()
 	ask := winch.HoldCall{Token: h.token, Forget: h.forget, Until: h.until}
 	ok := h.listed && !h.silent && !h.doubted
 	h.mu.Unlock()
 	if !ok {
-		return // The next hold asks without waiting.
+		return // The next hold is sent without a wait.
 	}
 	sent := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, h.answerLimit())
 	defer cancel()
 	answer, err := h.keeper.Runner.Hold(callCtx, h.vm, ask)
 	if err != nil || ctx.Err() != nil || h.setClock(answer.Clock) {
-		return // The hold that waits finds out what is wrong.
+		return // The pending hold handles the failure.
 	}
 	h.answered(sent, answer)
 }
 
-// over reports whether an error ends the holding of the worker.
+// handleFailure marks the worker as unresponsive after a failed hold and reports whether
+// the failure ends its assignment.
 func (h *holder) over(err error) bool {
 	h.mu.Lock()
 	first := !h.silent
@@ -155,14 +160,14 @@
 	}
 	switch {
 	case errors.Is(err, winch.ErrFenced):
-		h.keeper.Log.Info("worker is held by a newer keeper", state...)
+		h.keeper.Log.Info("worker has a newer fencing token, assignment ended", state...)
 		h.mu.Lock()
 		h.fenced = true
 		h.mu.Unlock()
 		h.emit(proto.KeepEvent{Kind: proto.EventFenced})
 		return true
 	case errors.Is(err, winch.ErrOtherBoot), lapsed:
-		h.keeper.Log.Info("worker lost", append(state, zap.Bool("lapsed", lapsed))...)
+		h.keeper.Log.Info("worker lost, assignment ended", append(state, zap.Bool("lapsed", lapsed))...)
 		result := winch.StartOtherBoot
 		if lapsed {
 			result = winch.StartUncertain
@@ -172,20 +177,20 @@
 		return true
 	}
 	if first {
-		h.keeper.Log.Info("worker silent", state...)
+		h.keeper.Log.Info("worker unresponsive", state...)
 	}
 	h.keeper.count("Keep.HoldFailed")
 	return false
 }
 
-// clockNow returns what the worker's clock shows at least. The mutex is held.
+// workerTime returns a lower bound of the worker's clock. The caller holds the mutex.
 func (h *holder) clockNow(now time.Time) time.Duration {
 	return h.clock + now.Sub(h.clockAt)
 }
 
-// setClock takes the worker's clock from an answer, and reports whether the
-// answer is another boot's: a boot's clock starts anew and never goes back. Some
-// answers do not say which boot they are from.
+// updateClock stores the worker's clock from a response, and reports whether the response
+// came from another boot. Some responses don't identify their boot, but a boot's clock
+// starts anew and never goes back.
 func (h *holder) setClock(clock time.Duration) (reborn bool) {
 	if clock <= 0 {
 		return false
--- a/coord/keep/holder.go
+++ b/coord/keep/holder.go
@@ -13,51 +13,54 @@
 )
 
 const (
-	// holdWait is how long a worker may wait for an end before it answers. Each
-	// answer is a look that costs both sides; ends are answered at once.
+	// holdWait is how long a worker may delay its response to a hold until a run
+	// completes. A longer wait costs both sides fewer responses, and a completion is
+	// reported at once in any case.
 	holdWait = 1500 * time.Millisecond
-	// closeWait is used while the planner paces runs by what the worker reports: a
-	// target may be missed for a few seconds only.
+	// frequentHoldWait replaces holdWait while the planner adjusts throttle percentages
+	// from the worker's reports: a target may be missed for a few seconds only.
 	closeWait = 500 * time.Millisecond
-	// holdPause is the pause between an answer and the next hold.
+	// holdDelay is the delay between a response and the next hold.
 	holdPause = 15 * time.Millisecond
-	// recordTime is how long the next hold waits until the ends that were listed
-	// are recorded. A worker answers at once as long as it lists ends, so a hold
-	// sent before would only list the same ends again.
+	// recordTimeout bounds how long the next hold is delayed until the listed completions
+	// are recorded. A worker responds at once as long as it lists completions, so a hold
+	// sent earlier would only return the same ones again.
 	recordTime = 140 * time.Millisecond
-	// lossyWait is used while answers are lost: nothing is heard of a worker's ends
-	// from the loss of an answer until the next hold.
+	// lossyHoldWait replaces holdWait while responses are being lost: after a lost response
+	// the worker's completions go unnoticed until the next hold.
 	lossyWait = 300 * time.Millisecond
-	// shutWait is how long a worker may wait for an end while its lease may not be
-	// renewed yet, and openTime how long the next hold waits for that.
+	// noRenewalHoldWait replaces holdWait while the lease may not be renewed yet, and
+	// renewalTimeout bounds how long the next hold is delayed for that permission.
 	shutWait = 300 * time.Millisecond
 	openTime = 150 * time.Millisecond
-	// retryPause is the pause after a call that was not answered.
+	// retryDelay is the delay after a failed call.
 	retryPause = 100 * time.Millisecond
-	// startTime is how long a start is good for at the worker. It is short, so
-	// that one that is held up on its way is refused when it arrives.
+	// startTimeout is how long a worker accepts a start. It is short, so that a start
+	// delayed in the network is refused on arrival.
 	startTime = 1200 * time.Millisecond
-	// senders is how many orders to one worker may be on their way at once, each
-	// on a connection of its own.
+	// orderSenders is the number of orders that may be in flight to one worker, each on
+	// its own connection.
 	senders = 2
-	// clockDrift is how much slower than ours a worker's clock may be.
+	// maxClockDrift is the maximum fraction by which a worker's clock runs slower than the
+	// local one.
 	clockDrift = 0.02
-	// lapseMargin is added when a lease counts as lapsed: a message may be that
-	// long on its way, and the worker ends runs a moment after the time.
+	// expiryMargin is added to a lease's expiry: a message may be in flight that long, and
+	// the worker ends runs shortly after the expiry.
 	lapseMargin = 300 * time.Millisecond
-	// lapseLook is the shortest that an answer is waited for when a worker is about to
-	// count as lost.
+	// minExpiryTimeout is the minimum timeout of a hold whose worker is about to count as
+	// lost.
 	lapseLook = 150 * time.Millisecond
-	// overtaken is by how much a clock in one answer may be behind that in another
-	// which was given later: answers on different connections overtake each other,
-	// and none is waited for longer.
+	// maxReorderDelay bounds how far the clock in a response may lag behind that in an
+	// already received one: responses on different connections can arrive out of order,
+	// but no call lasts longer than this.
 	overtaken = 3 * time.Second
-	// statusEvery bounds how often the state of runs is told to the planner, closeEvery
-	// while it paces them by it.
+	// statusInterval is the minimum interval between status reports to the planner, and
+	// frequentStatusInterval applies while the planner adjusts throttle percentages from
+	// them.
 	statusEvery = time.Second
 	closeEvery  = 400 * time.Millisecond
-	// mostListed is how many ends a worker lists at a time; with so many, runs may
-	// have ended that are not listed yet.
+	// maxListed is the number of completions that a worker lists at a time. In a list of
+	// that length some completions may still be missing.
 	mostListed = 500
 )
 
@@ -66,75 +69,78 @@
 	run  uint64
 }
 
-// known is what a holder knows of a run that was ordered or listed.
+// runState is what a holder knows about a run that was ordered or listed.
 type known struct {
-	// acked is when the worker last confirmed an order about the run; zero while
-	// the first order is on its way.
+	// confirmedAt is when the worker last confirmed an order about the run; zero while
+	// the first order is in flight.
 	acked time.Time
-	// doubt says that the start was not answered and the run is being stopped.
+	// startUncertain reports that the start got no response and the run is being stopped.
 	doubt bool
-	// told says that its state was told to the planner, percent and checkpoint what was.
+	// reported is set once the run's status was sent to the planner; percent and checkpoint
+	// are the values last sent.
 	told       bool
 	percent    float64
 	checkpoint string
 }
 
-// command is an order with what its start needs.
+// queuedOrder is an order with the job's command, which only a start needs.
 type command struct {
 	proto.Order
 	text string
 }
 
-// holder keeps one boot of one worker.
+// holder manages one boot of a worker under one assignment.
 type holder struct {
 	keeper *Keeper
 	vm     winch.WorkerVM
 	token  uint64
 	turn   uint64
-	empty  bool // empty says that nothing ran there when the holder began.
+	empty  bool // startedEmpty reports that no run existed at the worker when the assignment began.
 	cancel context.CancelFunc
 	ring   chan command
 	began  time.Time
-	// recorded wakes the next hold once all ends that were told are recorded.
+	// completionsRecorded wakes the next hold once all reported completions are recorded.
 	recorded chan struct{}
 
 	mu     sync.Mutex
 	runs   map[runKey]*known
-	forget uint64
-	told   []winch.Ended // told holds the ends that the worker listed last.
-	// clock is the worker's clock at the moment clockAt of ours.
+	forget uint64        // recordedUpTo is the number up to which completions are recorded.
+	told   []winch.Ended // listedCompletions holds the completions that the worker listed last.
+	// workerClock is the worker's clock at the local time clockReadAt.
 	clock   time.Duration
 	clockAt time.Time
-	// until is the end of the lease last asked for, on the worker's clock, and own
-	// when that has surely passed there. Neither moves while the worker does not
-	// answer: a call that gets no answer may be carried out all the same, and a
-	// worker that is gone has to count as lost some time.
+	// leaseUntil is the last requested lease expiry, on the worker's clock, and ownExpiry
+	// the local time at which it is guaranteed to have passed there. Neither moves while
+	// the worker is unresponsive: a call without a response may still take effect, and a
+	// worker that has failed must eventually count as lost.
 	until time.Duration
 	own   time.Time
-	// prior is when the leases that earlier holdings gave have surely passed.
+	// priorExpiry is when the leases granted under earlier assignments are guaranteed to
+	// have expired.
 	prior  time.Time
 	silent bool
-	// doubted says that the last hold was not answered: the worker is asked once more,
-	// at once, before it counts as silent.
+	// retrying reports that the last hold failed: it is retried once, at once, before the
+	// worker counts as unresponsive.
 	doubted bool
-	// open says that the lease may be renewed: the planner knows that the worker
-	// answers in this spell. Otherwise, were this keeper lost, the planner would have
-	// to count the longest lease from then on, for a worker that never answered too.
+	// renewalAllowed reports that the lease may be renewed: the planner knows that the
+	// worker has responded since its last unresponsive period. Without that rule the
+	// planner, on losing this keeper, would have to assume the longest lease from then on,
+	// even for a worker that never responded.
 	open     bool
-	spell    uint64        // spell counts the times of silence.
-	opened   chan struct{} // opened wakes the next hold once the lease may be renewed.
-	heard    time.Time     // heard is when the worker last answered; zero if it never did.
-	listed   bool
-	closed   bool // closed says that no start may be sent any more.
-	fenced   bool // fenced says that another holding has begun since.
-	closely  bool // closely says that the planner paces runs by what is reported.
-	lastEnd  uint64
-	statusAt time.Time
-	// unanswered counts the calls in a row that were not answered, missed is when the
-	// last was given up.
+	spell    uint64        // unresponsivePeriods counts the worker's unresponsive periods.
+	opened   chan struct{} // renewalSignal wakes the next hold once the lease may be renewed.
+	heard    time.Time     // lastContact is when the worker last responded; zero if it never did.
+	listed   bool          // listed reports that the worker's first lists were received.
+	closed   bool          // closed reports that no start may be sent anymore.
+	fenced   bool          // fenced reports that a later assignment of the worker has begun.
+	closely  bool          // reportOften reports that the planner needs frequent status reports.
+	lastEnd  uint64        // lastCompletion is the highest completion number listed so far.
+	statusAt time.Time     // lastStatus is when the status of runs was last reported.
+	// failedCalls counts the consecutive calls without a response, and lastFailure is when
+	// the last of them timed out.
 	unanswered int
 	missed     time.Time
-	// listsAt is the worker's clock in the newest lists that were taken.
+	// listsClock is the worker's clock in the newest accepted lists.
 	listsAt time.Duration
 }
 
@@ -150,8 +156,8 @@
 	group.Wait()
 }
 
-// known returns the runs that may exist at the worker, or whose ends are not
-// recorded yet, and whether that is all. The holding has been closed.
+// knownRuns returns the runs that may exist at the worker or whose completions are not
+// recorded yet, and whether that list is complete. The holder must be closed.
 func (h *holder) known() ([]winch.Running, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +173,8 @@
 	return out, (h.listed || h.empty) && !h.fenced
 }
 
-// take queues an order; what goes with the next hold needs no message of its own.
+// enqueue applies an order that needs no message of its own, since the next hold carries it,
+// and queues any other one for the worker.
 func (h *holder) take(o proto.Order, text string) {
 	switch o.Kind {
 	case proto.OrderForget:
@@ -201,7 +208,7 @@
 	}
 }
 
-// refuse tells the planner of a start that was not sent.
+// reportNotStarted reports to the planner that a start was not sent.
 func (h *holder) refuse(o proto.Order) {
 	h.emit(proto.KeepEvent{Kind: proto.EventNotStarted, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
 }
--- a/coord/keep/keep.go
+++ b/coord/keep/keep.go
@@ -1,6 +1,6 @@
-// Package keep holds worker VMs for the planner of a region: it renews their
-// leases, passes orders on and tells what happened. It decides nothing about
-// work; it does find out what became of an order that was not answered.
+// Package keep implements the keeper of a region: it renews the leases of the worker VMs
+// that the planner assigns to it, forwards the planner's orders and reports events. It makes
+// no scheduling decisions, but it does determine the effect of an order that got no response.
 package keep
 
 import (
@@ -21,27 +21,27 @@
 )
 
 const (
-	// mostEvents bounds what waits for the planner. A planner that takes nothing
-	// for so long has lost the session, and a new one lists everything anyway.
+	// maxEvents bounds the events queued for the planner. A planner that lets so many pile
+	// up has lost the session, and a new session lists everything anyway.
 	mostEvents = 20_000
-	// ringSize bounds the orders that wait for one worker.
+	// orderQueueSize bounds the orders queued for one worker.
 	ringSize = 128
-	// gatherTime is how long news are gathered before they are told: the ends of a job's
-	// tasks come close together, and each message costs the planner as much as ten events.
+	// batchDelay is how long events are collected into one response: the tasks of a job
+	// complete close together, and a message costs the planner as much as ten events.
 	gatherTime = 4 * time.Millisecond
-	// lastTime is for how long the end of a holding is kept for later planners: longer than
-	// the store is away.
+	// endedRetention is how long an ended assignment is kept for later planners: longer
+	// than an outage of the store.
 	lastTime = 10 * time.Minute
 )
 
-// Keeper holds workers. Set the fields before Run.
+// Keeper manages the workers assigned to it. The exported fields must be set before Run.
 type Keeper struct {
 	Runner  winch.Runner
 	Log     *zap.Logger
 	Metrics metrics.Registry
-	// Lease is how long workers go on without hearing of a keeper.
+	// Lease is how long workers continue to run their tasks without contact to a keeper.
 	Lease time.Duration
-	// Command gets the command of a job, which the entry named accepted.
+	// FetchCommand fetches the command of a job from the entry that accepted it, its origin.
 	Command func(ctx context.Context, job, origin string) (string, error)
 
 	trips trips
@@ -49,28 +49,28 @@
 	mu      sync.Mutex
 	session proto.Session
 	started time.Time
-	until   time.Time // until is when the planner's authority ends.
+	until   time.Time // authorityUntil is when the authority granted by the planner ends.
 	holders map[string]*holder
-	// byToken holds the same holders by the tokens that orders name them by.
+	// byToken holds the same holders by the fencing tokens that identify them in orders.
 	byToken  map[uint64]*holder
 	commands Commands
 	events   []proto.KeepEvent
-	// ended holds the holdings that have ended and of which the planner may not know
-	// yet until when what they kept may run; handed is how many of them the last
-	// answer told.
+	// ended holds the ended assignments whose lease expiry the planner may not know yet;
+	// endedSent is how many of them the last response reported.
 	ended  []endedHolding
 	handed int
-	// last is the last holding of each worker that has ended, whoever was told of it: the
-	// record by which a later planner goes may be older than the planner's that was told.
+	// lastEnded holds the last ended assignment of each worker, even if it was reported
+	// already: a later planner starts from a stored record that may be older than what the
+	// earlier planner knew.
 	last  map[string]endedHolding
 	wake  chan struct{}
 	group *conc.WaitGroup
 	ctx   context.Context
-	over  bool // over says that Run has ended: nothing is held any more.
+	over  bool // stopped reports that Run has ended and no worker is managed anymore.
 }
 
-// endedHolding is a worker that is held no more under a token; the leases given
-// under it and before have surely lapsed at a time.
+// endedAssignment is an assignment that has ended. At leaseExpiry the leases granted under
+// it and under earlier ones are guaranteed to have expired.
 type endedHolding struct {
 	worker string
 	token  uint64
@@ -78,7 +78,7 @@
 	lapse  time.Time
 }
 
-// Prepare makes the keeper ready; Run must follow.
+// Prepare initializes the keeper. Run must be called afterwards.
 func (k *Keeper) Prepare() {
 	k.started = time.Now()
 	k.holders = make(map[string]*holder)
@@ -89,7 +89,7 @@
 	k.ctx = context.Background()
 }
 
-// Run ends all holders when ctx ends.
+// Run waits until ctx ends and then ends all assignments.
 func (k *Keeper) Run(ctx context.Context) {
 	<-ctx.Done()
 	k.mu.Lock()
@@ -102,13 +102,14 @@
 	k.group.Wait()
 }
 
-// newer reports whether a session comes after another.
+// newer reports whether session a is later than b.
 func newer(a, b proto.Session) bool {
 	return a.Term > b.Term || a.Term == b.Term && a.Number > b.Number
 }
 
-// Set takes the workers to hold. A set of an older session is ignored: it may
-// have been on its way when its planner lost the office.
+// SetAssignments replaces the set of assigned workers. A set of an older session is ignored:
+// its planner may have lost the office (the planner's leadership lease in the store) while
+// the message was in flight.
 func (k *Keeper) Set(set proto.KeepSet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// drop forgets a holder.
+// remove removes a holder from the maps.
 func (k *Keeper) drop(h *holder) {
 	if k.holders[h.vm.ID] == h {
 		delete(k.holders, h.vm.ID)
@@ -149,8 +150,8 @@
 	delete(k.byToken, h.token)
 }
 
-// letGo ends a holding and notes until when what it kept may run: whoever holds the
-// worker next would have to assume the longest lease that could have been given.
+// endAssignment ends an assignment and records its lease expiry. Without that record the
+// worker's next keeper would have to assume the longest lease that could have been granted.
 func (k *Keeper) letGo(h *holder) {
 	h.cancel()
 	if lapse, last := h.close(); last {
@@ -160,13 +161,13 @@
 	}
 }
 
-// begin ends all holders. If the session is a later planner's, that planner is
-// told what they knew.
+// beginSession ends all assignments and begins a session. If it belongs to a later planner,
+// the runs and lease expiries known so far are reported to that planner.
 func (k *Keeper) begin(s proto.Session) {
 	k.events = nil
 	k.handed = 0
 	if s.Term > k.session.Term {
-		k.ended = k.lastOfEach() // A later planner goes by the record, which may be old.
+		k.ended = k.lastOfEach() // A later planner starts from the stored record, which may be outdated.
 	}
 	for id, h := range k.holders {
 		k.letGo(h)
@@ -176,10 +177,10 @@
 		}
 	}
 	k.session = s
-	k.Log.Info("keeper session", zap.Uint64("term", s.Term), zap.Uint64("session", s.Number))
+	k.Log.Info("keeper session started", zap.Uint64("term", s.Term), zap.Uint64("session", s.Number))
 }
 
-// lastOfEach returns the last holding of each worker that is held no more.
+// lastEndedAssignments returns the last ended assignment of each unassigned worker.
 func (k *Keeper) lastOfEach() []endedHolding {
 	maps.DeleteFunc(k.last, func(_ string, e endedHolding) bool { return time.Since(e.lapse) > lastTime })
 	return slices.SortedFunc(maps.Values(k.last), func(a, b endedHolding) int { return cmp.Compare(a.worker, b.worker) })
@@ -191,7 +192,7 @@
 	now := time.Now()
 	left := w.Left
 	if w.Empty {
-		// Nothing is held up by it, and it may take a while until it first answers.
+		// No work waits for this expiry, and the worker may take a while to respond first.
 		left = Surely(max(k.Lease, k.until.Sub(now)))
 	}
 	h := &holder{
@@ -206,8 +207,8 @@
 	})
 }
 
-// Orders passes orders to the workers: those that start tasks of a job once its command is
-// known, the others at once.
+// QueueOrders queues orders to the workers: starts once the command of their job is known,
+// all others at once.
 func (k *Keeper) Orders(msg proto.KeepOrders) {
 	starts := make(map[string][]pending)
 	for i, h := range k.addressed(msg) {
@@ -229,7 +230,7 @@
 	}
 }
 
-// pending is a start that waits for its job's command.
+// pendingStart is a start that waits for its job's command.
 type pending struct {
 	holder *holder
 	order  proto.Order
@@ -241,8 +242,8 @@
 	}
 }
 
-// fetch gets the command of a job and passes on the starts that wait for it. They surely
-// have no effect if it cannot be had.
+// startWithCommand fetches the command of a job and queues the starts that wait for it. If
+// that fails, the starts are guaranteed to have no effect and are reported as not started.
 func (k *Keeper) fetch(job, origin string, list []pending) {
 	text, err := k.Command(k.ctx, job, origin)
 	if err == nil {
@@ -251,14 +252,14 @@
 		return
 	}
 	k.count("Keep.NoCommand")
-	k.Log.Info("command not known", zap.String("job", job), zap.String("origin", origin), zap.Error(err))
+	k.Log.Info("could not fetch the command of a job, its tasks are not started", zap.String("job", job), zap.String("origin", origin), zap.Error(err))
 	for _, x := range list {
 		x.holder.refuse(x.order)
 	}
 }
 
-// addressed returns the holder of each order. Its lock is not held while a
-// holder's is taken: holders take both in the other order.
+// holdersOf returns the holder of each order. It returns before any holder is locked, since
+// holders acquire the two locks in the opposite order.
 func (k *Keeper) addressed(msg proto.KeepOrders) []*holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -272,9 +273,9 @@
 	return out
 }
 
-// Poll returns what happened since the last poll of the session, and waits for
-// something to happen, and a little longer for what happens with it. A zero session in the answer says that the session of
-// the question is not this keeper's.
+// Poll returns the events since the last poll of the session. It waits for an event, and
+// shortly for others that come with it. A zero session in the response means that the
+// session of the request is not the keeper's current one.
 func (k *Keeper) Poll(ctx context.Context, ask proto.KeepPoll) proto.KeepNews {
 	news := k.await(ctx, ask)
 	news.Stamp = time.Since(k.started)
@@ -310,7 +311,7 @@
 	if until := k.started.Add(ask.Stamp + ask.Authority); ask.Stamp > 0 && until.After(k.until) {
 		k.until = until
 	}
-	k.ended, k.handed = k.ended[k.handed:], 0 // Who asks again has had the last answer.
+	k.ended, k.handed = k.ended[k.handed:], 0 // Another poll means that the last response was received.
 	if len(k.events) == 0 && len(k.ended) == 0 {
 		return proto.KeepNews{}, false
 	}
@@ -319,7 +320,7 @@
 	return news, true
 }
 
-// released returns what is to be told of holdings that have ended.
+// releasedEvents returns the events for the ended assignments.
 func (k *Keeper) released() []proto.KeepEvent {
 	out := make([]proto.KeepEvent, 0, len(k.ended))
 	for _, e := range k.ended {
@@ -330,7 +331,7 @@
 	return out
 }
 
-// emit queues events for the planner; those of a holder that was replaced are dropped.
+// emit queues events for the planner. Events of a replaced holder are dropped.
 func (k *Keeper) emit(h *holder, events ...proto.KeepEvent) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -341,7 +342,7 @@
 	duty.Signal(k.wake)
 }
 
-// authority returns how long the keeper may still keep what runs.
+// authorityLeft returns how long the keeper may still renew leases.
 func (k *Keeper) authority() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/coord/keep/lease.go
+++ b/coord/keep/lease.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 )
 
-// close ends the sending of starts and the renewing of the lease. It returns when all
-// leases at the worker have surely lapsed, and whether this was its last holding as
-// far as is known: a later one may have renewed the lease.
+// close stops sending starts and renewing the lease. It returns the time at which all leases
+// at the worker are guaranteed to have expired, and whether this is the worker's last known
+// assignment: a later one may have renewed the lease.
 func (h *holder) close() (lapse time.Time, last bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -18,14 +18,15 @@
 	return h.lapse(), !h.fenced
 }
 
-// lapse returns when all leases at the worker have surely lapsed if they are not
-// renewed. The mutex is held.
+// leaseExpiry returns when all leases at the worker are guaranteed to have expired unless
+// they are renewed. The caller holds the mutex.
 func (h *holder) lapse() time.Time {
 	return later(h.prior, h.own)
 }
 
-// learn takes an earlier end of the leases that earlier holdings gave. Once the worker
-// has answered, the planner counts on this keeper for them and tells nothing of them.
+// lowerPriorExpiry sets an earlier expiry of the leases granted under earlier assignments.
+// It has no effect once the worker has responded: from then on the planner relies on this
+// keeper for these leases and no longer sends their remaining time.
 func (h *holder) learn(left time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-// waitOpen waits until the lease may be renewed, not for long.
+// waitForRenewal waits until the lease may be renewed, or until a timeout.
 func (h *holder) waitOpen(ctx context.Context) {
 	h.mu.Lock()
 	open := h.open
@@ -51,9 +52,9 @@
 	}
 }
 
-// describe returns what decides when a worker that does not answer is lost: how
-// long it has been held, when it last answered, how long its lease may yet run, and
-// what became of the last call. The mutex is held.
+// logFields returns what determines when an unresponsive worker is lost: how long it has
+// been assigned, its last contact, how long its lease may still run, and the error of the
+// last call. The caller holds the mutex.
 func (h *holder) describe(err error) []zap.Field {
 	now := time.Now()
 	fields := []zap.Field{
@@ -70,8 +71,9 @@
 	return fields
 }
 
-// Surely returns after how long of ours a time on a worker's clock has passed there
-// too, with the way of the call and the end of the runs.
+// ExpiryBound returns the local duration after which a duration on a worker's clock is
+// guaranteed to have passed there too, including the time to deliver the call and to end
+// the runs.
 func Surely(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*clockDrift/(1-clockDrift)) + lapseMargin
 }
--- a/coord/keep/lists.go
+++ b/coord/keep/lists.go
@@ -9,15 +9,15 @@
 	"plantainwinch/winch"
 )
 
-// answered takes the lists of a worker.
+// handleResponse applies the lists in a worker's response and emits the resulting events.
 func (h *holder) answered(sent time.Time, answer winch.Holding) {
 	for _, e := range h.compareAll(sent, answer) {
 		h.emit(e)
 	}
 }
 
-// compareAll returns what the lists tell. Events are not emitted here: the
-// keeper's lock is never taken while the holder's is held.
+// applyLists applies a worker's lists and returns the resulting events. It doesn't emit
+// them itself: the keeper's lock is never acquired while the holder's is held.
 func (h *holder) compareAll(sent time.Time, answer winch.Holding) []proto.KeepEvent {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,7 +35,7 @@
 	h.doubted = false
 	h.heard = now
 	if back {
-		h.keeper.Log.Info("worker answers again", zap.String("worker", h.vm.ID), zap.Uint64("token", h.token))
+		h.keeper.Log.Info("worker responsive again", zap.String("worker", h.vm.ID), zap.Uint64("token", h.token))
 	}
 	var fresh []winch.Ended
 	h.told = answer.Ended
@@ -60,8 +60,8 @@
 	return append(out, h.look(answer.Running)...)
 }
 
-// outdated reports whether newer lists have been taken: answers overtake each other.
-// The mutex is held.
+// outdated reports whether newer lists were already applied: responses can arrive out of
+// order. The caller holds the mutex.
 func (h *holder) outdated(answer winch.Holding) bool {
 	last := uint64(0)
 	for _, e := range answer.Ended {
@@ -70,11 +70,11 @@
 	return answer.Clock > 0 && (answer.Clock < h.listsAt || answer.Clock == h.listsAt && last < h.lastEnd)
 }
 
-// first tells the first lists whole.
+// firstLists returns the event that reports the complete first lists.
 func (h *holder) first(answer winch.Holding, ends []winch.Ended) proto.KeepEvent {
 	h.listed = true
-	// Earlier holdings are fenced off from here on; what they renewed last ends after
-	// a whole lease.
+	// Earlier assignments are fenced off from now on, so a lease they renewed last expires
+	// after one full lease at the latest.
 	if until := time.Now().Add(Surely(h.keeper.Lease)); until.Before(h.prior) {
 		h.prior = until
 	}
@@ -84,9 +84,9 @@
 	return proto.KeepEvent{Kind: proto.EventListed, Running: answer.Running, Ended: ends, Spell: h.spell}
 }
 
-// compare finds runs that the worker does not have any more, or has against
-// what is known. Only orders that were confirmed before the hold was sent count:
-// answers on different connections overtake each other.
+// compareRuns returns events for the runs that the worker no longer has, and for those that
+// it unexpectedly has. Only orders confirmed before the hold was sent count, since responses
+// on different connections can arrive out of order.
 func (h *holder) compare(sent time.Time, answer winch.Holding) []proto.KeepEvent {
 	var out []proto.KeepEvent
 	running := make(map[runKey]bool, len(answer.Running))
@@ -120,8 +120,9 @@
 	return out
 }
 
-// look tells how the runs go, not too often: all of them while the planner paces them, and
-// else those that have changed or stand still before their end.
+// statusEvents returns the status of the runs, at limited intervals: of all runs while the
+// planner asks for frequent reports, and otherwise of those that have changed or are below
+// 100 percent.
 func (h *holder) look(running []winch.Running) []proto.KeepEvent {
 	now := time.Now()
 	every := statusEvery
@@ -145,7 +146,7 @@
 	return []proto.KeepEvent{{Kind: proto.EventStatus, Running: out}}
 }
 
-// news reports whether the state of a run tells the planner something.
+// needsReport reports whether the status of a run is to be sent to the planner.
 func (r *known) news(x winch.Running) bool {
 	return !r.told || x.Percent < 100 || x.Percent != r.percent || x.Checkpoint != r.checkpoint
 }
--- a/coord/keep/send.go
+++ b/coord/keep/send.go
@@ -12,7 +12,7 @@
 	"plantainwinch/winch"
 )
 
-// send passes queued orders to the worker, one after the other.
+// sendOrders sends queued orders to the worker, one at a time.
 func (h *holder) send(ctx context.Context) {
 	for {
 		select {
@@ -63,7 +63,7 @@
 		h.confirm(key, false)
 		h.emit(proto.KeepEvent{Kind: proto.EventStarted, Task: c.Task, Run: c.Run})
 	case winch.StartUncertain:
-		h.keeper.Log.Info("start not answered", zap.String("job", c.Task.Job), zap.Any("task", c.Task), zap.Uint64("run", c.Run), zap.String("worker", h.vm.ID))
+		h.keeper.Log.Info("no response to a start, stopping the run", zap.String("job", c.Task.Job), zap.Any("task", c.Task), zap.Uint64("run", c.Run), zap.String("worker", h.vm.ID))
 		h.stopUntilHeard(ctx, key, true)
 	case winch.StartOtherBoot:
 		h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
@@ -72,13 +72,13 @@
 		h.mu.Lock()
 		delete(h.runs, key)
 		h.mu.Unlock()
-		h.keeper.Log.Info("start refused", zap.String("job", c.Task.Job), zap.Any("task", c.Task), zap.Uint64("run", c.Run),
+		h.keeper.Log.Info("worker refused a start", zap.String("job", c.Task.Job), zap.Any("task", c.Task), zap.Uint64("run", c.Run),
 			zap.String("worker", h.vm.ID), zap.Stringer("reason", result))
 		h.emit(proto.KeepEvent{Kind: proto.EventNotStarted, Task: c.Task, Run: c.Run, Result: result})
 	}
 }
 
-// noteOrder takes whether an order was answered, and its round trip.
+// recordOrder records whether an order was answered, and its round-trip time.
 func (h *holder) noteOrder(sent time.Time, ok bool) {
 	h.noteCall(ok)
 	if ok {
@@ -86,18 +86,18 @@
 	}
 }
 
-// startedElsewhere ends a run that another boot of the worker began, which
-// answered under the same ID. Nothing of that boot is known: started again
-// elsewhere, as all that ran on the boot that was meant, it would run twice.
+// startedOnOtherBoot stops a run that was started by another boot of the worker under the
+// same ID. The planner knows nothing of that boot. It will restart all runs of the intended
+// boot elsewhere, so this run would otherwise run twice.
 func (h *holder) startedElsewhere(ctx context.Context, key runKey) {
 	h.stopUntilHeard(ctx, key, true)
 	h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
 	h.cancel()
 }
 
-// mayStart notes a start that is about to be sent and returns until when it is
-// good at the worker. A start prolongs the lease there, so none is sent to a
-// worker that does not answer holds: it would run on after it counts as lost.
+// prepareStart records a start that is about to be sent and returns until when the worker
+// accepts it. A start extends the lease at the worker, so none is sent to a worker that
+// doesn't respond to holds: it would run on after it counts as lost.
 func (h *holder) mayStart(key runKey, now time.Time) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,7 +109,7 @@
 	return h.clockNow(now) + startTime, true
 }
 
-// confirm notes that the worker has answered an order about a run.
+// confirm records that the worker has responded to an order about a run.
 func (h *holder) confirm(key runKey, doubt bool) {
 	h.mu.Lock()
 	r, listed := h.runs[key], h.listed
@@ -119,16 +119,16 @@
 	}
 	h.mu.Unlock()
 	if r == nil && listed {
-		// Its end was listed already, or it is of an earlier session and was not
-		// listed in this one. Before the first lists nothing is known of it: they may
-		// hold its end, which the planner has to hear of first.
+		// Its completion was already listed, or the run belongs to an earlier session and
+		// was not listed in this one. Before the first lists its state is unknown: they may
+		// contain its completion, which must be reported to the planner first.
 		h.emit(proto.KeepEvent{Kind: proto.EventVanished, Task: key.task, Run: key.run})
 	}
 }
 
-// stopUntilHeard stops a run, again and again until the worker has answered.
-// After the answer a start of the run that is still on its way is refused, so
-// the next lists tell for good whether it was started.
+// stopUntilAnswered stops a run and retries until the worker has responded. After the
+// response the worker refuses a start of the run that is still in flight, so the next lists
+// show definitively whether it was started.
 func (h *holder) stopUntilHeard(ctx context.Context, key runKey, doubt bool) {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -140,11 +140,11 @@
 		case err == nil:
 			h.confirm(key, doubt)
 			if doubt {
-				h.list(ctx) // The task waits until it is known whether the run had begun.
+				h.list(ctx) // The task can't be placed again until it is known whether the run had begun.
 			}
 			return
 		case errors.Is(err, winch.ErrFenced), errors.Is(err, winch.ErrOtherBoot):
-			return // The next hold learns the same and tells it.
+			return // The next hold fails likewise and reports it.
 		}
 		h.keeper.count("Keep.StopFailed")
 		duty.Pause(ctx, retryPause)
--- a/coord/keep/trips.go
+++ b/coord/keep/trips.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// leastAnswer and mostAnswer bound how long the answer to a call is waited for. It
-	// follows the round trips that were seen; before the first it is mostAnswer.
+	// minCallTimeout and maxCallTimeout bound the timeout of a call. The timeout follows
+	// the measured round-trip times; before the first it is maxCallTimeout.
 	leastAnswer = 100 * time.Millisecond
 	mostAnswer  = 600 * time.Millisecond
-	// tripStep and spreadStep are how much one round trip moves the mean and the
-	// spread, and spreads how many spreads beyond the mean are waited for (RFC 6298).
+	// meanGain and deviationGain are the weights of one round-trip time in the mean and the
+	// mean deviation, and timeoutDeviations is how many deviations beyond the mean the
+	// timeout allows (RFC 6298).
 	tripStep   = 1.0 / 8
 	spreadStep = 1.0 / 4
 	spreads    = 4
-	// lossTime is how long after a lost answer more of them are reckoned with.
+	// lossPeriod is how long after a lost response further losses are expected.
 	lossTime = 3 * time.Second
-	// lossNear is how soon after a call that was not answered a worker has to answer
-	// another, for the first to count as lost and not the worker.
+	// lossWindow is how soon after a failed call a worker has to answer another one, for
+	// the response to count as lost rather than the worker as unresponsive.
 	lossNear = 2 * time.Second
 )
 
-// trips learns how long calls to workers take, and whether answers are lost.
+// roundTrips estimates the round-trip time of calls to workers, and detects whether
+// responses are being lost.
 type trips struct {
 	mu     sync.Mutex
 	known  bool
@@ -34,7 +36,7 @@
 	lost   time.Time
 }
 
-// answered takes the round trip of a call that the worker did not have to wait with.
+// observe adds the round-trip time of a call that the worker answered without a wait.
 func (t *trips) answered(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,8 +48,8 @@
 	t.mean += time.Duration(tripStep * float64(took-t.mean))
 }
 
-// limit is how long an answer is waited for, twice as long for each call in a row that
-// the worker did not answer.
+// timeout returns the timeout of a call. It doubles with each consecutive call that the
+// worker did not answer.
 func (t *trips) limit(unanswered int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,34 +63,34 @@
 	return min(limit, mostAnswer)
 }
 
-// loss notes that an answer was lost.
+// recordLoss records that a response was lost.
 func (t *trips) loss() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = time.Now()
 }
 
-// lossy reports whether answers have lately been lost.
+// lossy reports whether responses were lost recently.
 func (t *trips) lossy() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.lost.IsZero() && time.Since(t.lost) < lossTime
 }
 
-// isAnswer reports whether an error, or none, says that the worker answered.
+// isResponse reports whether the error of a call, if any, shows that the worker responded.
 func isAnswer(err error) bool {
 	return err == nil || errors.Is(err, winch.ErrFenced) || errors.Is(err, winch.ErrOtherBoot)
 }
 
-// answerLimit is how long the answer to a call to the worker is waited for.
+// callTimeout returns the timeout of the next call to the worker.
 func (h *holder) answerLimit() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.keeper.trips.limit(h.unanswered)
 }
 
-// noteCall takes whether a call was answered. A worker that answers soon after a call
-// that it did not answer has not gone: the answer was lost.
+// recordCall records whether a call was answered. If a worker responds soon after a failed
+// call, it was not unresponsive: the response to the failed call was lost.
 func (h *holder) noteCall(ok bool) {
 	now := time.Now()
 	h.mu.Lock()
