--- a/coord/keep/hold.go
+++ b/coord/keep/hold.go
@@ -23,15 +23,15 @@
 			continue
 		}
 		sent := time.Now()
-		answer, err := h.call(ctx, sent)
+		resp, err := h.call(ctx, sent)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && h.setClock(answer.Clock) {
+		if err == nil && h.setClock(resp.Clock) {
 			err = winch.ErrOtherBoot
 		}
 		if err == nil {
-			h.answered(sent, answer)
+			h.answered(sent, resp)
 			h.waitOpen(ctx)
 			h.waitRecorded(ctx)
 			continue
@@ -114,19 +114,19 @@
 	h.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	answer, err := h.keeper.Runner.Hold(callCtx, h.vm, call)
+	resp, err := h.keeper.Runner.Hold(callCtx, h.vm, call)
 	h.noteCall(isAnswer(err))
 	if err == nil && call.Wait == 0 {
 		h.keeper.trips.answered(time.Since(sent))
 	}
-	return answer, err
+	return resp, err
 }
 
 // requestLists requests the worker's lists at once, in parallel to the hold that waits for a
 // completion. It does not renew the lease.
 func (h *holder) list(ctx context.Context) {
 	h.mu.Lock()
-	ask := winch.HoldCall{Token: h.token, Forget: h.forget, Until: h.until}
+	req := winch.HoldCall{Token: h.token, Forget: h.forget, Until: h.until}
 	ok := h.listed && !h.silent && !h.doubted
 	h.mu.Unlock()
 	if !ok {
@@ -135,11 +135,11 @@
 	sent := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, h.answerLimit())
 	defer cancel()
-	answer, err := h.keeper.Runner.Hold(callCtx, h.vm, ask)
-	if err != nil || ctx.Err() != nil || h.setClock(answer.Clock) {
+	resp, err := h.keeper.Runner.Hold(callCtx, h.vm, req)
+	if err != nil || ctx.Err() != nil || h.setClock(resp.Clock) {
 		return // The pending hold handles the failure.
 	}
-	h.answered(sent, answer)
+	h.answered(sent, resp)
 }
 
 // handleFailure marks the worker as unresponsive after a failed hold and reports whether
@@ -152,7 +152,7 @@
 	}
 	h.silent, h.open, h.doubted = true, false, false
 	left := time.Until(h.lapse())
-	lapsed := left <= 0
+	expired := left <= 0
 	state := h.describe(err)
 	h.mu.Unlock()
 	if first {
@@ -166,10 +166,10 @@
 		h.mu.Unlock()
 		h.emit(proto.KeepEvent{Kind: proto.EventFenced})
 		return true
-	case errors.Is(err, winch.ErrOtherBoot), lapsed:
-		h.keeper.Log.Info("worker lost, assignment ended", append(state, zap.Bool("lapsed", lapsed))...)
+	case errors.Is(err, winch.ErrOtherBoot), expired:
+		h.keeper.Log.Info("worker lost, assignment ended", append(state, zap.Bool("lapsed", expired))...)
 		result := winch.StartOtherBoot
-		if lapsed {
+		if expired {
 			result = winch.StartUncertain
 		}
 		h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: result})
@@ -191,7 +191,7 @@
 // updateClock stores the worker's clock from a response, and reports whether the response
 // came from another boot. Some responses don't identify their boot, but a boot's clock
 // starts anew and never goes back.
-func (h *holder) setClock(clock time.Duration) (reborn bool) {
+func (h *holder) setClock(clock time.Duration) (otherBoot bool) {
 	if clock <= 0 {
 		return false
 	}
--- a/coord/keep/keep.go
+++ b/coord/keep/keep.go
@@ -154,8 +154,8 @@
 // worker's next keeper would have to assume the longest lease that could have been granted.
 func (k *Keeper) letGo(h *holder) {
 	h.cancel()
-	if lapse, last := h.close(); last {
-		e := endedHolding{h.vm.ID, h.token, h.turn, lapse}
+	if expiry, last := h.close(); last {
+		e := endedHolding{h.vm.ID, h.token, h.turn, expiry}
 		k.ended, k.last[e.worker] = append(k.ended, e), e
 		duty.Signal(k.wake)
 	}
@@ -252,7 +252,8 @@
 		return
 	}
 	k.count("Keep.NoCommand")
-	k.Log.Info("could not fetch the command of a job, its tasks are not started", zap.String("job", job), zap.String("origin", origin), zap.Error(err))
+	k.Log.Info("could not fetch the command of a job, its tasks are not started",
+		zap.String("job", job), zap.String("origin", origin), zap.Error(err))
 	for _, x := range list {
 		x.holder.refuse(x.order)
 	}
@@ -276,48 +277,48 @@
 // Poll returns the events since the last poll of the session. It waits for an event, and
 // shortly for others that come with it. A zero session in the response means that the
 // session of the request is not the keeper's current one.
-func (k *Keeper) Poll(ctx context.Context, ask proto.KeepPoll) proto.KeepNews {
-	news := k.await(ctx, ask)
-	news.Stamp = time.Since(k.started)
-	return news
+func (k *Keeper) Poll(ctx context.Context, req proto.KeepPoll) proto.KeepNews {
+	resp := k.await(ctx, req)
+	resp.Stamp = time.Since(k.started)
+	return resp
 }
 
-func (k *Keeper) await(ctx context.Context, ask proto.KeepPoll) proto.KeepNews {
-	timer := time.NewTimer(ask.Wait)
+func (k *Keeper) await(ctx context.Context, req proto.KeepPoll) proto.KeepNews {
+	timer := time.NewTimer(req.Wait)
 	defer timer.Stop()
 	for {
-		news, ready := k.collect(ask)
+		resp, ready := k.collect(req)
 		if ready {
-			return news
+			return resp
 		}
 		select {
 		case <-ctx.Done():
-			return news
+			return resp
 		case <-timer.C:
-			news.Session = ask.Session
-			return news
+			resp.Session = req.Session
+			return resp
 		case <-k.wake:
 			duty.Pause(ctx, gatherTime)
 		}
 	}
 }
 
-func (k *Keeper) collect(ask proto.KeepPoll) (proto.KeepNews, bool) {
+func (k *Keeper) collect(req proto.KeepPoll) (proto.KeepNews, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if ask.Session != k.session {
+	if req.Session != k.session {
 		return proto.KeepNews{Term: k.session.Term}, true
 	}
-	if until := k.started.Add(ask.Stamp + ask.Authority); ask.Stamp > 0 && until.After(k.until) {
+	if until := k.started.Add(req.Stamp + req.Authority); req.Stamp > 0 && until.After(k.until) {
 		k.until = until
 	}
 	k.ended, k.handed = k.ended[k.handed:], 0 // Another poll means that the last response was received.
 	if len(k.events) == 0 && len(k.ended) == 0 {
 		return proto.KeepNews{}, false
 	}
-	news := proto.KeepNews{Session: k.session, Events: append(k.released(), k.events...)}
+	resp := proto.KeepNews{Session: k.session, Events: append(k.released(), k.events...)}
 	k.events, k.handed = nil, len(k.ended)
-	return news, true
+	return resp, true
 }
 
 // releasedEvents returns the events for the ended assignments.
--- a/coord/keep/keep_test.go
+++ b/coord/keep/keep_test.go
@@ -15,7 +15,7 @@
 	"plantainwinch/winch"
 )
 
-// fakeWorker is one worker VM. It answers, or is silent, as the test says.
+// fakeWorker simulates one worker VM, which the test can make unresponsive.
 type fakeWorker struct {
 	mu      sync.Mutex
 	silent  bool
@@ -26,10 +26,10 @@
 	holds   int
 	running []winch.Running
 	ended   []winch.Ended
-	// loseStarts makes starts go unanswered; late says that they take effect.
+	// loseStarts drops the responses to starts; late makes these starts take effect.
 	loseStarts bool
 	late       bool
-	// told is the largest number of an end that a hold named since told was reset.
+	// maxForget is the largest Forget of the holds since the last boot.
 	told  uint64
 	stops int
 }
@@ -56,14 +56,14 @@
 	w.until = max(w.until, c.Until)
 	w.forget = max(w.forget, c.Forget)
 	w.told = max(w.told, c.Forget)
-	var kept []winch.Ended
+	var completions []winch.Ended
 	for _, e := range w.ended {
 		if e.Number > w.forget {
-			kept = append(kept, e)
+			completions = append(completions, e)
 		}
 	}
-	w.ended = kept
-	if len(kept) == 0 {
+	w.ended = completions
+	if len(completions) == 0 {
 		w.mu.Unlock()
 		time.Sleep(c.Wait)
 		w.mu.Lock()
@@ -104,14 +104,14 @@
 
 func (w *fakeWorker) Drop(winch.WorkerVM) {}
 
-// rig is a keeper with one worker and the planner's side of a session.
+// fixture is a keeper with one worker and the planner's side of a session.
 type rig struct {
 	keeper  *Keeper
 	worker  *fakeWorker
 	session proto.Session
 	mu      sync.Mutex
 	events  []proto.KeepEvent
-	// deaf has the planner's side not answer that a worker answers.
+	// withholdRenewals keeps the planner's side from allowing lease renewals.
 	deaf bool
 }
 
@@ -127,32 +127,33 @@
 func (r *rig) poll(ctx context.Context) {
 	stamp := time.Duration(0)
 	for ctx.Err() == nil {
-		news := r.keeper.Poll(ctx, proto.KeepPoll{Session: r.session, Authority: 8 * time.Second, Wait: time.Second, Stamp: stamp})
-		stamp = news.Stamp
-		if news.Session != r.session {
+		resp := r.keeper.Poll(ctx, proto.KeepPoll{Session: r.session, Authority: 8 * time.Second, Wait: time.Second, Stamp: stamp})
+		stamp = resp.Stamp
+		if resp.Session != r.session {
 			time.Sleep(10 * time.Millisecond)
 		}
 		r.mu.Lock()
-		r.events = append(r.events, news.Events...)
-		deaf := r.deaf
+		r.events = append(r.events, resp.Events...)
+		withhold := r.deaf
 		r.mu.Unlock()
-		if !deaf {
-			r.allowRenewals(news)
+		if !withhold {
+			r.allowRenewals(resp)
 		}
 	}
 }
 
-// allowRenewals does what a planner does that hears that a worker answers.
-func (r *rig) allowRenewals(news proto.KeepNews) {
-	for _, e := range news.Events {
+// allowRenewals sends the orders by which a planner allows the renewal of leases after the
+// events that report a responsive worker.
+func (r *rig) allowRenewals(resp proto.KeepNews) {
+	for _, e := range resp.Events {
 		if e.Kind == proto.EventListed || e.Kind == proto.EventBack {
 			o := proto.Order{Kind: proto.OrderRenew, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
-			r.keeper.Orders(proto.KeepOrders{Session: news.Session, Orders: []proto.Order{o}})
+			r.keeper.Orders(proto.KeepOrders{Session: resp.Session, Orders: []proto.Order{o}})
 		}
 	}
 }
 
-// setSilent has the worker answer nothing, or answer again.
+// setUnresponsive makes the worker unresponsive or responsive.
 func (r *rig) setSilent(silent bool) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
@@ -195,9 +196,9 @@
 
 var oneTask = winch.RunID{Job: "0123456789abcdef"}
 
-// A worker loses power for good. Holds that get no answer may arrive late, so
-// each could prolong the lease; if each did, the worker would never count as
-// lost, and what ran there would never run again.
+// Guards against a failed worker that never counts as lost, so that its tasks are never
+// restarted. A hold without a response may still arrive and extend the lease; if each of
+// them were assumed to do so, the lease would never expire.
 func TestSilentWorkerIsLostAfterItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -216,28 +217,29 @@
 	})
 }
 
-// The planner is lost. Its keepers go on for the authority that they have and
-// no longer: another planner starts the work elsewhere after that time.
+// Guards against a keeper that renews leases after its authority has ended. When the planner
+// fails, another planner restarts the work elsewhere after that time.
 func TestKeeperStopsWithItsAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		r := newRig(ctx)
 		time.Sleep(2 * time.Second)
-		cancel() // no more polls
+		cancel() // No more polls.
 		lost := time.Now()
 		time.Sleep(30 * time.Second)
 		r.worker.mu.Lock()
 		end := r.worker.begin.Add(r.worker.until)
 		r.worker.mu.Unlock()
-		is.True(end.Sub(lost) > 4*time.Second)             // what runs is kept for a while
-		is.True(end.Sub(lost) < 8*time.Second+time.Second) // and ends with the authority
+		is.True(end.Sub(lost) > 4*time.Second)             // Leases are renewed for a while,
+		is.True(end.Sub(lost) < 8*time.Second+time.Second) // until the authority ends.
 		r.end(cancel)
 	})
 }
 
-// A start gets no answer and did take effect. The run is stopped and its end is
-// told, so that the task can be started again; it never runs twice.
+// Guards against a task that runs twice, or never again, after a start without a response,
+// whether or not the start took effect. The run is stopped and its completion reported, so
+// that the task can be restarted.
 func TestUnansweredStartIsStopped(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -260,9 +262,9 @@
 	}
 }
 
-// A planner that was replaced and is cut off from the store goes on asking a
-// keeper that serves the next planner. The keeper takes none of its orders and
-// tells it the later term.
+// Guards against a replaced planner that stays active. Partitioned from the store, it goes on
+// polling a keeper that serves its successor. The keeper ignores its assignments and returns
+// the later term.
 func TestKeeperTellsAnOlderPlannerTheLaterTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -270,16 +272,16 @@
 		r := newRig(ctx)
 		r.keeper.Set(proto.KeepSet{Session: proto.Session{Term: 2, Number: 1}, Authority: time.Second})
 		r.keeper.Set(proto.KeepSet{Session: proto.Session{Term: 1, Number: 9}, Authority: time.Second})
-		news := r.keeper.Poll(ctx, proto.KeepPoll{Session: r.session, Wait: time.Second})
-		is.Equal(news.Session, proto.Session{})
-		is.Equal(news.Term, uint64(2))
+		resp := r.keeper.Poll(ctx, proto.KeepPoll{Session: r.session, Wait: time.Second})
+		is.Equal(resp.Session, proto.Session{})
+		is.Equal(resp.Term, uint64(2))
 		r.end(cancel)
 	})
 }
 
-// A worker is given to another keeper and back while a start waits. The start
-// was decided under an earlier holding; if it went out, it could take effect
-// after the worker's new lists, and the task would be started twice.
+// Guards against a start sent under a later assignment than it was ordered for. The worker is
+// reassigned while the start is queued; sent now, the start could take effect after the
+// worker's new lists, and the task would be started twice.
 func TestStartOfAnEarlierHoldingIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -297,9 +299,9 @@
 	})
 }
 
-// A session of a later planner begins while workers answer. Both sides take the
-// keeper's and a worker's lock; taken in different orders, the entry would stand
-// still for good and its workers' leases lapse.
+// Guards against a deadlock between the start of a later planner's session and a worker's
+// response. Both acquire the keeper's and a holder's lock; in different orders they would
+// deadlock, and the workers' leases would expire.
 func TestSessionsBeginWhileWorkersAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -317,9 +319,9 @@
 	})
 }
 
-// A worker stops answering, so its lease is about to count as lapsed, while a
-// start for it still waits. Sent now, the start would prolong the lease there:
-// the task would run on while it is started elsewhere.
+// Guards against a start sent to an unresponsive worker. Its lease is about to count as
+// expired; the start would extend it at the worker, and tasks there would run on while they
+// are restarted elsewhere.
 func TestNoStartAtASilentWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -340,8 +342,8 @@
 	})
 }
 
-// reboot makes the worker another boot under the same ID: it knows nothing, and
-// its clock and the numbers of its ends start anew.
+// reboot replaces the worker by another boot with the same ID: its state is empty, and its
+// clock and completion numbers start anew.
 func (w *fakeWorker) reboot() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -349,9 +351,9 @@
 	w.running, w.ended, w.silent = nil, nil, false
 }
 
-// A worker crashes and comes back under the same ID. The next hold must not tell
-// the new boot which ends of the old one are recorded: it would drop ends that
-// nobody has seen, and tasks that are done would run again.
+// Guards against a hold that carries the completion numbers of the previous boot. A worker
+// crashes and returns under the same ID; it would drop completions that nobody has seen, and
+// finished tasks would run again.
 func TestNextBootIsToldNoNumbersOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -368,14 +370,14 @@
 		r.worker.mu.Lock()
 		is.Equal(r.worker.told, uint64(0))
 		r.worker.mu.Unlock()
-		is.Equal(r.count(proto.EventLost), 1) // its clock tells it from the last boot
+		is.Equal(r.count(proto.EventLost), 1) // The clock shows that it is another boot.
 		r.end(cancel)
 	})
 }
 
-// A worker comes back under the same ID so soon that a start reaches the new boot
-// before any hold has noticed. Its answer shows a clock that has gone back: the run
-// is stopped there before the task may be started elsewhere.
+// Guards against a run left at a new boot. A worker returns under the same ID so quickly that
+// a start reaches the new boot before any hold detects it. The clock in the response has gone
+// back, so the run must be stopped before the task can be started elsewhere.
 func TestStartAtTheNextBootIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -396,10 +398,11 @@
 	})
 }
 
-// A planner takes over and stops a run at once, before the worker has listed anything
-// to it. The run has ended well by then, which only the lists tell. Said to have
-// vanished, it would be taken off the standby's copy though its end is not recorded,
-// and be started a second time if the planner were lost while the store is away.
+// Guards against EventVanished for a run whose completion is still to be listed. A planner
+// takes over and stops a run before the worker's first lists; the run has already succeeded,
+// which only the lists show. Reported as vanished, it would be removed from the standby's
+// replica although its completion is not recorded, and be started again if the planner failed
+// during a store outage.
 func TestRunThatIsStoppedBeforeTheListsHasNotVanished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/keep/lease.go
+++ b/coord/keep/lease.go
@@ -11,7 +11,7 @@
 // close stops sending starts and renewing the lease. It returns the time at which all leases
 // at the worker are guaranteed to have expired, and whether this is the worker's last known
 // assignment: a later one may have renewed the lease.
-func (h *holder) close() (lapse time.Time, last bool) {
+func (h *holder) close() (expiry time.Time, last bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
--- a/coord/keep/lapse_test.go
+++ b/coord/keep/lease_test.go
@@ -12,10 +12,10 @@
 	"plantainwinch/winch"
 )
 
-// A worker loses power, and its keeper loses the planner before it could tell that
-// the worker had ever answered. Had it renewed the lease, the next keeper would have
-// to wait for it, without anybody knowing: so the lease is renewed only once the
-// planner knows that the worker answers.
+// Guards against a lease that the planner doesn't know of. A worker fails, and its keeper
+// loses the planner before it could report that the worker ever responded. Had the keeper
+// renewed the lease, the next keeper would have to wait for it without knowing, so the lease
+// is renewed only once the planner knows that the worker responds.
 func TestLeaseIsRenewedOnceThePlannerKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,9 +38,9 @@
 	})
 }
 
-// A worker is silent for a moment. That the planner knew of its answers before says
-// nothing of the answers after: until it has heard of these too, what it was told
-// of the end of the lease has to stay true.
+// Guards against a renewal allowed by an outdated permission. After a short unresponsive
+// period, the planner knows of the responses before it but not of those after it: until those
+// are reported, the lease expiry reported to it must stay valid.
 func TestPermissionOfAnEarlierSpellRenewsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,7 +54,7 @@
 		for r.count(proto.EventSilent) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		told := time.Now()
+		reported := time.Now()
 		left := r.last(proto.EventSilent).Left
 		time.Sleep(time.Second)
 		r.setSilent(false)
@@ -67,13 +67,14 @@
 		r.worker.mu.Lock()
 		end := r.worker.begin.Add(r.worker.until)
 		r.worker.mu.Unlock()
-		is.True(end.Before(told.Add(left)))
+		is.True(end.Before(reported.Add(left)))
 		r.end(cancel)
 	})
 }
 
-// A keeper gets a worker that was gone before. The wait for it is what earlier
-// leases leave of it, not a whole lease more, also if that is learnt later.
+// Guards against waiting longer than necessary for a worker that never responds. A keeper is
+// assigned a worker that had failed before: it waits for the remaining time of the earlier
+// leases, not for another full lease, even if a shorter time is received later.
 func TestWaitForASilentWorkerIsWhatEarlierLeasesLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -85,7 +86,7 @@
 		time.Sleep(time.Second)
 		set.Workers[0].Left = 2 * time.Second
 		r.keeper.Set(set)
-		set.Workers[0].Left = 9 * time.Second // A message that was overtaken.
+		set.Workers[0].Left = 9 * time.Second // An older message that arrives late.
 		r.keeper.Set(set)
 		time.Sleep(1900 * time.Millisecond)
 		is.Equal(r.count(proto.EventLost), 0)
@@ -95,9 +96,9 @@
 	})
 }
 
-// A worker that has just lost power is given to another keeper. The keeper that
-// gives it up says until when the last lease runs, in each answer until the planner
-// is known to have it: answers get lost.
+// Guards against losing the lease expiry of a failed worker when it is reassigned. The
+// previous keeper reports the expiry of the last lease in each response until the planner is
+// known to have received it, since responses get lost.
 func TestKeeperTellsUntilWhenItsLeasesRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -106,35 +107,35 @@
 		time.Sleep(3 * time.Second)
 		r.setSilent(true)
 		time.Sleep(time.Second)
-		cancel() // Nobody else polls from here on.
+		cancel() // Only the test polls from here on.
 		r.keeper.Poll(t.Context(), proto.KeepPoll{Session: r.session})
 		began := time.Now()
 		next := proto.Session{Term: 1, Number: 2}
 		r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
 		for range 2 {
 			r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
-			news := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
-			is.Equal(len(news.Events), 1)
-			is.Equal(news.Events[0].Kind, proto.EventReleased)
-			is.Equal(news.Events[0].Token, uint64(5))
-			left := time.Now().Add(news.Events[0].Left)
+			resp := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
+			is.Equal(len(resp.Events), 1)
+			is.Equal(resp.Events[0].Kind, proto.EventReleased)
+			is.Equal(resp.Events[0].Token, uint64(5))
+			left := time.Now().Add(resp.Events[0].Left)
 			r.worker.mu.Lock()
 			is.True(left.After(r.worker.begin.Add(r.worker.until)))
 			r.worker.mu.Unlock()
 			is.True(left.Before(began.Add(Surely(6 * time.Second))))
-			next.Number++ // The answer was lost; a new session begins.
+			next.Number++ // The response was lost; a new session begins.
 			r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
 		}
 		r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
-		news := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
-		is.Equal(len(news.Events), 0)
+		resp := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
+		is.Equal(len(resp.Events), 0)
 		r.end(cancel)
 	})
 }
 
-// A worker was given to another keeper, which renews its lease, and this one has heard
-// only from the worker itself. A later planner that took its word for the last one
-// would start the work a second time.
+// Guards against reporting the lease expiry of a fenced assignment. The worker was assigned to
+// another keeper, which renews its lease, and this keeper learned of that only from the worker.
+// A later planner that took the reported expiry for the last one would start the work twice.
 func TestFencedHoldingTellsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -149,18 +150,18 @@
 		cancel()
 		later := proto.Session{Term: 2, Number: 1}
 		r.keeper.Set(proto.KeepSet{Session: later, Authority: 8 * time.Second})
-		news := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: later, Wait: time.Second})
-		is.Equal(len(news.Events), 0)
+		resp := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: later, Wait: time.Second})
+		is.Equal(len(resp.Events), 0)
 		r.end(cancel)
 	})
 }
 
-// A worker whose lease another keeper has just renewed answers its next keeper once.
-// The planner hears of it, and counts on the leases of earlier holdings no more; its
-// permission to renew still waits for the standby. Before that comes the planner tells
-// the keeper its workers once more, for the sake of another one, with nothing left of
-// earlier leases for this one. The worker is cut off then. It must not be lost while
-// the lease of the other keeper runs on: its work would run twice.
+// Guards against dropping the lease of an earlier assignment too early. A worker whose lease
+// another keeper has just renewed responds once to its next keeper, then is partitioned. The
+// planner knows of the response and no longer sends the remaining time of earlier leases, but
+// its permission to renew still waits for the standby when it sends the set of assignments
+// again because of another worker. If the worker counted as lost while the other keeper's lease
+// still runs, its work would run twice.
 func TestSetAfterTheListsDoesNotEndAnEarlierLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
@@ -176,7 +177,7 @@
 		r.keeper.Set(set)
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(r.last(proto.EventListed).Token, uint64(6))
-		set.Workers[0].Left = 0 // The planner has heard of the lists.
+		set.Workers[0].Left = 0 // The planner has received the lists.
 		r.keeper.Set(set)
 		r.setSilent(true)
 		for r.count(proto.EventLost) == 0 {
@@ -189,9 +190,10 @@
 	})
 }
 
-// A planner drops a worker that has left, and is told until when work may have run there; then
-// the store is away, and its record of the worker stays. The next planner goes by that record:
-// not told the same, it waits for the longest lease from its own beginning.
+// Guards against a needless wait by a later planner. A planner removes a worker and receives its
+// lease expiry, but the store is unavailable, so the roster still holds the worker. The next
+// planner starts from the roster: without the same report it would wait for the longest lease
+// from its own start.
 func TestLaterPlannerIsToldOfWorkersThatWereDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -203,16 +205,16 @@
 		r.keeper.Set(proto.KeepSet{Session: r.session, Authority: 8 * time.Second})
 		time.Sleep(time.Second)
 		is.Equal(r.count(proto.EventReleased), 1)
-		told := r.last(proto.EventReleased)
+		reported := r.last(proto.EventReleased)
 		time.Sleep(10 * time.Second)
 		r.setSilent(false)
 		next := proto.Session{Term: 2, Number: 1}
 		r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
-		news := r.keeper.Poll(ctx, proto.KeepPoll{Session: next, Wait: time.Second})
-		is.Equal(len(news.Events), 1)
-		is.Equal(news.Events[0].Kind, proto.EventReleased)
-		is.Equal(news.Events[0].Turn, told.Turn)
-		is.Equal(news.Events[0].Left, time.Duration(0)) // it has passed
+		resp := r.keeper.Poll(ctx, proto.KeepPoll{Session: next, Wait: time.Second})
+		is.Equal(len(resp.Events), 1)
+		is.Equal(resp.Events[0].Kind, proto.EventReleased)
+		is.Equal(resp.Events[0].Turn, reported.Turn)
+		is.Equal(resp.Events[0].Left, time.Duration(0)) // The expiry has passed.
 		r.end(cancel)
 	})
 }
--- a/coord/keep/lists.go
+++ b/coord/keep/lists.go
@@ -10,88 +10,88 @@
 )
 
 // handleResponse applies the lists in a worker's response and emits the resulting events.
-func (h *holder) answered(sent time.Time, answer winch.Holding) {
-	for _, e := range h.compareAll(sent, answer) {
+func (h *holder) answered(sent time.Time, resp winch.Holding) {
+	for _, e := range h.compareAll(sent, resp) {
 		h.emit(e)
 	}
 }
 
 // applyLists applies a worker's lists and returns the resulting events. It doesn't emit
 // them itself: the keeper's lock is never acquired while the holder's is held.
-func (h *holder) compareAll(sent time.Time, answer winch.Holding) []proto.KeepEvent {
+func (h *holder) compareAll(sent time.Time, resp winch.Holding) []proto.KeepEvent {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.listed && h.outdated(answer) {
+	if h.listed && h.outdated(resp) {
 		return nil
 	}
-	h.listsAt = max(h.listsAt, answer.Clock)
-	back := h.silent
+	h.listsAt = max(h.listsAt, resp.Clock)
+	wasUnresponsive := h.silent
 	h.silent = false
 	now := time.Now()
-	blind := time.Duration(0)
-	if back || h.doubted {
-		blind = now.Sub(h.heard)
+	sinceContact := time.Duration(0)
+	if wasUnresponsive || h.doubted {
+		sinceContact = now.Sub(h.heard)
 	}
 	h.doubted = false
 	h.heard = now
-	if back {
+	if wasUnresponsive {
 		h.keeper.Log.Info("worker responsive again", zap.String("worker", h.vm.ID), zap.Uint64("token", h.token))
 	}
-	var fresh []winch.Ended
-	h.told = answer.Ended
-	for _, e := range answer.Ended {
+	var completed []winch.Ended
+	h.told = resp.Ended
+	for _, e := range resp.Ended {
 		if e.Number > h.lastEnd {
 			h.lastEnd = e.Number
-			fresh = append(fresh, e)
+			completed = append(completed, e)
 		}
 		delete(h.runs, runKey{e.Task, e.Run})
 	}
 	if !h.listed {
-		return []proto.KeepEvent{h.first(answer, fresh)}
+		return []proto.KeepEvent{h.first(resp, completed)}
 	}
 	var out []proto.KeepEvent
-	if back {
+	if wasUnresponsive {
 		out = append(out, proto.KeepEvent{Kind: proto.EventBack, Spell: h.spell})
 	}
-	if len(fresh) > 0 {
-		out = append(out, proto.KeepEvent{Kind: proto.EventEnded, Ended: fresh, Blind: blind})
+	if len(completed) > 0 {
+		out = append(out, proto.KeepEvent{Kind: proto.EventEnded, Ended: completed, Blind: sinceContact})
 	}
-	out = append(out, h.compare(sent, answer)...)
-	return append(out, h.look(answer.Running)...)
+	out = append(out, h.compare(sent, resp)...)
+	return append(out, h.look(resp.Running)...)
 }
 
 // outdated reports whether newer lists were already applied: responses can arrive out of
 // order. The caller holds the mutex.
-func (h *holder) outdated(answer winch.Holding) bool {
+func (h *holder) outdated(resp winch.Holding) bool {
 	last := uint64(0)
-	for _, e := range answer.Ended {
+	for _, e := range resp.Ended {
 		last = max(last, e.Number)
 	}
-	return answer.Clock > 0 && (answer.Clock < h.listsAt || answer.Clock == h.listsAt && last < h.lastEnd)
+	return resp.Clock > 0 && (resp.Clock < h.listsAt || resp.Clock == h.listsAt && last < h.lastEnd)
 }
 
 // firstLists returns the event that reports the complete first lists.
-func (h *holder) first(answer winch.Holding, ends []winch.Ended) proto.KeepEvent {
+func (h *holder) first(resp winch.Holding, completed []winch.Ended) proto.KeepEvent {
 	h.listed = true
 	// Earlier assignments are fenced off from now on, so a lease they renewed last expires
 	// after one full lease at the latest.
 	if until := time.Now().Add(Surely(h.keeper.Lease)); until.Before(h.prior) {
 		h.prior = until
 	}
-	for _, r := range answer.Running {
+	for _, r := range resp.Running {
 		h.runs[runKey{r.Task, r.Run}] = &known{acked: h.began}
 	}
-	return proto.KeepEvent{Kind: proto.EventListed, Running: answer.Running, Ended: ends, Spell: h.spell}
+	return proto.KeepEvent{Kind: proto.EventListed, Running: resp.Running, Ended: completed, Spell: h.spell}
 }
 
 // compareRuns returns events for the runs that the worker no longer has, and for those that
 // it unexpectedly has. Only orders confirmed before the hold was sent count, since responses
 // on different connections can arrive out of order.
-func (h *holder) compare(sent time.Time, answer winch.Holding) []proto.KeepEvent {
+func (h *holder) compare(sent time.Time, resp winch.Holding) []proto.KeepEvent {
 	var out []proto.KeepEvent
-	running := make(map[runKey]bool, len(answer.Running))
+	running := make(map[runKey]bool, len(resp.Running))
 	var found []winch.Running
-	for _, r := range answer.Running {
+	for _, r := range resp.Running {
 		key := runKey{r.Task, r.Run}
 		running[key] = true
 		if h.runs[key] == nil {
@@ -102,7 +102,7 @@
 	if len(found) > 0 {
 		out = append(out, proto.KeepEvent{Kind: proto.EventFound, Running: found})
 	}
-	if len(answer.Ended) >= mostListed {
+	if len(resp.Ended) >= mostListed {
 		return out
 	}
 	for key, r := range h.runs {
--- a/coord/keep/trips.go
+++ b/coord/keep/roundtrip.go
@@ -37,15 +37,15 @@
 }
 
 // observe adds the round-trip time of a call that the worker answered without a wait.
-func (t *trips) answered(took time.Duration) {
+func (t *trips) answered(roundTrip time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.known {
-		t.known, t.mean, t.spread = true, took, took/2
+		t.known, t.mean, t.spread = true, roundTrip, roundTrip/2
 		return
 	}
-	t.spread += time.Duration(spreadStep * float64((took-t.mean).Abs()-t.spread))
-	t.mean += time.Duration(tripStep * float64(took-t.mean))
+	t.spread += time.Duration(spreadStep * float64((roundTrip-t.mean).Abs()-t.spread))
+	t.mean += time.Duration(tripStep * float64(roundTrip-t.mean))
 }
 
 // timeout returns the timeout of a call. It doubles with each consecutive call that the
--- a/coord/keep/trips_test.go
+++ b/coord/keep/roundtrip_test.go
@@ -12,22 +12,22 @@
 	"plantainwinch/winch"
 )
 
-// startOrder orders a start of a run of the only task.
+// orderStart orders a start of a run of oneTask.
 func (r *rig) startOrder(run uint64) {
 	r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{
 		{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: run},
 	}})
 }
 
-// loseStarts makes starts go unanswered, or not.
+// loseStarts sets whether the responses to starts are lost.
 func (r *rig) loseStarts(lose bool) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.worker.loseStarts = lose
 }
 
-// A start is not answered. Its task waits until the hold that is on its way ends,
-// although the worker says at once that the run is not there.
+// Guards against a task that waits too long after a start without a response: until the pending
+// hold ends, although the worker could list at once that the run doesn't exist.
 func TestTaskOfAnUnansweredStartIsFreeSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -45,9 +45,8 @@
 	})
 }
 
-// Nothing is heard of a worker's ends from the loss of an answer until the next hold.
-// While answers are lost, holds are short; without losses each look would cost for
-// nothing.
+// Guards against completions that go unnoticed after a lost response until the next hold. Holds
+// must be short while responses are lost, and long without losses, when short ones only cost.
 func TestHoldsAreShortWhileAnswersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -76,8 +75,8 @@
 	})
 }
 
-// Two lists are on their way at once, and the older one comes last: a run that has
-// ended meanwhile would be taken for one that was found.
+// Guards against applying lists out of order. Two responses are in flight and the older one
+// arrives last: a run that has ended in between would be reported as found.
 func TestOlderListsThatComeLastAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -100,7 +99,7 @@
 	})
 }
 
-// A worker behind a slow link is given up although it only answers late.
+// Guards against giving up a worker behind a slow link whose responses are merely late.
 func TestAnswerLimitFollowsRoundTrips(t *testing.T) {
 	is := is.New(t)
 	var x trips
@@ -118,7 +117,7 @@
 	is.True(x.limit(0) <= mostAnswer)
 }
 
-// A worker that is gone answers nothing for good; that is no loss of answers.
+// Guards against taking a failed worker, which never responds again, for lost responses.
 func TestWorkerThatIsGoneLosesNoAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/keep/send.go
+++ b/coord/keep/send.go
@@ -54,7 +54,7 @@
 		Checkpoint: c.Checkpoint, Ticket: c.Ticket, Until: until,
 	})
 	h.noteOrder(now, result != winch.StartUncertain)
-	if reborn := h.setClock(clock); reborn {
+	if otherBoot := h.setClock(clock); otherBoot {
 		h.startedElsewhere(ctx, key)
 		return
 	}
@@ -63,7 +63,8 @@
 		h.confirm(key, false)
 		h.emit(proto.KeepEvent{Kind: proto.EventStarted, Task: c.Task, Run: c.Run})
 	case winch.StartUncertain:
-		h.keeper.Log.Info("no response to a start, stopping the run", zap.String("job", c.Task.Job), zap.Any("task", c.Task), zap.Uint64("run", c.Run), zap.String("worker", h.vm.ID))
+		h.keeper.Log.Info("no response to a start, stopping the run", zap.String("job", c.Task.Job),
+			zap.Any("task", c.Task), zap.Uint64("run", c.Run), zap.String("worker", h.vm.ID))
 		h.stopUntilHeard(ctx, key, true)
 	case winch.StartOtherBoot:
 		h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
--- a/coord/lanes/lanes.go
+++ b/coord/lanes/lanes.go
@@ -1,6 +1,6 @@
-// Package lanes deals questions to the advice service over the entries of a
-// region. The service answers one question at a time for each entry, so an
-// entry is a lane; a question behind a slow one waits for all of it.
+// Package lanes distributes requests to the advice service over the entries of a region. The
+// service handles one request at a time for each entry, so each entry is a lane, and a request
+// queued behind a slow one waits until that completes.
 package lanes
 
 import (
@@ -10,38 +10,39 @@
 )
 
 const (
-	// urgentSpare is how many times the lanes that urgent questions have lately taken
-	// are left to them by slow ones. A slow one takes half a second and more, an urgent
-	// one some 30 ms; with no lane kept free, urgent ones wait behind slow ones for most
-	// of their time. At most urgentMost of the lanes are left.
+	// urgentReserveFactor is the number of lanes that slow requests leave to urgent ones, as
+	// a multiple of the urgent ones' recent mean use. A slow request takes half a second and
+	// more, an urgent one some 30 ms; without a reserve, urgent requests spend most of their
+	// time waiting behind slow ones. At most the fraction maxUrgentReserve of the lanes is
+	// reserved.
 	urgentSpare = 2.0
 	urgentMost  = 0.5
-	// urgentHalf is how long it takes until half of a change of their use is noticed.
+	// urgentHalfLife is the half-life of the moving average of their use.
 	urgentHalf = 3 * time.Second
-	// restAfterFailure is how long a lane that gave no answer is left alone.
+	// failureBackoff is how long a lane is not used after a failed request.
 	restAfterFailure = time.Second
 )
 
-// Question is one question that waits for a lane.
+// Request is one request that waits for a lane. Requests of a lower Rank go first.
 type Question[T any] struct {
 	Body   T
 	Urgent bool
 	Rank   float64
 }
 
-// Lanes holds the lanes and what waits for them. It is owned by one goroutine.
+// Lanes holds the lanes and the requests that wait for them. It is not safe for concurrent use.
 type Lanes[T any] struct {
 	lanes map[string]*lane
-	// urgentOnes and slowOnes hold what waits, the lowest rank first.
+	// urgentQueue and slowQueue hold the waiting requests.
 	urgentOnes, slowOnes queue[T]
-	slow                 int // slow counts lanes that are busy with questions that are not urgent.
-	urgent               int // urgent counts those that are busy with urgent ones.
-	// use is the mean of urgent up to at.
+	slow                 int // busySlow counts the lanes that are busy with slow requests.
+	urgent               int // busyUrgent counts those that are busy with urgent ones.
+	// urgentUse is the moving average of busyUrgent, updated last at measuredAt.
 	use float64
 	at  time.Time
 }
 
-// queue holds questions, the lowest rank first, and of equal ranks the earliest.
+// queue holds requests sorted by rank, the lowest first, and among equal ranks the earliest.
 type queue[T any] []Question[T]
 
 func (q *queue[T]) add(x Question[T]) {
@@ -66,8 +67,8 @@
 	rest   time.Time
 }
 
-// SetLanes names the lanes there are. What a lane that is gone was asked still
-// has to be ended with Done.
+// SetLanes sets the names of the lanes. The pending request of a removed lane still has to
+// be ended with Done.
 func (l *Lanes[T]) SetLanes(names []string) {
 	if l.lanes == nil {
 		l.lanes = make(map[string]*lane)
@@ -84,7 +85,7 @@
 	}
 }
 
-// Add queues a question.
+// Add queues a request.
 func (l *Lanes[T]) Add(q Question[T]) {
 	if q.Urgent {
 		l.urgentOnes.add(q)
@@ -93,13 +94,13 @@
 	}
 }
 
-// Waiting returns the number of queued questions.
+// Waiting returns the number of queued requests.
 func (l *Lanes[T]) Waiting() int {
 	return len(l.urgentOnes) + len(l.slowOnes)
 }
 
-// Openings returns how many urgent and how many other questions free lanes can take now
-// beyond those that are queued.
+// Available returns how many more urgent and how many more slow requests could be sent now,
+// beyond the queued ones.
 func (l *Lanes[T]) Openings(now time.Time) (urgent, slow int) {
 	l.measure(now)
 	free := 0
@@ -112,8 +113,7 @@
 	return free, max(0, min(free, l.mostSlow()-l.slow-len(l.slowOnes)))
 }
 
-// Next returns a free lane and the question to ask there, or false if nothing
-// can be asked now.
+// Next returns a free lane and the request to send there, or false if none can be sent now.
 func (l *Lanes[T]) Next(now time.Time) (string, Question[T], bool) {
 	var none Question[T]
 	if l.Waiting() == 0 {
@@ -138,36 +138,36 @@
 	return name, l.slowOnes.take(), true
 }
 
-// mostSlow is how many lanes may be busy with slow questions.
+// maxSlow returns how many lanes may be busy with slow requests.
 func (l *Lanes[T]) mostSlow() int {
 	n := len(l.lanes)
 	if n <= 1 {
 		return n
 	}
-	kept := min(int(math.Ceil(urgentSpare*l.use)), int(urgentMost*float64(n)))
-	return n - max(1, kept)
+	reserved := min(int(math.Ceil(urgentSpare*l.use)), int(urgentMost*float64(n)))
+	return n - max(1, reserved)
 }
 
-// measure takes what urgent questions have used since the last call into the mean.
+// updateUrgentUse adds the use since the last call to the moving average.
 func (l *Lanes[T]) measure(now time.Time) {
 	if !l.at.IsZero() {
-		kept := math.Exp2(-now.Sub(l.at).Seconds() / urgentHalf.Seconds())
-		l.use += (1 - kept) * (float64(l.urgent) - l.use)
+		weight := math.Exp2(-now.Sub(l.at).Seconds() / urgentHalf.Seconds())
+		l.use += (1 - weight) * (float64(l.urgent) - l.use)
 	}
 	l.at = now
 }
 
 func (l *Lanes[T]) free(now time.Time) string {
-	best := ""
+	first := ""
 	for name, x := range l.lanes {
-		if !x.busy && now.After(x.rest) && (best == "" || name < best) {
-			best = name
+		if !x.busy && now.After(x.rest) && (first == "" || name < first) {
+			first = name
 		}
 	}
-	return best
+	return first
 }
 
-// Done frees a lane; ok says that its question was answered.
+// Done frees a lane; ok reports whether its request was answered.
 func (l *Lanes[T]) Done(name string, ok bool, now time.Time) {
 	x := l.lanes[name]
 	if x == nil || !x.busy {
--- a/coord/lanes/lanes_test.go
+++ b/coord/lanes/lanes_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// play asks questions of each kind at a rate for some time and returns how many slow
-// ones were on their way at most, and how long urgent ones waited at most.
+// simulate sends urgent requests at a fixed rate and slow ones whenever a lane is free. It
+// returns, for the second half of the time, the maximum number of slow requests in flight
+// and the maximum waiting time of an urgent one.
 func play(lanes int, urgentGap, urgentTime, slowTime, length time.Duration) (slow int, waited time.Duration) {
 	var l Lanes[time.Time]
 	var names []string
@@ -56,8 +57,8 @@
 	return slow, waited
 }
 
-// A third of the lanes stands idle where hardly any urgent question comes, while slow
-// ones wait.
+// Guards against reserving lanes that urgent requests hardly use: with a fixed reserve a third
+// of the lanes stays idle while slow requests wait.
 func TestSlowQuestionsTakeLanesThatUrgentOnesDoNotUse(t *testing.T) {
 	is := is.New(t)
 	slow, _ := play(30, 0, 0, 500*time.Millisecond, 30*time.Second)
@@ -67,14 +68,14 @@
 	is.True(waited < 100*time.Millisecond)
 }
 
-// Urgent questions that come in a burst wait behind slow ones that take half a second.
+// Guards against a burst of urgent requests that waits behind slow ones of half a second.
 func TestUrgentQuestionsFindALaneInABurst(t *testing.T) {
 	is := is.New(t)
 	_, waited := play(7, 16*time.Millisecond, 30*time.Millisecond, 500*time.Millisecond, 30*time.Second)
 	is.True(waited <= 100*time.Millisecond)
 }
 
-// A lane that gave no answer is asked again at once, and its question is lost anew.
+// Guards against using a lane again right after a failed request, which loses the next one too.
 func TestLaneThatFailedRests(t *testing.T) {
 	is := is.New(t)
 	var l Lanes[int]
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,6 +1,6 @@
-// Package duty runs one goroutine that owns a piece of state. Others hand it
-// functions through a bounded ring, so the state needs no lock and a flood of
-// work is refused at the ring instead of piling up.
+// Package duty provides an event loop: one goroutine that owns a piece of state and runs
+// the functions that others queue. The state needs no lock, and the queue is bounded, so
+// excess work is refused instead of piling up.
 package duty
 
 import (
@@ -12,16 +12,17 @@
 	"github.com/sourcegraph/conc"
 )
 
-// ErrFull is returned when the ring has no room.
-var ErrFull = errors.New("ring is full")
+// ErrFull is returned when the queue is full.
+var ErrFull = errors.New("work queue is full")
 
-// ErrStopped is returned once the duty has ended.
-var ErrStopped = errors.New("duty has stopped")
+// ErrStopped is returned once the loop has ended.
+var ErrStopped = errors.New("event loop has stopped")
 
-// DefaultSize is the ring's size where none is set.
+// DefaultSize is the size of the queue if none is given.
 const DefaultSize = 1024
 
-// Duty owns state that only functions run by it may touch.
+// Loop runs queued functions one at a time in one goroutine. The state it owns may be
+// accessed only by these functions.
 type Duty struct {
 	Name    string
 	Size    int
@@ -32,7 +33,7 @@
 	refused metrics.Counter
 }
 
-// New returns a duty that accepts work at once and does it after Run is called.
+// New returns a loop that accepts functions at once and runs them after Run is called.
 func New(name string, size int, reg metrics.Registry) *Duty {
 	if size == 0 {
 		size = DefaultSize
@@ -50,12 +51,12 @@
 	return d
 }
 
-// Run does the work until ctx ends.
+// Run runs the queued functions until ctx ends.
 func (d *Duty) Run(ctx context.Context) {
 	d.Every(ctx, nil, nil)
 }
 
-// Every does the work until ctx ends, and f whenever tick fires.
+// RunWithTick runs the queued functions until ctx ends, and f whenever tick fires.
 func (d *Duty) Every(ctx context.Context, tick <-chan time.Time, f func()) {
 	defer close(d.stopped)
 	for {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Post hands f over without waiting for it and returns ErrFull if the ring has no room.
+// Post queues f without waiting for it to run. It returns ErrFull if the queue is full.
 func (d *Duty) Post(f func()) error {
 	select {
 	case d.ring <- f:
@@ -81,8 +82,8 @@
 	}
 }
 
-// Do waits for room, then until f has run. Work of a bounded number of callers
-// goes through here; what a peer or caller can send at will goes through Post.
+// Do waits until f is queued and has run. It is meant for a bounded number of callers;
+// work that peers or callers can send without limit must go through Post.
 func (d *Duty) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	task := func() {
@@ -104,8 +105,8 @@
 	}
 }
 
-// Until runs f with a context that also ends when stop is closed or sends, and
-// reports whether it did. f must return soon after its context has ended.
+// RunUntil runs f with a context that is also cancelled when stop is closed or receives a
+// value, and reports whether that happened. f must return soon after its context has ended.
 func Until(ctx context.Context, stop <-chan struct{}, f func(ctx context.Context)) (stopped bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
--- a/duty/until_test.go
+++ b/duty/duty_test.go
@@ -11,8 +11,8 @@
 	"plantainwinch/duty"
 )
 
-// A call that waits is ended by a signal before its own time, and one that ends by
-// itself is not reported as stopped.
+// Guards against a waiting call that outlasts a stop signal, and against reporting a call that
+// returned by itself as stopped.
 func TestUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/duty/wait.go
+++ b/duty/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a time, or until ctx ends.
+// Sleep waits for the duration d, or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -15,8 +15,8 @@
 	}
 }
 
-// Signal wakes whoever waits on a channel of one place; a signal that is there
-// already stands for both.
+// Signal wakes the receiver of a channel with a buffer of one. If a signal is already
+// pending, the two are merged.
 func Signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/proto/proto.go
+++ b/proto/proto.go
@@ -13,7 +13,7 @@
 // each other's Hello, before any other message.
 const Version = 2
 
-// Kinds of the messages between the entries of a cell.
+// Kinds of the messages between entries.
 const (
 	KindHello     winch.Kind = "Hello"
 	KindBeat      winch.Kind = "Beat"
--- a/winch/check.go
+++ b/winch/check.go
@@ -3,16 +3,17 @@
 import "github.com/ansel1/merry/v2"
 
 const (
-	// mostTasks bounds the tasks of one job, over all its runs; more would let one
-	// caller fill an entry's memory.
+	// maxTasks bounds the tasks of one job over all its repetitions, so that a single
+	// caller can't exhaust an entry's memory.
 	mostTasks = 100_000
-	// mostPhases bounds the phases of one job.
+	// maxPhases bounds the phases of one job.
 	mostPhases = 1000
-	// mostCommand bounds a command in bytes: a record holds it beside its phases.
+	// maxCommand bounds the size of a command in bytes, because it is stored together with
+	// the phases of its job.
 	mostCommand = 64 << 10
 )
 
-// Check reports the first thing that is wrong with a job that a caller hands in.
+// Check returns an error for the first invalid value of a submitted job.
 func (j *PhasedJob) Check() error {
 	if len(j.Phases) == 0 || len(j.Phases) > mostPhases {
 		return merry.Errorf("give 1 to %d phases", mostPhases)
--- a/winch/data.go
+++ b/winch/data.go
@@ -8,19 +8,20 @@
 // Bytes is an amount of memory or data.
 type Bytes int64
 
-// Resources is what a task needs or a VM has.
+// Resources is an amount of processors, memory and accelerators, needed by a task of a cell
+// or available at a VM.
 type Resources struct {
 	Processors   int
 	Memory       Bytes
 	Accelerators int
 }
 
-// Add returns the sum of both.
+// Add returns r plus o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.Processors + o.Processors, r.Memory + o.Memory, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r less o.
+// Sub returns r minus o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.Processors - o.Processors, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
 }
@@ -30,7 +31,7 @@
 	return r.Processors <= o.Processors && r.Memory <= o.Memory && r.Accelerators <= o.Accelerators
 }
 
-// Role is what a VM is for.
+// Role is the purpose of a VM.
 type Role string
 
 // Roles of VMs.
@@ -40,7 +41,7 @@
 	RoleExecutor Role = "Executor"
 )
 
-// VM is one row of the platform's lagging list.
+// VM is one row of the platform's list of VMs, which lags behind reality.
 type VM struct {
 	ID          string
 	Address     string
@@ -57,17 +58,17 @@
 // Team is a group of callers with a share and an upper limit.
 type Team struct {
 	Name string
-	// Share is the team's part of a full fleet, relative to the other teams.
+	// Share is the team's part of a fully used fleet, relative to the other teams.
 	Share int
-	// Limit is the most requests and tasks the team may have running at any
-	// instant over the whole fleet.
+	// Limit is the maximum number of requests and tasks that the team may have
+	// running at the same time over the whole fleet.
 	Limit int
-	// CutOffTrust is how long the team's keys go on working in a domain that
-	// reaches neither the store nor another domain.
+	// CutOffTrust is how long the team's keys stay valid in a domain that is
+	// partitioned from both the store and all other domains.
 	CutOffTrust time.Duration
 }
 
-// KeyRole says what a key may be used for.
+// KeyRole is what a key may be used for.
 type KeyRole string
 
 // Roles of keys.
@@ -86,31 +87,31 @@
 	Issued time.Time
 }
 
-// Class is a kind of work with one target.
+// Class is a kind of work with a common target for its start or completion.
 type Class struct {
 	Name string
-	// Wait is the longest a caller should wait for the start; zero if the class
-	// has a time of day instead.
+	// Wait is the target for the time until the start; zero if the class has a time
+	// of day instead.
 	Wait time.Duration
-	// By is the time of day, UTC, as hours and minutes, by which deferred work is done.
+	// By is the time of day, in UTC as hours and minutes, by which deferred work is done.
 	By string `json:",omitempty"`
-	// Repeatable says that work of this class may be run again after it has ended.
+	// Repeatable reports whether work of this class may be run again after it has ended.
 	Repeatable bool
-	// Preemptible says that tasks of this class may be checkpointed for others.
+	// Preemptible reports whether tasks of this class may be checkpointed for others.
 	Preemptible bool
-	// MaxRun is the longest run time. Work that has given no sign of its end is
-	// taken to have ended only after this.
+	// MaxRun is the maximum run time. Work without a reported completion counts as
+	// ended only after this time.
 	MaxRun time.Duration
 }
 
-// Service is a group of executors behind one name.
+// Service is a named group of executors.
 type Service struct {
 	Name     string
 	MaxBody  Bytes
-	Approved []string // Approved lists the teams that the owner lets call, sorted.
+	Approved []string // Approved lists the teams that the owner allows to call the service, sorted.
 }
 
-// Audit is one line of the trail of changes.
+// Audit is one record of the audit trail.
 type Audit struct {
 	Version uint64
 	Time    time.Time
@@ -120,18 +121,18 @@
 	Detail  string `json:",omitempty"`
 }
 
-// Document is the whole configuration of a cell under one version.
+// Document is one version of the complete configuration of a cell.
 type Document struct {
 	Version  uint64
 	Teams    map[string]Team
 	Keys     map[string]Key
 	Classes  map[string]Class
 	Services map[string]Service
-	// Trail holds the newest audit lines; older ones are rolled into keys of their own.
+	// Trail holds the newest audit records; older ones are moved to separate keys.
 	Trail []Audit
 }
 
-// JobKind says how the tasks of a job relate to each other.
+// JobKind is the relation of the tasks of a job to each other.
 type JobKind string
 
 // Kinds of jobs.
@@ -141,16 +142,16 @@
 	LongRunning JobKind = "Service"
 )
 
-// JobSpec is what a caller submits.
+// JobSpec is a job as submitted by a caller.
 type JobSpec struct {
 	Kind    JobKind
 	Tasks   int
 	Need    Resources
-	RunTime time.Duration // RunTime is the declared run time of a task, often wrong.
+	RunTime time.Duration // RunTime is the declared run time of a task, which is often wrong.
 	Command string
 }
 
-// JobState is the stage a job has reached.
+// JobState is the state of a job.
 type JobState string
 
 // States of jobs. The last four are final.
@@ -163,7 +164,7 @@
 	JobUnknown   JobState = "Unknown"
 )
 
-// Final reports whether a job in this state changes no more.
+// Final reports whether the state of a job no longer changes.
 func (s JobState) Final() bool {
 	return s == JobDone || s == JobFailed || s == JobCancelled || s == JobUnknown
 }
@@ -183,10 +184,10 @@
 	Detail    string `json:",omitempty"`
 	// Intent lists the tasks of a non-repeatable job whose start was committed.
 	Intent []int `json:",omitempty"`
-	// EndedTasks lists the tasks that ended well.
+	// EndedTasks lists the tasks that succeeded.
 	EndedTasks []int `json:",omitempty"`
 	Failed     int   `json:",omitempty"`
-	// Epoch is the epoch of the domain's placer that was known when the job was accepted.
+	// Epoch is the known epoch of the domain's placer when the job was accepted.
 	Epoch     uint64
 	Output    []string  `json:",omitempty"`
 	Cancel    bool      `json:",omitempty"`
@@ -201,7 +202,7 @@
 	Team      string
 	RequestID string
 	Digest    string
-	Owner     string // Owner names the one attempt that may send the request.
+	Owner     string // Owner is the ID of the only attempt that may send the request.
 	Result    Result
 	Status    int    `json:",omitempty"`
 	Answer    []byte `json:",omitempty"`
@@ -210,19 +211,19 @@
 	Finished  time.Time `json:",omitzero"`
 }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// Attempt names one start of a task.
+// Attempt identifies one start of a task.
 type Attempt struct {
 	Task   TaskID
 	Number int
 }
 
-// TaskState is what a worker knows of a task.
+// TaskState is the state of a task at a worker.
 type TaskState string
 
 // States of tasks at a worker.
@@ -233,7 +234,7 @@
 	TaskStopped TaskState = "Stopped"
 )
 
-// Task is a task as it is started at, or listed by, a worker.
+// Task is a task as sent to a worker to start it, or as listed by a worker.
 type Task struct {
 	ID      TaskID
 	Team    string
@@ -241,13 +242,13 @@
 	Need    Resources
 	RunTime time.Duration
 	Command string
-	// Attempt tells the starts of one task apart.
+	// Attempt is the number of the start, unique for each start of the task.
 	Attempt int
 	State   TaskState
 	Output  string `json:",omitempty"`
 }
 
-// DomainRecord says who places work in a failure domain.
+// DomainRecord names the entry that places work in a failure domain.
 type DomainRecord struct {
 	Domain    string
 	Placer    string
@@ -255,12 +256,12 @@
 	Successor string
 }
 
-// Ref returns the name of this start of the task.
+// Ref returns the identifier of this start of the task.
 func (t Task) Ref() Attempt {
 	return Attempt{Task: t.ID, Number: t.Attempt}
 }
 
-// String returns the task's name as job and index.
+// String returns the ID as "job.index".
 func (t TaskID) String() string {
 	return t.Job + "." + strconv.Itoa(t.Index)
 }
--- a/winch/doc.go
+++ b/winch/doc.go
@@ -1,4 +1,4 @@
-// Package winch holds the interfaces of what varies between deployments and
-// the plain data that the layers of plantainwinch exchange. It imports nothing
-// else of the project, so that every other package can import it.
+// Package winch defines the interfaces to what varies between deployments and the data
+// types that the layers of plantainwinch exchange. It imports no other package of the
+// project, so that every other one can import it.
 package winch
--- a/winch/iface.go
+++ b/winch/iface.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Errors that every Store returns, wrapped or plain.
+// Errors returned by every Store, possibly wrapped.
 var (
-	// ErrMissing: the key or lease does not exist.
+	// ErrNotFound means that the key or lease does not exist.
 	ErrMissing = errors.New("key does not exist")
-	// ErrConflict: the version given is not the current one; nothing was written.
+	// ErrConflict means that the given version is not the current one; nothing was written.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnavailable: the call surely had no effect.
+	// ErrUnavailable means that the call is guaranteed to have had no effect.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrUncertain: the call may have taken effect.
+	// ErrUncertain means that the call may have taken effect.
 	ErrUncertain = errors.New("store reply lost")
 )
 
@@ -27,15 +27,15 @@
 	Version uint64
 }
 
-// Change is one event of a watch. Data is left out: a watcher gets the keys it needs.
+// Change is one event of a watch. It carries no data; the watcher reads the keys it needs.
 type Change struct {
 	Key     string
 	Version uint64
 	Deleted bool
 }
 
-// Store is the platform's key-value service. Versions rise over the whole
-// store with each write. A version of zero stands for a key that does not exist.
+// Store is the platform's key-value service. Each write increases the version of the whole
+// store. A version of zero stands for a key that does not exist.
 type Store interface {
 	Get(ctx context.Context, key string) (Value, error)
 	Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error)
@@ -44,56 +44,56 @@
 	Grant(ctx context.Context, ttl time.Duration) (string, error)
 	Renew(ctx context.Context, lease string) error
 	Revoke(ctx context.Context, lease string) error
-	// Watch waits until a key under one of the prefixes changes after the given
-	// version, or until a time set by the store, and returns the changes and the
-	// version to watch from next.
+	// Watch waits until a key under one of the prefixes has changed after the given
+	// version, or until a timeout of the store, and returns the changes and the version
+	// to continue from.
 	Watch(ctx context.Context, prefixes []string, after uint64) ([]Change, uint64, error)
 }
 
-// Lister gives the platform's lagging list of VMs.
+// Lister reads the platform's list of VMs, which lags behind reality.
 type Lister interface {
-	// VMs returns the list and its version. If the version is still the known
-	// one, the list is left out.
+	// VMs returns the list and its version. The list is omitted if the version equals
+	// known.
 	VMs(ctx context.Context, known uint64) ([]VM, uint64, error)
 }
 
-// ErrFenced is returned by a worker that knows a newer epoch.
+// ErrFenced is returned by a worker that knows a newer epoch or fencing token.
 var ErrFenced = errors.New("epoch is older than the worker's")
 
-// ErrRefused is returned by a worker that surely did not start a task.
+// ErrRefused is returned by a worker that is guaranteed not to have started a task.
 var ErrRefused = errors.New("worker refused the task")
 
 // Worker starts, renews and stops tasks on one VM at a time.
 type Worker interface {
-	// Start starts a task under a lease. ErrRefused and ErrFenced mean that it
-	// surely was not started; any other error that it may have been.
+	// Start starts a task under a lease. ErrRefused and ErrFenced guarantee that it was
+	// not started; after any other error it may have been.
 	Start(ctx context.Context, vm VM, epoch uint64, task Task, lease time.Duration) error
-	// Renew extends the leases of all tasks on the VM and reports what ended.
+	// Renew extends the leases of all tasks on the VM and returns the completed ones.
 	Renew(ctx context.Context, vm VM, call Renewal) (Report, error)
-	// Stop stops a task and reports whether the worker had it. A worker that did
-	// not have it refuses a start of the same attempt that arrives later.
+	// Stop stops a task and reports whether the worker knew it. A worker that did not
+	// know it refuses a start of the same attempt that arrives later.
 	Stop(ctx context.Context, vm VM, epoch uint64, task Task) (bool, error)
 }
 
-// Renewal is one message that renews the leases of all tasks on a VM.
+// Renewal is a request that renews the leases of all tasks on a VM.
 type Renewal struct {
 	Epoch uint64
 	Lease time.Duration
-	// Wait is how long the worker may hold the answer until a task ends.
+	// Wait is how long the worker may delay its response until a task ends.
 	Wait time.Duration
-	// Full asks for the running tasks too, as a new placer needs them.
+	// Full requests the running tasks too, which a new placer needs.
 	Full bool
-	// Forget lists ended tasks whose end the caller has recorded.
+	// Forget lists ended tasks whose completion the sender has recorded.
 	Forget []Attempt
 }
 
-// Report is a worker's answer to a Renewal.
+// Report is a worker's response to a Renewal.
 type Report struct {
-	// Tasks holds the ended tasks that were not forgotten yet, and the running
-	// ones if they were asked for.
+	// Tasks holds the ended tasks that were not yet listed in a Forget, and the running
+	// ones if they were requested.
 	Tasks   []Task
 	Running int
-	// Usage is what the running tasks really use; it lags.
+	// Usage is the measured use of the running tasks, with a delay.
 	Usage Resources
 }
 
@@ -107,15 +107,15 @@
 	Length int64
 }
 
-// Answer is an executor's answer whose body is still to be read.
+// Response is an executor's response whose body is still to be read.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// Executor sends one request to one executor. The bool reports whether any byte
-// of the request may have left; when it is false, the request surely did not run.
+// Executor sends one request to one executor. The bool reports whether any byte of the
+// request may have been sent; false guarantees that the request did not run.
 type Executor interface {
 	Send(ctx context.Context, vm VM, req Request) (*Answer, bool, error)
 }
@@ -123,23 +123,23 @@
 // ErrNoPeer is returned when there is no link to a peer; nothing was sent.
 var ErrNoPeer = errors.New("no link to the peer")
 
-// ErrPeerLost is returned when a link broke before the answer; the peer may
-// have acted.
+// ErrPeerLost is returned when a link failed before the response; the peer may have
+// processed the request.
 var ErrPeerLost = errors.New("link to the peer broke")
 
-// Kind names the type of a message between entries.
+// Kind is the type of a message between entries.
 type Kind string
 
 // Peers carries messages between entries.
 type Peers interface {
-	// Ask sends a message and decodes the answer into reply.
+	// Request sends a request and decodes the response into reply.
 	Ask(ctx context.Context, to string, kind Kind, body, reply any) error
-	// Tell sends a message without an answer; it may be lost.
+	// Notify sends a notification, which has no response and may be lost.
 	Tell(to string, kind Kind, body any) error
-	// Names lists the entries that a link stands to.
+	// Names returns the entries with an established link.
 	Names() []string
 }
 
-// Handler answers messages from other entries. It decodes the body with the
-// function given and returns the answer, or nil for a message that was told.
+// Handler handles messages from other entries. It decodes the body with the given
+// function and returns the response, or nil for a notification.
 type Handler func(ctx context.Context, from string, kind Kind, decode func(into any) error) any
--- a/winch/outcome.go
+++ b/winch/outcome.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Outcome is what a caller may rely on about a request.
+// Outcome is what a caller may assume about a request.
 type Outcome string
 
-// The three outcomes. NotRun promises that no part of the request has been or
-// will be executed. Unknown says that it may have been.
+// The three outcomes. NotRun guarantees that no part of the request has been or will be
+// executed. Unknown means that it may have been.
 const (
 	Done    Outcome = "Done"
 	NotRun  Outcome = "NotRun"
 	Unknown Outcome = "Unknown"
 )
 
-// Reason says why a request ended as it did.
+// Reason is the reason for the outcome of a request.
 type Reason string
 
 // Reasons for an outcome other than a plain Done.
@@ -47,8 +47,8 @@
 	CallerGone       Reason = "CallerGone"
 )
 
-// Result is the end of a request that has no executor's answer to give, or the
-// verdict that goes with one.
+// Result is the result of a request. It replaces an executor's response if there is none,
+// and accompanies it otherwise.
 type Result struct {
 	Outcome    Outcome
 	Reason     Reason        `json:",omitempty"`
@@ -56,7 +56,8 @@
 	RetryAfter time.Duration `json:",omitempty"`
 }
 
-// OK reports whether the result stands for plain success so far.
+// OK reports whether the result is a success so far: no reason is set, and the outcome is
+// Done or still unset.
 func (r Result) OK() bool {
 	return r.Reason == "" && (r.Outcome == "" || r.Outcome == Done)
 }
@@ -66,7 +67,7 @@
 	return Result{Outcome: NotRun, Reason: reason, Detail: detail}
 }
 
-// RefuseFor returns a NotRun result that says when to come back.
+// RefuseFor returns a NotRun result with a time to wait before a retry.
 func RefuseFor(reason Reason, detail string, after time.Duration) Result {
 	return Result{Outcome: NotRun, Reason: reason, Detail: detail, RetryAfter: after}
 }
--- a/winch/phase.go
+++ b/winch/phase.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Room is what a task of a phased job needs, what a worker VM has, or what a
-// team may have running at once.
+// Capacity is an amount of processors, memory and accelerators: the need of a task of a phased
+// job, the size of a worker VM, or the limit on what a team may have running at once.
 type Room struct {
 	Milli        int64 `cbor:"1,keyasint,omitempty"` // Milli is in thousandths of a processor.
 	Memory       Bytes `cbor:"2,keyasint,omitempty"`
 	Accelerators int   `cbor:"3,keyasint,omitempty"`
 }
 
-// Add returns the sum of both.
+// Add returns r plus o.
 func (r Room) Add(o Room) Room {
 	return Room{r.Milli + o.Milli, r.Memory + o.Memory, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns r less o.
+// Sub returns r minus o.
 func (r Room) Sub(o Room) Room {
 	return Room{r.Milli - o.Milli, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
 }
 
-// Times returns r n times.
+// Times returns r multiplied by n.
 func (r Room) Times(n int) Room {
 	return Room{r.Milli * int64(n), r.Memory * Bytes(n), r.Accelerators * n}
 }
 
-// Positive returns r with zero for what is below it.
+// Positive returns r with its negative values replaced by zero.
 func (r Room) Positive() Room {
 	return Room{max(0, r.Milli), max(0, r.Memory), max(0, r.Accelerators)}
 }
@@ -35,38 +35,40 @@
 	return r.Milli <= o.Milli && r.Memory <= o.Memory && r.Accelerators <= o.Accelerators
 }
 
-// Phase is a step of a phased job: Count alike tasks that may start once all
-// tasks of the phases in After have ended well.
+// Phase is a step of a phased job: Count identical tasks that may start once all tasks of
+// the phases in After have succeeded.
 type Phase struct {
-	Count    int           `cbor:"1,keyasint,omitempty"`
-	Need     Room          `cbor:"2,keyasint,omitzero"`
-	Estimate time.Duration `cbor:"3,keyasint,omitempty"` // Estimate is the caller's guess of a task's run time, often wrong.
+	Count int  `cbor:"1,keyasint,omitempty"`
+	Need  Room `cbor:"2,keyasint,omitzero"`
+	// Estimate is the caller's estimate of a task's run time, which is often wrong.
+	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
 	After    []int         `cbor:"4,keyasint,omitempty"`
-	// Checkpoints says that tasks save their progress and can resume from it.
+	// Checkpoints reports that tasks save their progress and can resume from it.
 	Checkpoints bool `cbor:"5,keyasint,omitempty"`
-	// Gang says that the tasks work only while all of them run.
+	// Gang reports that the tasks make progress only while all of them run.
 	Gang     bool   `cbor:"6,keyasint,omitempty"`
 	SameRack bool   `cbor:"7,keyasint,omitempty"`
-	Label    string `cbor:"8,keyasint,omitempty"` // Label is one that the worker VM must have.
+	Label    string `cbor:"8,keyasint,omitempty"` // Label is a label that the worker VM must have.
 	Rack     string `cbor:"9,keyasint,omitempty"` // Rack is where the data is; tasks elsewhere are slower.
-	// MostPerVM bounds the tasks of the phase on one worker VM; zero is no bound.
+	// MostPerVM is the maximum number of tasks of the phase on one worker VM; zero means no
+	// limit.
 	MostPerVM int `cbor:"10,keyasint,omitempty"`
-	// Copies says that several runs of one task may overlap.
+	// Copies allows several runs of one task to overlap.
 	Copies bool `cbor:"11,keyasint,omitempty"`
-	// Lasting says that the tasks run until the job is cancelled and are started
-	// again however they end. MayMiss of them may be away at a time through
+	// Lasting reports that the tasks run until the job is cancelled and are restarted
+	// whenever they end. MayMiss is how many of them may be down at a time because of
 	// actions of the scheduler.
 	Lasting bool   `cbor:"12,keyasint,omitempty"`
 	MayMiss int    `cbor:"13,keyasint,omitempty"`
 	Image   string `cbor:"14,keyasint,omitempty"`
 	// Target is the tail response time that a lasting task must stay below.
 	Target time.Duration `cbor:"15,keyasint,omitempty"`
-	// Fills says that the tasks use processors that the others leave idle; their
-	// Need.Milli does not count against a worker VM.
+	// Fills reports that the tasks use processor time that others leave idle; their
+	// Need.Milli does not count against the capacity of a worker VM.
 	Fills bool `cbor:"16,keyasint,omitempty"`
 }
 
-// Charge returns the room that a task of the phase takes from a worker VM.
+// Charge returns the capacity that a task of the phase occupies at a worker VM.
 func (p *Phase) Charge() Room {
 	need := p.Need
 	if p.Fills {
@@ -75,18 +77,19 @@
 	return need
 }
 
-// PhasedJob is an accepted job made of phases. All of it but Revision is
-// written once, when the job is accepted.
+// PhasedJob is an accepted job that consists of phases. Except for Revision it is written
+// once, when the job is accepted.
 type PhasedJob struct {
-	ID       string    `cbor:"1,keyasint,omitempty"` // ID is chosen by the caller and makes resubmission idempotent.
+	// ID is chosen by the caller, so that a repeated submission is idempotent.
+	ID       string    `cbor:"1,keyasint,omitempty"`
 	Queue    string    `cbor:"2,keyasint,omitempty"`
 	Team     string    `cbor:"3,keyasint,omitempty"`
-	Command  string    `cbor:"-"`                    // Command is stored and sent beside the rest.
+	Command  string    `cbor:"-"`                    // Command is stored and sent separately.
 	Origin   string    `cbor:"4,keyasint,omitempty"` // Origin names the entry that accepted the job.
 	Phases   []Phase   `cbor:"5,keyasint,omitempty"`
 	Accepted time.Time `cbor:"6,keyasint,omitzero"`
-	// Times is how often the phases are to run; zero stands for once, at once.
-	// Run k is due at First + k * Every.
+	// Times is the number of repetitions of the phases; zero means one, due at once.
+	// Repetition k is due at First + k * Every.
 	Times int           `cbor:"7,keyasint,omitempty"`
 	First time.Time     `cbor:"8,keyasint,omitzero"`
 	Every time.Duration `cbor:"9,keyasint,omitempty"`
@@ -94,40 +97,41 @@
 	Revision uint64 `cbor:"-"`
 }
 
-// Progress is what is recorded of a phased job while it runs. Only the holder
-// of the region's office writes it.
+// Progress is the stored progress of a phased job. Only the holder of the region's office
+// (the planner's leadership lease in the store) writes it.
 type Progress struct {
 	State JobState `cbor:"1,keyasint,omitempty"` // State is empty until it is final.
-	// Done lists the tasks that ended well, by run and phase, as bit sets.
+	// Done lists the tasks that succeeded, by repetition and phase, as bit sets.
 	Done map[int][][]byte `cbor:"2,keyasint,omitempty"`
-	// Failed lists the runs that ended in failure, by task or whole gang. They are
-	// named and not just counted, since a worker lists an end again to the next
-	// planner if it was not told in time that the end is recorded.
+	// Failed lists the runs that failed, by task or whole gang. They are listed rather than
+	// counted, since a worker lists a completion again to the next planner if it was not
+	// notified in time that the completion is recorded.
 	Failed map[string][]uint64 `cbor:"3,keyasint,omitempty"`
 	Ended  time.Time           `cbor:"4,keyasint,omitzero"`
-	// Crashes lists the workers that crashed under a task or a whole gang, one a run, until
-	// it has shown that it was not the cause.
+	// Crashes lists the worker crashes during runs of a task or a whole gang, one for each
+	// run, until the task or gang is shown not to be the cause.
 	Crashes map[string][]Crash `cbor:"5,keyasint,omitempty"`
-	// Probes names the next run of each that is suspected to be the cause. It is recorded
-	// before the run is started, so that no planner forgets that it may have been.
+	// Probes holds the next run of each suspect. It is recorded before the run is started,
+	// so that a later planner knows that the run may have been a probe.
 	Probes map[string]uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Crash is a worker's process that ended while a run was there.
+// Crash is a crash of a worker process during a run.
 type Crash struct {
 	_      struct{} `cbor:",toarray"`
 	Run    uint64
 	Worker string
 	At     time.Time
-	// Lived is how long the run had gone on when the worker was last heard.
+	// Lived is the age of the run at the last contact with the worker.
 	Lived time.Duration
-	// Weak says that others are likelier to be the cause, Probe that the task was suspected,
-	// ran apart from others, and nothing else explains the crash.
+	// Weak reports that other runs are more likely to be the cause. Probe reports that the
+	// task was a suspect that ran separately from others, and that nothing else explains the
+	// crash.
 	Weak  bool
 	Probe bool
 }
 
-// RunID names a task of a phased job: run K of its phases, phase and index.
+// RunID identifies a task of a phased job: repetition K of its phases, phase and index.
 type RunID struct {
 	_     struct{} `cbor:",toarray"`
 	Job   string
@@ -136,54 +140,55 @@
 	Index int
 }
 
-// Queue is where phased jobs of one kind are handed in.
+// Queue is a queue that callers submit phased jobs to.
 type Queue struct {
 	Name    string
 	Host    string
 	Prefix  string
 	Service string
-	// Priority orders queues; zero comes first.
+	// Priority is the priority of the queue; zero is the highest.
 	Priority int
-	// Attempts is how many ends in failure of one task fail the job.
+	// Attempts is the number of failures of one task after which the job fails.
 	Attempts int
-	// A job is on time if it takes at most Target plus Stretch times its longest
-	// chain of work.
+	// A job is on time if it takes at most Target plus Stretch times the length of its
+	// critical path.
 	Target  time.Duration
 	Stretch float64
-	// Public says that callers need no key.
+	// Public reports that callers need no key.
 	Public bool
 	// Timeout bounds one call of a caller.
 	Timeout time.Duration
-	// Advice is set if only the workers that the advice service allows may run a phase.
+	// Advice is set if a phase may run only on workers that the advice service allows.
 	Advice *AdviceCost
 }
 
-// LateFactor is how many objectives a job may take until nobody waits for it any more.
+// LateFactor is the multiple of its objective after which a job is assumed to be no longer
+// awaited by its caller.
 const LateFactor = 3
 
-// Objective is how long a job of the queue may take whose longest chain of work takes a time.
+// Objective returns how long a job of the queue may take whose critical path takes chain.
 func (q *Queue) Objective(chain time.Duration) time.Duration {
 	return q.Target + time.Duration(q.Stretch*float64(chain))
 }
 
-// AdviceCost is what a call of the advice service takes and how long its
-// tickets are good for.
+// AdviceCost is the duration of a call of the advice service, as a fixed part and a part for
+// each worker, and the validity of its tickets.
 type AdviceCost struct {
 	Call   time.Duration
 	Worker time.Duration
 	Valid  time.Duration
 }
 
-// RegionTeam is a team as the platform's operator declares it.
+// RegionTeam is a team as declared by the platform's operator.
 type RegionTeam struct {
 	Name   string
 	Keys   []string
 	Weight float64
-	// Cap is the most that the team may have running; a zero field is no bound.
+	// Cap is the limit on what the team may have running; a zero field means no limit.
 	Cap Room
 }
 
-// RegionConfig is the configuration of a region under one version.
+// RegionConfig is one version of the configuration of a region.
 type RegionConfig struct {
 	Version   uint64
 	Queues    []Queue
@@ -203,6 +208,7 @@
 	Labels   []string
 	Room     Room
 	Draining bool
-	// Born is the boot's start in Unix milliseconds; it tells boots under one ID apart.
+	// Born is the start of the boot in Unix milliseconds; it distinguishes boots with the
+	// same ID.
 	Born int64
 }
