--- a/coord/keep/holder.go
+++ b/coord/keep/holder.go
@@ -83,10 +83,10 @@
 	checkpoint string
 }
 
-// queuedOrder is an order with the job's command, which only a start needs.
+// queuedOrder is an order that waits to be sent to the worker.
 type command struct {
 	proto.Order
-	text string
+	text string // command is the job's command, set only for starts.
 }
 
 // holder manages one boot of a worker under one assignment.
@@ -99,14 +99,14 @@
 	cancel context.CancelFunc
 	ring   chan command
 	began  time.Time
-	// completionsRecorded wakes the next hold once all reported completions are recorded.
+	// completionsRecorded wakes the next hold once no reported completion is left to record.
 	recorded chan struct{}
 
 	mu     sync.Mutex
 	runs   map[runKey]*known
 	forget uint64        // recordedUpTo is the number up to which completions are recorded.
 	told   []winch.Ended // listedCompletions holds the completions that the worker listed last.
-	// workerClock is the worker's clock at the local time clockReadAt.
+	// workerClock is the worker's time when the local time was clockReadAt.
 	clock   time.Duration
 	clockAt time.Time
 	// leaseUntil is the last requested lease expiry, on the worker's clock, and ownExpiry
--- a/coord/keep/keep.go
+++ b/coord/keep/keep.go
@@ -59,7 +59,7 @@
 	// endedSent is how many of them the last response reported.
 	ended  []endedHolding
 	handed int
-	// lastEnded holds the last ended assignment of each worker, even if it was reported
+	// lastEnded holds the most recent ended assignment of each worker, even if it was reported
 	// already: a later planner starts from a stored record that may be older than what the
 	// earlier planner knew.
 	last  map[string]endedHolding
--- a/coord/keep/lists.go
+++ b/coord/keep/lists.go
@@ -70,7 +70,7 @@
 	return resp.Clock > 0 && (resp.Clock < h.listsAt || resp.Clock == h.listsAt && last < h.lastEnd)
 }
 
-// firstLists returns the event that reports the complete first lists.
+// firstLists returns the event that reports the initial lists in full.
 func (h *holder) first(resp winch.Holding, completed []winch.Ended) proto.KeepEvent {
 	h.listed = true
 	// Earlier assignments are fenced off from now on, so a lease they renewed last expires
--- a/coord/keep/roundtrip.go
+++ b/coord/keep/roundtrip.go
@@ -36,7 +36,7 @@
 	lost   time.Time
 }
 
-// observe adds the round-trip time of a call that the worker answered without a wait.
+// observe adds the round-trip time of a call without a wait at the worker.
 func (t *trips) answered(roundTrip time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
