--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -135,7 +135,7 @@
 
 // fitInto returns how many tasks of a step fit into some capacity of a worker, at most the given
 // number.
-func (s *phase) fitInto(capacity winch.Room, limit int) int {
+func (s *phase) fitInto(capacity winch.Capacity, limit int) int {
 	charge := s.spec.Charge()
 	n := min(len(s.tasks), limit)
 	if charge.Milli > 0 {
--- a/coord/fleet/ahead_test.go
+++ b/coord/fleet/ahead_test.go
@@ -31,7 +31,7 @@
 			answerPhase(c, 1)
 			time.Sleep(time.Second)
 			for _, o := range first {
-				c.endRun(o, winch.EndDone)
+				c.endRun(o, winch.CompletionDone)
 			}
 			is.Equal(len(c.schedule()) == 1, ahead)
 		})
--- a/coord/fleet/bench_test.go
+++ b/coord/fleet/bench_test.go
@@ -59,11 +59,11 @@
 	p.SetConfig(&winch.RegionConfig{Version: 1, Queues: queues, Teams: []winch.RegionTeam{{Name: "choir"}}})
 	var list []winch.WorkerVM
 	for i := range workers {
-		list = append(list, winch.WorkerVM{ID: fmt.Sprintf("w%04d", i), Service: "render", Room: winch.Room{Milli: 16_000, Memory: 32 * gigabyte}, Born: 1})
+		list = append(list, winch.WorkerVM{ID: fmt.Sprintf("w%04d", i), Service: "render", Room: winch.Capacity{Milli: 16_000, Memory: 32 * gigabyte}, Born: 1})
 	}
 	p.SetWorkers(list)
 	for _, vm := range list {
-		p.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
+		p.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	for i := range workers {
 		addJob(p, fmt.Sprintf("run%04d", i), "mix", 4, 4000, false)
@@ -85,6 +85,6 @@
 }
 
 func addJob(p *Planner, id, queue string, count int, milli int64, gang bool) {
-	phase := winch.Phase{Count: count, Need: winch.Room{Milli: milli, Memory: gigabyte}, Estimate: 10 * time.Second, Gang: gang}
+	phase := winch.Phase{Count: count, Need: winch.Capacity{Milli: milli, Memory: gigabyte}, Estimate: 10 * time.Second, Gang: gang}
 	p.Add(&winch.PhasedJob{ID: id, Queue: queue, Team: "choir", Phases: []winch.Phase{phase}, Accepted: time.Now(), Revision: 7}, nil, 0)
 }
--- a/coord/fleet/bound_test.go
+++ b/coord/fleet/bound_test.go
@@ -33,7 +33,7 @@
 		is := is.New(t)
 		p := waitingPlanner(1100, 8000, false)
 		for _, w := range p.workers {
-			w.vm.Room = winch.Room{Milli: 17_000, Memory: 64 * gigabyte} // has capacity, but for no waiting task
+			w.vm.Room = winch.Capacity{Milli: 17_000, Memory: 64 * gigabyte} // has capacity, but for no waiting task
 		}
 		for _, j := range p.jobs {
 			for _, s := range j.phases {
--- a/coord/fleet/crash_test.go
+++ b/coord/fleet/crash_test.go
@@ -19,14 +19,14 @@
 // stopResponding makes workers unresponsive.
 func (c *simRegion) stopResponding(workers ...string) {
 	for _, id := range workers {
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: id})
 	}
 }
 
 // lose reports an unresponsive worker as lost: after a known crash or an expired lease, depending
 // on result.
 func (c *simRegion) lose(id string, result winch.StartResult) {
-	c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: result})
+	c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: id, Result: result})
 	c.running = slices.DeleteFunc(c.running, func(o proto.Order) bool { return o.Worker == id })
 }
 
@@ -43,7 +43,7 @@
 		list = append(list, vm)
 	}
 	c.planner.SetWorkers(list)
-	c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: id + "'"})
+	c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: id + "'"})
 }
 
 // crash ends the process of a worker and boots it again.
@@ -84,7 +84,7 @@
 		running[o.Worker] = append(running[o.Worker], winch.Running{Task: o.Task, Run: o.Run, Percent: percent / 10})
 	}
 	for id, list := range running {
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: list})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStatus, Worker: id, Running: list})
 	}
 }
 
@@ -426,7 +426,7 @@
 		probe := c.settle()[0]
 		for range 8 {
 			time.Sleep(500 * time.Millisecond)
-			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: probe.Worker, Running: []winch.Running{
+			c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStatus, Worker: probe.Worker, Running: []winch.Running{
 				{Task: probe.Task, Run: probe.Run, Percent: 50},
 			}})
 			is.Equal(len(c.settle()), 0)
--- a/coord/fleet/demand.go
+++ b/coord/fleet/demand.go
@@ -28,13 +28,13 @@
 type pool struct {
 	// capacity is the total of all usable workers; free is what was free of it at the last
 	// Schedule, less what has been started since.
-	capacity, free winch.Room
+	capacity, free winch.Capacity
 	urgent         demand
 	// workers are those that may be given work, by ID, as of the last Schedule.
 	workers []*worker
 	// maxFree is the largest free capacity of each kind at any one worker as of the last Schedule:
 	// a task that exceeds it fits nowhere.
-	maxFree winch.Room
+	maxFree winch.Capacity
 	// misses are the shapes that no worker had capacity for in the last Schedule.
 	misses []shape
 }
@@ -52,9 +52,9 @@
 // work leaves that much capacity free: it runs for long, and an urgent task that found the limit
 // reached because of it would have to wait for its end.
 type demand struct {
-	used    winch.Room // used is what runs now.
-	wanted  winch.Room // wanted is used plus what waits.
-	peak    winch.Room
+	used    winch.Capacity // used is what runs now.
+	wanted  winch.Capacity // wanted is used plus what waits.
+	peak    winch.Capacity
 	updated time.Time
 }
 
@@ -70,7 +70,7 @@
 		decay = math.Exp2(-now.Sub(d.updated).Seconds() / peakHalfLife.Seconds())
 	}
 	d.updated = now
-	d.peak = winch.Room{
+	d.peak = winch.Capacity{
 		Milli:        max(d.wanted.Milli, int64(decay*float64(d.peak.Milli))),
 		Memory:       max(d.wanted.Memory, winch.Bytes(decay*float64(d.peak.Memory))),
 		Accelerators: max(d.wanted.Accelerators, int(decay*float64(d.peak.Accelerators))),
@@ -79,8 +79,8 @@
 
 // reserve returns how much of the whole, a limit or a capacity, to leave free for urgent work, at
 // most the given fraction of it.
-func (d *demand) reserve(whole winch.Room, fraction float64) winch.Room {
-	return winch.Room{
+func (d *demand) reserve(whole winch.Capacity, fraction float64) winch.Capacity {
+	return winch.Capacity{
 		Milli:        max(0, min(d.peak.Milli, scale(whole.Milli, fraction))-d.used.Milli),
 		Memory:       max(0, min(d.peak.Memory, scale(whole.Memory, fraction))-d.used.Memory),
 		Accelerators: max(0, min(d.peak.Accelerators, scale(whole.Accelerators, fraction))-d.used.Accelerators),
@@ -108,7 +108,7 @@
 func (p *Planner) measure(now time.Time, adopting bool) {
 	for _, x := range p.pools {
 		x.urgent.beginCount()
-		x.capacity, x.free, x.maxFree = winch.Room{}, winch.Room{}, winch.Room{}
+		x.capacity, x.free, x.maxFree = winch.Capacity{}, winch.Capacity{}, winch.Capacity{}
 		clear(x.workers)
 		x.workers, x.misses = x.workers[:0], x.misses[:0]
 	}
@@ -147,7 +147,7 @@
 		free := w.free()
 		x.capacity, x.free = x.capacity.Add(w.vm.Room), x.free.Add(free)
 		x.workers = append(x.workers, w)
-		x.maxFree = winch.Room{
+		x.maxFree = winch.Capacity{
 			Milli: max(x.maxFree.Milli, free.Milli), Memory: max(x.maxFree.Memory, free.Memory), Accelerators: max(x.maxFree.Accelerators, free.Accelerators),
 		}
 	}
@@ -189,10 +189,10 @@
 // recountUrgent recounts all runs, as a new configuration may have changed which work is urgent.
 func (p *Planner) recountUrgent() {
 	for _, x := range p.pools {
-		x.urgent.used = winch.Room{}
+		x.urgent.used = winch.Capacity{}
 	}
 	for _, t := range p.teams {
-		t.urgent.used = winch.Room{}
+		t.urgent.used = winch.Capacity{}
 	}
 	for _, w := range p.workers {
 		for _, r := range w.runs {
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -9,7 +9,7 @@
 )
 
 // HandleEvent applies a keeper's report about a worker.
-func (p *Planner) HandleEvent(e proto.KeepEvent) {
+func (p *Planner) HandleEvent(e proto.KeeperEvent) {
 	w := p.workers[e.Worker]
 	if w == nil {
 		delete(p.roster, e.Worker)
@@ -17,7 +17,7 @@
 	}
 	defer w.updateContact()
 	switch e.Kind {
-	case proto.EventListed, proto.EventStarted, proto.EventEnded, proto.EventStatus, proto.EventFound, proto.EventBack:
+	case proto.EventListed, proto.EventStarted, proto.EventEnded, proto.EventStatus, proto.EventFound, proto.EventResponsive:
 		w.lastContact = p.now()
 	}
 	switch e.Kind {
@@ -39,11 +39,11 @@
 	case proto.EventLost:
 		p.WorkerLost(e.Worker, e.Result == winch.StartOtherBoot)
 		w.replaced = e.Result == winch.StartOtherBoot && w.vm.Born != 0
-	case proto.EventKnown:
+	case proto.EventKnownRuns:
 		p.handleKnown(w, e)
-	case proto.EventSilent:
+	case proto.EventUnresponsive:
 		w.unresponsive, w.respondsAgain = true, false
-	case proto.EventBack:
+	case proto.EventResponsive:
 		w.respondsAgain = true
 	}
 }
@@ -51,7 +51,7 @@
 // handleKnown applies what the keeper of an earlier planner's session reported of a worker. All
 // orders went through that keeper, so nothing else runs there. The worker gets no work until its
 // own lists have been received.
-func (p *Planner) handleKnown(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleKnown(w *worker, e proto.KeeperEvent) {
 	if w.ready {
 		return
 	}
@@ -61,7 +61,7 @@
 
 // handleListed applies the first lists of a worker in a session. They are complete: a run that is
 // in neither does not exist, and no earlier order can start it any more.
-func (p *Planner) handleListed(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleListed(w *worker, e proto.KeeperEvent) {
 	seen := make(map[runKey]bool)
 	for _, x := range e.Running {
 		seen[runKey{x.Task, x.Run}] = true
@@ -129,7 +129,7 @@
 	return s.tasks[id.Index]
 }
 
-func (p *Planner) handleStarted(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleStarted(w *worker, e proto.KeeperEvent) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r == nil {
 		return
@@ -144,7 +144,7 @@
 	r.task.phase.job.updateState()
 }
 
-func (p *Planner) handleNotStarted(w *worker, e proto.KeepEvent) {
+func (p *Planner) handleNotStarted(w *worker, e proto.KeeperEvent) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r == nil {
 		return
@@ -157,9 +157,9 @@
 	}
 	r.task.phase.addParallelWait(WaitStart, p.now().Sub(r.since))
 	switch e.Result {
-	case winch.StartTicket:
+	case winch.StartBadTicket:
 		r.task.phase.advice.expireTicket(w)
-	case winch.StartNoRoom, winch.StartRefused, winch.StartUncertain:
+	case winch.StartNoCapacity, winch.StartRefused, winch.StartUncertain:
 		w.health.quarantine(p.now(), refusedQuarantine)
 		r.task.phase.job.unanswered++
 	}
@@ -183,7 +183,7 @@
 
 // accountLateCompletions counts how long completions may have been delayed because responses of
 // the worker were lost.
-func (p *Planner) accountLateCompletions(e proto.KeepEvent) {
+func (p *Planner) accountLateCompletions(e proto.KeeperEvent) {
 	for _, x := range e.Ended {
 		if t := p.task(x.Task); t != nil && e.Blind > 0 {
 			t.phase.addParallelWait(WaitLostResponse, e.Blind)
@@ -191,7 +191,7 @@
 	}
 }
 
-func (p *Planner) handleCompletions(w *worker, list []winch.Ended) {
+func (p *Planner) handleCompletions(w *worker, list []winch.Completion) {
 	for _, e := range list {
 		if e.Number <= w.lastCompletion {
 			continue
@@ -204,7 +204,7 @@
 
 // handleCompletion applies one completion, whether or not this planner knew of the run: a
 // completion that an earlier planner did not record is listed again.
-func (p *Planner) handleCompletion(w *worker, e winch.Ended) {
+func (p *Planner) handleCompletion(w *worker, e winch.Completion) {
 	r := w.runs[runKey{e.Task, e.Run}]
 	if r != nil {
 		p.clearIfSurvived(r, p.now())
@@ -230,7 +230,7 @@
 }
 
 // applyCompletion applies a completion to the task and reports whether it must be recorded.
-func (p *Planner) applyCompletion(w *worker, t *task, r *run, e winch.Ended) bool {
+func (p *Planner) applyCompletion(w *worker, t *task, r *run, e winch.Completion) bool {
 	s := t.phase
 	j := s.job
 	if j.state.Final() {
@@ -239,7 +239,7 @@
 		return true
 	}
 	switch e.Kind {
-	case winch.EndDone:
+	case winch.CompletionDone:
 		p.counts.Done++
 		w.health.succeeded()
 		if s.spec.Lasting {
@@ -248,7 +248,7 @@
 		}
 		s.recordRunTime(r)
 		p.finishTask(t)
-	case winch.EndFailed:
+	case winch.CompletionFailed:
 		p.counts.Failed++
 		w.health.failed(p.now(), j.rec.ID)
 		t.avoidWorker = w.vm.ID
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -142,7 +142,7 @@
 type team struct {
 	winch.RegionTeam
 	// used is the capacity of all runs of the team that may exist, including those being stopped.
-	used   winch.Room
+	used   winch.Capacity
 	urgent demand
 	share  shareBucket
 }
--- a/coord/fleet/fleet_test.go
+++ b/coord/fleet/fleet_test.go
@@ -33,12 +33,12 @@
 	for i := range workers {
 		list = append(list, winch.WorkerVM{
 			ID: fmt.Sprintf("w%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Service: "render", Domain: "d1", Rack: "r1",
-			Room: winch.Room{Milli: 16000, Memory: 32 * gigabyte}, Born: 1,
+			Room: winch.Capacity{Milli: 16000, Memory: 32 * gigabyte}, Born: 1,
 		})
 	}
 	c.planner.SetWorkers(list)
 	for _, vm := range list {
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	return c
 }
@@ -57,7 +57,7 @@
 
 // tasks returns a phase of identical tasks.
 func tasks(count int, milli int64) winch.Phase {
-	return winch.Phase{Count: count, Need: winch.Room{Milli: milli, Memory: gigabyte}, Estimate: time.Second}
+	return winch.Phase{Count: count, Need: winch.Capacity{Milli: milli, Memory: gigabyte}, Estimate: time.Second}
 }
 
 // schedule calls Schedule, carries out the orders and returns the starts.
@@ -70,10 +70,10 @@
 			starts = append(starts, o)
 			c.running = append(c.running, o)
 			c.due[runKey{o.Task, o.Run}] = time.Now().Add(c.planner.task(o.Task).phase.spec.Estimate)
-			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
+			c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
 		case proto.OrderStop:
 			if i := slices.IndexFunc(c.running, func(x proto.Order) bool { return x.Task == o.Task && x.Run == o.Run }); i >= 0 {
-				c.endRun(c.running[i], winch.EndStopped)
+				c.endRun(c.running[i], winch.CompletionStopped)
 			}
 		}
 	}
@@ -81,10 +81,10 @@
 }
 
 // endRun lets a worker report the completion of a run.
-func (c *simRegion) endRun(o proto.Order, kind winch.EndKind) {
+func (c *simRegion) endRun(o proto.Order, kind winch.CompletionKind) {
 	c.completions[o.Worker]++
 	c.running = slices.DeleteFunc(c.running, func(x proto.Order) bool { return x.Task == o.Task && x.Run == o.Run })
-	c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventEnded, Worker: o.Worker, Ended: []winch.Ended{
+	c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventEnded, Worker: o.Worker, Ended: []winch.Completion{
 		{Number: c.completions[o.Worker], Task: o.Task, Run: o.Run, Kind: kind},
 	}})
 }
@@ -114,12 +114,12 @@
 		starts := c.schedule()
 		is.Equal(len(starts), 2) // only the first phase is ready
 		is.Equal(c.state("a"), winch.JobRunning)
-		c.endRun(starts[0], winch.EndDone)
+		c.endRun(starts[0], winch.CompletionDone)
 		is.Equal(len(c.schedule()), 0)
-		c.endRun(starts[1], winch.EndDone)
+		c.endRun(starts[1], winch.CompletionDone)
 		last := c.schedule()
 		is.Equal(len(last), 1)
-		c.endRun(last[0], winch.EndDone)
+		c.endRun(last[0], winch.CompletionDone)
 		is.Equal(c.state("a"), winch.JobRunning)
 		c.saveRecords()
 		is.Equal(c.state("a"), winch.JobDone)
@@ -135,22 +135,22 @@
 		c := newSimRegion(t, 2, urgentQueue())
 		c.add("a", "preview", "choir", tasks(1, 1000))
 		first := c.schedule()[0]
-		c.endRun(first, winch.EndFailed)
+		c.endRun(first, winch.CompletionFailed)
 		records := c.planner.Records(10)
 		is.Equal(len(records), 1)
 
 		next := newSimRegion(t, 0, urgentQueue())
 		next.planner.Term = 2
-		next.planner.SetWorkers([]winch.WorkerVM{{ID: first.Worker, Service: "render", Room: winch.Room{Milli: 16000, Memory: 32 * gigabyte}}})
+		next.planner.SetWorkers([]winch.WorkerVM{{ID: first.Worker, Service: "render", Room: winch.Capacity{Milli: 16000, Memory: 32 * gigabyte}}})
 		next.planner.Add(c.planner.jobs["a"].rec, &records[0].Progress, 10)
-		next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: first.Worker, Ended: []winch.Ended{
-			{Number: 1, Task: first.Task, Run: first.Run, Kind: winch.EndFailed},
+		next.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: first.Worker, Ended: []winch.Completion{
+			{Number: 1, Task: first.Task, Run: first.Run, Kind: winch.CompletionFailed},
 		}})
 		starts := next.schedule()
-		is.Equal(len(starts), 1)                // the second attempt
-		is.True(starts[0].Run > first.Run)      // run numbers increase from term to term
-		next.completions[first.Worker] = 1      // the worker continues its numbering
-		next.endRun(starts[0], winch.EndFailed) // both attempts are now used
+		is.Equal(len(starts), 1)                       // the second attempt
+		is.True(starts[0].Run > first.Run)             // run numbers increase from term to term
+		next.completions[first.Worker] = 1             // the worker continues its numbering
+		next.endRun(starts[0], winch.CompletionFailed) // both attempts are now used
 		next.saveRecords()
 		is.Equal(next.state("a"), winch.JobFailed)
 	})
@@ -162,10 +162,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
-		c.planner.teams["choir"].Cap = winch.Room{Milli: 10000}
+		c.planner.teams["choir"].Cap = winch.Capacity{Milli: 10000}
 		c.add("a", "preview", "choir", tasks(4, 1000))
 		for _, o := range c.schedule() {
-			c.endRun(o, winch.EndDone)
+			c.endRun(o, winch.CompletionDone)
 		}
 		time.Sleep(time.Second)
 		c.add("b", "mix", "choir", tasks(20, 1000))
@@ -182,10 +182,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
-		c.planner.teams["choir"].Cap = winch.Room{Milli: 10000}
+		c.planner.teams["choir"].Cap = winch.Capacity{Milli: 10000}
 		c.add("a", "preview", "choir", tasks(8, 1000))
 		for _, o := range c.schedule() {
-			c.endRun(o, winch.EndDone)
+			c.endRun(o, winch.CompletionDone)
 		}
 		c.add("b", "mix", "choir", tasks(20, 1000))
 		before := len(c.schedule())
@@ -195,8 +195,8 @@
 }
 
 // listedEvent returns the event with which a worker reports its runs to the next planner.
-func listedEvent(c *simRegion, worker string) proto.KeepEvent {
-	e := proto.KeepEvent{Kind: proto.EventListed, Worker: worker}
+func listedEvent(c *simRegion, worker string) proto.KeeperEvent {
+	e := proto.KeeperEvent{Kind: proto.EventListed, Worker: worker}
 	for _, o := range c.running {
 		if o.Worker == worker {
 			e.Running = append(e.Running, winch.Running{Task: o.Task, Run: o.Run})
@@ -266,7 +266,7 @@
 		is := is.New(t)
 		c := newSimRegion(t, 2, usualQueue())
 		list := c.planner.WorkersToHold()
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: list[0].ID})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: list[0].ID})
 		is.True(c.planner.Empty(list[0].ID))
 		c.planner.SetWorkers(list[1:])
 		is.Equal(len(c.planner.WorkersToHold()), 1)
@@ -281,7 +281,7 @@
 		is := is.New(t)
 		c := newSimRegion(t, 1, usualQueue())
 		list := c.planner.WorkersToHold()
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
 		is.Equal(len(c.planner.WorkersToHold()), 0)
 		c.planner.SetWorkers(list)
 		is.Equal(len(c.planner.WorkersToHold()), 0) // the list still contains the old boot
@@ -301,7 +301,7 @@
 		c := newSimRegion(t, 2, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		start := c.schedule()[0]
-		c.endRun(start, winch.EndDone)
+		c.endRun(start, winch.CompletionDone)
 		is.Equal(len(c.planner.ClosedRuns()), 0)
 		known := c.planner.RunsAt(start.Worker)
 		is.Equal(known, []winch.Running{{Task: start.Task, Run: start.Run}})
@@ -314,17 +314,17 @@
 		next.SetWorkers(c.planner.WorkersToHold())
 		next.Add(c.planner.jobs["a"].rec, nil, 0)
 		for _, w := range []string{"w0", "w1"} {
-			next.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: w, Running: c.planner.RunsAt(w)})
+			next.HandleEvent(proto.KeeperEvent{Kind: proto.EventKnownRuns, Worker: w, Running: c.planner.RunsAt(w)})
 		}
 		for _, w := range []string{"w0", "w1"} {
 			if w != start.Worker {
-				next.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: w})
+				next.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: w})
 			}
 		}
 		next.Schedule()
 		is.Equal(len(next.Orders()), 0)
-		next.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: start.Worker, Ended: []winch.Ended{
-			{Number: 1, Task: start.Task, Run: start.Run, Kind: winch.EndDone},
+		next.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: start.Worker, Ended: []winch.Completion{
+			{Number: 1, Task: start.Task, Run: start.Run, Kind: winch.CompletionDone},
 		}})
 		next.Schedule()
 		is.Equal(len(next.Orders()), 0)
@@ -345,9 +345,9 @@
 		c := newSimRegion(t, 1, winch.Queue{Name: "once", Service: "render", Attempts: 1})
 		c.add("a", "once", "choir", tasks(2, 1000))
 		starts := c.schedule()
-		c.endRun(starts[0], winch.EndFailed)
+		c.endRun(starts[0], winch.CompletionFailed)
 		c.planner.Orders() // the order to stop the other task comes too late
-		c.endRun(starts[1], winch.EndDone)
+		c.endRun(starts[1], winch.CompletionDone)
 		is.Equal(len(c.planner.RunsAt("w0")), 2)
 		is.Equal(len(c.planner.Orders()), 0)
 		c.saveRecords()
@@ -365,7 +365,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
-		c.planner.teams["choir"].Cap = winch.Room{Milli: 8000}
+		c.planner.teams["choir"].Cap = winch.Capacity{Milli: 8000}
 		c.add("a", "preview", "choir", tasks(300, 1000))
 		is.Equal(len(c.schedule()), 8)
 		c.planner.Cancel("a")
@@ -396,7 +396,7 @@
 			begun[id] = time.Now()
 			c.add(id, "preview", "choir", tasks(6, 1000)) // 60 tasks arrive each second, 32 fit
 			for len(runs) > 0 && !runs[0].ends.After(time.Now()) {
-				c.endRun(runs[0].start, winch.EndDone)
+				c.endRun(runs[0].start, winch.CompletionDone)
 				runs = runs[1:]
 			}
 			for id, at := range begun {
@@ -431,7 +431,7 @@
 		first := c.schedule()
 		is.Equal(len(first), 2)
 		for _, s := range first {
-			c.endRun(s, winch.EndDone)
+			c.endRun(s, winch.CompletionDone)
 		}
 		names := []string{}
 		for _, s := range c.schedule() {
@@ -467,11 +467,11 @@
 		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		start := c.schedule()[0]
-		c.endRun(start, winch.EndDone)
+		c.endRun(start, winch.CompletionDone)
 		c.saveRecords()
 		c.planner.Orders()
 		c.planner.SetUnready([]string{"w0"})
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0"})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: "w0"})
 		orders := c.planner.Orders()
 		is.Equal(len(orders), 1)
 		is.Equal(orders[0].Kind, proto.OrderForget)
--- a/coord/fleet/load.go
+++ b/coord/fleet/load.go
@@ -4,7 +4,7 @@
 
 // Load describes how full the region is.
 type Load struct {
-	Room, Used, Stopping winch.Room
+	Room, Used, Stopping winch.Capacity
 	Workers, Usable      int
 	// Waiting counts the waiting tasks that are ready, by queue; Capped counts those of them whose
 	// team has reached its limit.
--- a/coord/fleet/move_test.go
+++ b/coord/fleet/move_test.go
@@ -99,7 +99,7 @@
 		c.setDraining("w0")
 		c.schedule()
 		is.Equal(c.runsAt("w0"), 1)
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: "gone"})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: "gone"})
 		c.schedule()
 		c.schedule()
 		is.Equal(c.runsAt("w0"), 0)
@@ -154,7 +154,7 @@
 		c.planner.Schedule()
 		start := c.planner.Orders()[0]
 		c.running = append(c.running, start)
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: start.Worker, Running: []winch.Running{{Task: start.Task, Run: start.Run}}})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: start.Worker, Running: []winch.Running{{Task: start.Task, Run: start.Run}}})
 		c.setDraining(start.Worker)
 		c.schedule()
 		c.schedule()
--- a/coord/fleet/pick.go
+++ b/coord/fleet/pick.go
@@ -12,7 +12,7 @@
 type picker struct {
 	planner *Planner
 	step    *phase
-	charge  winch.Room
+	charge  winch.Capacity
 	// choices is a heap by score of the workers with free capacity for a task.
 	choices []choice
 }
@@ -20,14 +20,14 @@
 // choice is a worker that a task may be started at.
 type choice struct {
 	w        *worker
-	free     winch.Room // free is the capacity there that the step may use.
-	maxTasks int        // maxTasks is the number of further tasks of the step that may run there.
+	free     winch.Capacity // free is the capacity there that the step may use.
+	maxTasks int            // maxTasks is the number of further tasks of the step that may run there.
 	score    float64
 }
 
 // shape is what determines which workers have capacity for a task that needs no advice.
 type shape struct {
-	charge   winch.Room
+	charge   winch.Capacity
 	label    string
 	estimate time.Duration
 }
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -226,7 +226,7 @@
 }
 
 // allows reports whether the team's limit allows it more running work.
-func (t *team) allows(more winch.Room) bool {
+func (t *team) allows(more winch.Capacity) bool {
 	after := t.used.Add(more)
 	limit := t.Cap
 	return (limit.Milli == 0 || after.Milli <= limit.Milli) &&
@@ -278,7 +278,7 @@
 	}
 	x := p.pool(s.job.queue.Service)
 	reserved := x.urgent.reserve(x.capacity, maxPoolReserve)
-	return s.spec.Fills || reserved == (winch.Room{}) || s.spec.Need.Add(reserved).Fits(x.free)
+	return s.spec.Fills || reserved == (winch.Capacity{}) || s.spec.Need.Add(reserved).Fits(x.free)
 }
 
 // suits reports whether a worker may be given work and is of the kind that the step needs.
@@ -303,7 +303,7 @@
 )
 
 // score rates a worker for a task; the highest is best.
-func (p *Planner) score(s *phase, w *worker, capacity winch.Room) float64 {
+func (p *Planner) score(s *phase, w *worker, capacity winch.Capacity) float64 {
 	free := float64(capacity.Milli)
 	if s.spec.Fills {
 		free -= float64(w.fillMilli)
--- a/coord/fleet/policy_test.go
+++ b/coord/fleet/policy_test.go
@@ -16,14 +16,14 @@
 func acceleratorCell(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
 	c := newSimRegion(t, workers, queues...)
 	for _, w := range c.planner.workers {
-		w.vm.Room = winch.Room{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}
+		w.vm.Room = winch.Capacity{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}
 	}
 	return c
 }
 
 // acceleratorPhase returns a phase of tasks with the given accelerator need and estimate.
 func acceleratorPhase(count, each int, estimate time.Duration) winch.Phase {
-	return winch.Phase{Count: count, Need: winch.Room{Milli: 11_000, Memory: gigabyte, Accelerators: each}, Estimate: estimate}
+	return winch.Phase{Count: count, Need: winch.Capacity{Milli: 11_000, Memory: gigabyte, Accelerators: each}, Estimate: estimate}
 }
 
 // runUntil ends runs according to their estimates and schedules every 50 ms, until the time limit
@@ -34,7 +34,7 @@
 		each(time.Since(begin))
 		for _, o := range slices.Clone(c.running) {
 			if !time.Now().Before(c.due[runKey{o.Task, o.Run}]) {
-				c.endRun(o, winch.EndDone)
+				c.endRun(o, winch.CompletionDone)
 			}
 		}
 		c.schedule()
--- a/coord/fleet/reserve.go
+++ b/coord/fleet/reserve.go
@@ -26,7 +26,7 @@
 
 // reservation is capacity of a worker that is reserved for waiting steps.
 type reservation struct {
-	capacity winch.Room
+	capacity winch.Capacity
 	from     time.Time // from is when the first of the steps is expected to use it.
 }
 
@@ -156,7 +156,7 @@
 // expectedRelease is capacity that is expected to become free.
 type expectedRelease struct {
 	at       time.Time
-	capacity winch.Room
+	capacity winch.Capacity
 }
 
 // expectedReleases returns the capacity that is likely to become free at the worker, with the
@@ -198,7 +198,7 @@
 }
 
 // availableCapacity returns the capacity of a worker that a step may use now.
-func (p *Planner) availableCapacity(s *phase, w *worker, now time.Time) winch.Room {
+func (p *Planner) availableCapacity(s *phase, w *worker, now time.Time) winch.Capacity {
 	free := w.free()
 	if w.reserved.from.IsZero() || now.Add(s.spec.Estimate).Before(w.reserved.from) {
 		return free
--- a/coord/fleet/retained_test.go
+++ b/coord/fleet/retained_test.go
@@ -20,8 +20,8 @@
 		c.add("a", "preview", "choir", tasks(2, 8000))
 		starts := c.schedule()
 		is.Equal(len(starts), 2)
-		c.endRun(starts[0], winch.EndFailed)
-		c.endRun(c.schedule()[0], winch.EndFailed)
+		c.endRun(starts[0], winch.CompletionFailed)
+		c.endRun(c.schedule()[0], winch.CompletionFailed)
 		end := c.planner.Records(10)[0]
 		is.Equal(end.Progress.State, winch.JobFailed)
 		is.True(end.Retain) // the other task is being stopped
@@ -29,7 +29,7 @@
 		next := newSimRegion(t, 1, urgentQueue())
 		next.planner.Term = 2
 		next.planner.Add(c.planner.jobs["a"].rec, &end.Progress, 10)
-		next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventFound, Worker: "w0", Running: []winch.Running{{Task: starts[1].Task, Run: starts[1].Run}}})
+		next.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventFound, Worker: "w0", Running: []winch.Running{{Task: starts[1].Task, Run: starts[1].Run}}})
 		next.add("b", "preview", "choir", tasks(1, 16_000))
 		next.planner.Schedule()
 		is.Equal(next.planner.workers["w0"].used.Milli, int64(8000)) // b does not start
@@ -43,8 +43,8 @@
 		c := newSimRegion(t, 1, urgentQueue())
 		c.add("a", "preview", "choir", tasks(2, 8000))
 		starts := c.schedule()
-		c.endRun(starts[0], winch.EndFailed)
-		c.endRun(c.schedule()[0], winch.EndFailed)
+		c.endRun(starts[0], winch.CompletionFailed)
+		c.endRun(c.schedule()[0], winch.CompletionFailed)
 		c.saveRecords()
 		is.Equal(c.state("a"), winch.JobFailed)
 		is.Equal(len(c.planner.ExpiredJobs(c.planner.now())), 0)
@@ -64,10 +64,10 @@
 		is := is.New(t)
 		c := newSimRegion(t, 1, urgentQueue())
 		task := winch.RunID{Job: "gone"}
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventFound, Worker: "w0", Running: []winch.Running{{Task: task, Run: 5}}})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventFound, Worker: "w0", Running: []winch.Running{{Task: task, Run: 5}}})
 		c.add("a", "preview", "choir", tasks(1, 1000))
 		is.Equal(len(c.schedule()), 0)
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventEnded, Worker: "w0", Ended: []winch.Ended{{Number: 1, Task: task, Run: 5, Kind: winch.EndStopped}}})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventEnded, Worker: "w0", Ended: []winch.Completion{{Number: 1, Task: task, Run: 5, Kind: winch.CompletionStopped}}})
 		is.Equal(len(c.schedule()), 1)
 	})
 }
--- a/coord/fleet/slow_test.go
+++ b/coord/fleet/slow_test.go
@@ -26,7 +26,7 @@
 			running[o.Worker] = append(running[o.Worker], winch.Running{Task: o.Task, Run: o.Run, Percent: done[key]})
 		}
 		for id, list := range running {
-			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: list})
+			c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStatus, Worker: id, Running: list})
 		}
 		starts = append(starts, c.schedule()...)
 	}
--- a/coord/fleet/throttle.go
+++ b/coord/fleet/throttle.go
@@ -93,7 +93,7 @@
 		}
 		r.throttle, r.throttledAt = percent, now
 		p.orders = append(p.orders, proto.Order{
-			Kind: proto.OrderPace, Worker: w.vm.ID, Task: r.key.task, Run: r.key.run, Percent: percent,
+			Kind: proto.OrderThrottle, Worker: w.vm.ID, Task: r.key.task, Run: r.key.run, Percent: percent,
 		})
 	}
 }
--- a/coord/fleet/throttle_test.go
+++ b/coord/fleet/throttle_test.go
@@ -28,13 +28,13 @@
 		next := newSimRegion(t, 1, usualQueue())
 		next.add("a", "mix", "choir", fill)
 		run := winch.Running{Task: start[0].Task, Run: start[0].Run}
-		next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: []winch.Running{run}})
+		next.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: "w0", Running: []winch.Running{run}})
 		speed := 0 // As the earlier planner left it.
 		for range 10 {
 			time.Sleep(time.Second)
-			next.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: "w0", Running: []winch.Running{run}})
+			next.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStatus, Worker: "w0", Running: []winch.Running{run}})
 			for _, o := range next.planner.Orders() {
-				if o.Kind == proto.OrderPace {
+				if o.Kind == proto.OrderThrottle {
 					speed = o.Percent
 				}
 			}
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -120,7 +120,7 @@
 	AdviceRequested time.Time
 	// Used and Limit are the team's; UsedAtUnresponsive is the part of Used at unresponsive
 	// workers.
-	Used, Limit, UsedAtUnresponsive winch.Room
+	Used, Limit, UsedAtUnresponsive winch.Capacity
 	Offer                           Offer
 }
 
@@ -276,7 +276,7 @@
 
 // nextStartNeed returns what the next start of the step needs: one task, or all missing members of
 // a gang.
-func (s *phase) nextStartNeed() winch.Room {
+func (s *phase) nextStartNeed() winch.Capacity {
 	if !s.spec.Gang {
 		return s.spec.Need
 	}
@@ -298,8 +298,8 @@
 }
 
 // usedAtUnresponsive returns the part of a team's use at unresponsive workers.
-func (p *Planner) usedAtUnresponsive(t *team) winch.Room {
-	var out winch.Room
+func (p *Planner) usedAtUnresponsive(t *team) winch.Capacity {
+	var out winch.Capacity
 	for _, w := range p.workers {
 		if w.unresponsiveSince.IsZero() {
 			continue
--- a/coord/fleet/waits_test.go
+++ b/coord/fleet/waits_test.go
@@ -39,7 +39,7 @@
 		time.Sleep(10 * time.Second)
 		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 		lostContact := time.Now()
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
 		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Task, start.Task)
@@ -50,7 +50,7 @@
 		is.Equal(w.Contact, WorkerContact{Worker: start.Worker, Listed: true, Ready: true, NoResponse: true, UnresponsiveSince: lostContact})
 		is.Equal(c.planner.UnresponsiveWorkers(time.Second), []UnresponsiveWorker{{w.Contact, 1}})
 
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: start.Worker})
 		w = onlyWaitingTask(is, c.planner)
 		is.Equal(w.Reason, WaitDecision)
 		is.Equal(w.Since, lostContact)
@@ -68,14 +68,14 @@
 		c := newSimRegion(t, 1, usualQueue())
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		start := c.schedule()[0]
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: start.Worker})
 		time.Sleep(2 * time.Second)
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventBack, Worker: start.Worker})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventResponsive, Worker: start.Worker})
 		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 		is.Equal(len(c.planner.UnresponsiveWorkers(0)), 0)
 		time.Sleep(10 * time.Second)
 		vanished := time.Now()
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventVanished, Worker: start.Worker, Task: start.Task, Run: start.Run})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventVanished, Worker: start.Worker, Task: start.Task, Run: start.Run})
 		time.Sleep(2 * time.Second)
 		is.Equal(onlyWaitingTask(is, c.planner).Since, vanished)
 	})
@@ -114,19 +114,19 @@
 		is := is.New(t)
 		c := newSimRegion(t, 0, usualQueue())
 		c.planner.SetRoster([]string{"w0"})
-		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Room{Milli: 1000, Memory: gigabyte}}})
+		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Capacity{Milli: 1000, Memory: gigabyte}}})
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		learnt := time.Now()
 		task := winch.RunID{Job: "a"}
 		run := []winch.Running{{Task: task, Run: 5}}
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: "w0", Running: run})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventKnownRuns, Worker: "w0", Running: run})
 		time.Sleep(2 * time.Second)
 		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, uint64(5))
 		is.Equal(w.Since, learnt)
 		is.Equal(w.Contact.Ready, false)
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
 		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
 	})
 }
@@ -170,10 +170,10 @@
 		}},
 		{WaitOffice, usualQueue(), func(c *simRegion) { c.planner.LeaseExpiry = time.Now().Add(-time.Second) }, nil},
 		{WaitLimit, usualQueue(), func(c *simRegion) {
-			c.planner.team("choir").Cap = winch.Room{Milli: 1500}
+			c.planner.team("choir").Cap = winch.Capacity{Milli: 1500}
 			c.add("first", "mix", "choir", tasks(1, 1000))
 			o := c.schedule()[0]
-			c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: o.Worker})
+			c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: o.Worker})
 		}, func(is *is.I, w WaitingTask) {
 			is.Equal(w.Used.Milli, int64(1000))
 			is.Equal(w.Limit.Milli, int64(1500))
@@ -260,8 +260,8 @@
 		c.add("a", "mix", "choir", phase)
 		starts := c.schedule()
 		is.Equal(len(starts), 2)
-		c.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: starts[0].Worker})
-		c.endRun(starts[1], winch.EndFailed)
+		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: starts[0].Worker})
+		c.endRun(starts[1], winch.CompletionFailed)
 		time.Sleep(2 * time.Second)
 		c.planner.Schedule() // The gang cannot be completed, so its run is given up.
 		waits := c.planner.WaitingTasks(time.Second)
@@ -290,7 +290,7 @@
 		is.Equal(len(first), 1)
 		time.Sleep(10 * time.Second)
 		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
-		c.endRun(first[0], winch.EndDone)
+		c.endRun(first[0], winch.CompletionDone)
 		done := time.Now()
 		time.Sleep(2 * time.Second)
 		w := onlyWaitingTask(is, c.planner)
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -21,8 +21,8 @@
 	task   *task // task is nil for a run of an unknown job.
 	team   *team
 	worker *worker
-	need   winch.Room // need is charged to the team, charge to the worker.
-	charge winch.Room
+	need   winch.Capacity // need is charged to the team, charge to the worker.
+	charge winch.Capacity
 	// started is set once the worker has confirmed the start.
 	started  bool
 	stopping bool
@@ -50,7 +50,7 @@
 type worker struct {
 	planner *Planner
 	vm      winch.WorkerVM
-	used    winch.Room
+	used    winch.Capacity
 	// ready is set once the worker's lists of runs and completions were received in this session.
 	ready bool
 	// removed is set if the worker is no longer in the platform's list.
@@ -114,7 +114,7 @@
 	Run    uint64
 }
 
-func (w *worker) free() winch.Room {
+func (w *worker) free() winch.Capacity {
 	return w.vm.Room.Sub(w.used)
 }
 
@@ -321,7 +321,7 @@
 	closely := w.serving > 0 && w.fillMilli > 0 || w.probe != nil
 	if closely != w.reportsOften {
 		w.reportsOften = closely
-		p.orders = append(p.orders, proto.Order{Kind: proto.OrderLook, Worker: w.vm.ID, Closely: closely})
+		p.orders = append(p.orders, proto.Order{Kind: proto.OrderReportRate, Worker: w.vm.ID, Closely: closely})
 	}
 }
 
--- a/coord/keep/commands.go
+++ b/coord/keep/commands.go
@@ -4,15 +4,15 @@
 
 // Limits of the command cache: the number of commands and their total size in bytes.
 const (
-	mostCommands     = 4096
-	mostCommandBytes = 4 << 20
+	maxCommands     = 4096
+	maxCommandBytes = 4 << 20
 )
 
 // Commands caches the commands of the most recently added jobs. The zero value is ready
 // for use.
 type Commands struct {
 	mu    sync.Mutex
-	text  map[string]string
+	texts map[string]string
 	order []string
 	bytes int
 }
@@ -21,18 +21,18 @@
 func (c *Commands) Add(job, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.text == nil {
-		c.text = make(map[string]string)
+	if c.texts == nil {
+		c.texts = make(map[string]string)
 	}
-	if _, known := c.text[job]; known {
+	if _, known := c.texts[job]; known {
 		return
 	}
-	c.text[job] = text
+	c.texts[job] = text
 	c.order = append(c.order, job)
 	c.bytes += len(text)
-	for len(c.order) > 1 && (len(c.order) > mostCommands || c.bytes > mostCommandBytes) {
-		c.bytes -= len(c.text[c.order[0]])
-		delete(c.text, c.order[0])
+	for len(c.order) > 1 && (len(c.order) > maxCommands || c.bytes > maxCommandBytes) {
+		c.bytes -= len(c.texts[c.order[0]])
+		delete(c.texts, c.order[0])
 		c.order = c.order[1:]
 	}
 }
@@ -41,6 +41,6 @@
 func (c *Commands) Get(job string) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	text, known := c.text[job]
+	text, known := c.texts[job]
 	return text, known
 }
--- a/coord/keep/hold.go
+++ b/coord/keep/hold.go
@@ -14,149 +14,149 @@
 
 // renewLoop sends holds to the worker until its lease is guaranteed to have expired, a
 // newer token has fenced it off, another boot responds, or the assignment ends.
-func (h *holder) renew(ctx context.Context) {
+func (h *holder) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if h.keeper.authority() <= 0 {
+		if h.keeper.authorityLeft() <= 0 {
 			// No lease may be renewed without the planner's authority. A new planner
 			// sends new assignments.
-			duty.Pause(ctx, retryPause)
+			duty.Sleep(ctx, retryDelay)
 			continue
 		}
 		sent := time.Now()
-		resp, err := h.call(ctx, sent)
+		resp, err := h.sendHold(ctx, sent)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && h.setClock(resp.Clock) {
+		if err == nil && h.updateClock(resp.Clock) {
 			err = winch.ErrOtherBoot
 		}
 		if err == nil {
-			h.answered(sent, resp)
-			h.waitOpen(ctx)
-			h.waitRecorded(ctx)
+			h.handleResponse(sent, resp)
+			h.waitForRenewal(ctx)
+			h.waitForRecording(ctx)
 			continue
 		}
-		if h.doubt(err) {
+		if h.shouldRetry(err) {
 			continue
 		}
-		if h.over(err) {
+		if h.handleFailure(err) {
 			return
 		}
-		duty.Pause(ctx, retryPause)
+		duty.Sleep(ctx, retryDelay)
 	}
 }
 
 // shouldRetry reports whether the hold is to be retried once before the worker counts as
 // unresponsive. A lost response says nothing about the worker, and an unresponsive worker
 // gets no work until the planner and the standby know that it responds again.
-func (h *holder) doubt(err error) bool {
+func (h *holder) shouldRetry(err error) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if isAnswer(err) || h.silent || h.doubted || !h.listed {
+	if isResponse(err) || h.unresponsive || h.retrying || !h.listed {
 		return false
 	}
-	h.doubted = true
+	h.retrying = true
 	return true
 }
 
 // waitForRecording waits until all reported completions are recorded, or until a timeout.
-func (h *holder) waitRecorded(ctx context.Context) {
-	duty.Pause(ctx, holdPause)
+func (h *holder) waitForRecording(ctx context.Context) {
+	duty.Sleep(ctx, holdDelay)
 	h.mu.Lock()
-	behind := h.forget < h.lastEnd
+	behind := h.recordedUpTo < h.lastCompletion
 	h.mu.Unlock()
 	if !behind {
 		return
 	}
-	timer := time.NewTimer(recordTime)
+	timer := time.NewTimer(recordTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-h.recorded:
+	case <-h.completionsRecorded:
 	}
 }
 
-func (h *holder) call(ctx context.Context, sent time.Time) (winch.Holding, error) {
-	call := winch.HoldCall{Token: h.token}
-	lease := min(h.keeper.Lease, h.keeper.authority())
+func (h *holder) sendHold(ctx context.Context, sent time.Time) (winch.HoldResponse, error) {
+	call := winch.HoldRequest{Token: h.token}
+	lease := min(h.keeper.Lease, h.keeper.authorityLeft())
 	h.mu.Lock()
-	call.Forget = h.forget
+	call.Forget = h.recordedUpTo
 	if h.listed {
 		call.Wait = holdWait
-		if h.closely {
-			call.Wait = closeWait
+		if h.reportOften {
+			call.Wait = frequentHoldWait
 		}
-		if h.open && !h.closed && !h.doubted {
-			h.until = h.clockNow(sent) + lease
-			h.own = later(h.own, sent.Add(Surely(lease)))
+		if h.renewalAllowed && !h.closed && !h.retrying {
+			h.leaseUntil = h.workerTime(sent) + lease
+			h.ownExpiry = later(h.ownExpiry, sent.Add(ExpiryBound(lease)))
 		} else {
-			call.Wait = min(call.Wait, shutWait)
+			call.Wait = min(call.Wait, noRenewalHoldWait)
 		}
-		call.Until = h.until
+		call.Until = h.leaseUntil
 	}
-	if h.silent || h.doubted {
+	if h.unresponsive || h.retrying {
 		// Another boot may respond under the same ID. It numbers its completions from
 		// the start again, so a Forget meant for the previous boot would make it drop
 		// completions that nobody has seen. The call therefore carries no Forget, and no
 		// Wait, to learn at once which boot responds.
 		call.Forget, call.Wait = 0, 0
 	}
-	if h.keeper.trips.lossy() && len(h.runs) > 0 {
-		call.Wait = min(call.Wait, lossyWait)
+	if h.keeper.roundTrips.lossy() && len(h.runs) > 0 {
+		call.Wait = min(call.Wait, lossyHoldWait)
 	}
-	limit := call.Wait + h.keeper.trips.limit(h.unanswered)
-	if !h.open {
+	limit := call.Wait + h.keeper.roundTrips.timeout(h.failedCalls)
+	if !h.renewalAllowed {
 		// The call must not last much beyond the lease expiry: the worker's work waits
 		// until the worker counts as lost.
-		limit = min(limit, max(time.Until(h.lapse()), lapseLook))
+		limit = min(limit, max(time.Until(h.leaseExpiry()), minExpiryTimeout))
 	}
 	h.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	resp, err := h.keeper.Runner.Hold(callCtx, h.vm, call)
-	h.noteCall(isAnswer(err))
+	resp, err := h.keeper.Client.Hold(callCtx, h.vm, call)
+	h.recordCall(isResponse(err))
 	if err == nil && call.Wait == 0 {
-		h.keeper.trips.answered(time.Since(sent))
+		h.keeper.roundTrips.observe(time.Since(sent))
 	}
 	return resp, err
 }
 
 // requestLists requests the worker's lists at once, in parallel to the hold that waits for a
 // completion. It does not renew the lease.
-func (h *holder) list(ctx context.Context) {
+func (h *holder) requestLists(ctx context.Context) {
 	h.mu.Lock()
-	req := winch.HoldCall{Token: h.token, Forget: h.forget, Until: h.until}
-	ok := h.listed && !h.silent && !h.doubted
+	req := winch.HoldRequest{Token: h.token, Forget: h.recordedUpTo, Until: h.leaseUntil}
+	ok := h.listed && !h.unresponsive && !h.retrying
 	h.mu.Unlock()
 	if !ok {
 		return // The next hold is sent without a wait.
 	}
 	sent := time.Now()
-	callCtx, cancel := context.WithTimeout(ctx, h.answerLimit())
+	callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
 	defer cancel()
-	resp, err := h.keeper.Runner.Hold(callCtx, h.vm, req)
-	if err != nil || ctx.Err() != nil || h.setClock(resp.Clock) {
+	resp, err := h.keeper.Client.Hold(callCtx, h.vm, req)
+	if err != nil || ctx.Err() != nil || h.updateClock(resp.Clock) {
 		return // The pending hold handles the failure.
 	}
-	h.answered(sent, resp)
+	h.handleResponse(sent, resp)
 }
 
 // handleFailure marks the worker as unresponsive after a failed hold and reports whether
 // the failure ends its assignment.
-func (h *holder) over(err error) bool {
+func (h *holder) handleFailure(err error) bool {
 	h.mu.Lock()
-	first := !h.silent
+	first := !h.unresponsive
 	if first {
-		h.spell++
+		h.unresponsivePeriods++
 	}
-	h.silent, h.open, h.doubted = true, false, false
-	left := time.Until(h.lapse())
+	h.unresponsive, h.renewalAllowed, h.retrying = true, false, false
+	left := time.Until(h.leaseExpiry())
 	expired := left <= 0
-	state := h.describe(err)
+	state := h.logFields(err)
 	h.mu.Unlock()
 	if first {
-		h.emit(proto.KeepEvent{Kind: proto.EventSilent, Left: max(0, left)})
+		h.emit(proto.KeeperEvent{Kind: proto.EventUnresponsive, Left: max(0, left)})
 	}
 	switch {
 	case errors.Is(err, winch.ErrFenced):
@@ -164,7 +164,7 @@
 		h.mu.Lock()
 		h.fenced = true
 		h.mu.Unlock()
-		h.emit(proto.KeepEvent{Kind: proto.EventFenced})
+		h.emit(proto.KeeperEvent{Kind: proto.EventFenced})
 		return true
 	case errors.Is(err, winch.ErrOtherBoot), expired:
 		h.keeper.Log.Info("worker lost, assignment ended", append(state, zap.Bool("lapsed", expired))...)
@@ -172,8 +172,8 @@
 		if expired {
 			result = winch.StartUncertain
 		}
-		h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: result})
-		h.keeper.Runner.Drop(h.vm)
+		h.emit(proto.KeeperEvent{Kind: proto.EventLost, Result: result})
+		h.keeper.Client.Disconnect(h.vm)
 		return true
 	}
 	if first {
@@ -184,22 +184,22 @@
 }
 
 // workerTime returns a lower bound of the worker's clock. The caller holds the mutex.
-func (h *holder) clockNow(now time.Time) time.Duration {
-	return h.clock + now.Sub(h.clockAt)
+func (h *holder) workerTime(now time.Time) time.Duration {
+	return h.workerClock + now.Sub(h.clockReadAt)
 }
 
 // updateClock stores the worker's clock from a response, and reports whether the response
 // came from another boot. Some responses don't identify their boot, but a boot's clock
 // starts anew and never goes back.
-func (h *holder) setClock(clock time.Duration) (otherBoot bool) {
+func (h *holder) updateClock(clock time.Duration) (otherBoot bool) {
 	if clock <= 0 {
 		return false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if clock < h.clock-overtaken {
+	if clock < h.workerClock-maxReorderDelay {
 		return true
 	}
-	h.clock, h.clockAt = clock, time.Now()
+	h.workerClock, h.clockReadAt = clock, time.Now()
 	return false
 }
--- a/coord/keep/holder.go
+++ b/coord/keep/holder.go
@@ -19,49 +19,49 @@
 	holdWait = 1500 * time.Millisecond
 	// frequentHoldWait replaces holdWait while the planner adjusts throttle percentages
 	// from the worker's reports: a target may be missed for a few seconds only.
-	closeWait = 500 * time.Millisecond
+	frequentHoldWait = 500 * time.Millisecond
 	// holdDelay is the delay between a response and the next hold.
-	holdPause = 15 * time.Millisecond
+	holdDelay = 15 * time.Millisecond
 	// recordTimeout bounds how long the next hold is delayed until the listed completions
 	// are recorded. A worker responds at once as long as it lists completions, so a hold
 	// sent earlier would only return the same ones again.
-	recordTime = 140 * time.Millisecond
+	recordTimeout = 140 * time.Millisecond
 	// lossyHoldWait replaces holdWait while responses are being lost: after a lost response
 	// the worker's completions go unnoticed until the next hold.
-	lossyWait = 300 * time.Millisecond
+	lossyHoldWait = 300 * time.Millisecond
 	// noRenewalHoldWait replaces holdWait while the lease may not be renewed yet, and
 	// renewalTimeout bounds how long the next hold is delayed for that permission.
-	shutWait = 300 * time.Millisecond
-	openTime = 150 * time.Millisecond
+	noRenewalHoldWait = 300 * time.Millisecond
+	renewalTimeout    = 150 * time.Millisecond
 	// retryDelay is the delay after a failed call.
-	retryPause = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 	// startTimeout is how long a worker accepts a start. It is short, so that a start
 	// delayed in the network is refused on arrival.
-	startTime = 1200 * time.Millisecond
+	startTimeout = 1200 * time.Millisecond
 	// orderSenders is the number of orders that may be in flight to one worker, each on
 	// its own connection.
-	senders = 2
+	orderSenders = 2
 	// maxClockDrift is the maximum fraction by which a worker's clock runs slower than the
 	// local one.
-	clockDrift = 0.02
+	maxClockDrift = 0.02
 	// expiryMargin is added to a lease's expiry: a message may be in flight that long, and
 	// the worker ends runs shortly after the expiry.
-	lapseMargin = 300 * time.Millisecond
+	expiryMargin = 300 * time.Millisecond
 	// minExpiryTimeout is the minimum timeout of a hold whose worker is about to count as
 	// lost.
-	lapseLook = 150 * time.Millisecond
+	minExpiryTimeout = 150 * time.Millisecond
 	// maxReorderDelay bounds how far the clock in a response may lag behind that in an
 	// already received one: responses on different connections can arrive out of order,
 	// but no call lasts longer than this.
-	overtaken = 3 * time.Second
+	maxReorderDelay = 3 * time.Second
 	// statusInterval is the minimum interval between status reports to the planner, and
 	// frequentStatusInterval applies while the planner adjusts throttle percentages from
 	// them.
-	statusEvery = time.Second
-	closeEvery  = 400 * time.Millisecond
+	statusInterval         = time.Second
+	frequentStatusInterval = 400 * time.Millisecond
 	// maxListed is the number of completions that a worker lists at a time. In a list of
 	// that length some completions may still be missing.
-	mostListed = 500
+	maxListed = 500
 )
 
 type runKey struct {
@@ -70,150 +70,150 @@
 }
 
 // runState is what a holder knows about a run that was ordered or listed.
-type known struct {
+type runState struct {
 	// confirmedAt is when the worker last confirmed an order about the run; zero while
 	// the first order is in flight.
-	acked time.Time
+	confirmedAt time.Time
 	// startUncertain reports that the start got no response and the run is being stopped.
-	doubt bool
+	startUncertain bool
 	// reported is set once the run's status was sent to the planner; percent and checkpoint
 	// are the values last sent.
-	told       bool
+	reported   bool
 	percent    float64
 	checkpoint string
 }
 
 // queuedOrder is an order that waits to be sent to the worker.
-type command struct {
+type queuedOrder struct {
 	proto.Order
-	text string // command is the job's command, set only for starts.
+	command string // command is the job's command, set only for starts.
 }
 
 // holder manages one boot of a worker under one assignment.
 type holder struct {
-	keeper *Keeper
-	vm     winch.WorkerVM
-	token  uint64
-	turn   uint64
-	empty  bool // startedEmpty reports that no run existed at the worker when the assignment began.
-	cancel context.CancelFunc
-	ring   chan command
-	began  time.Time
+	keeper       *Keeper
+	vm           winch.WorkerVM
+	token        uint64
+	generation   uint64
+	startedEmpty bool // startedEmpty reports that no run existed at the worker when the assignment began.
+	cancel       context.CancelFunc
+	orders       chan queuedOrder
+	began        time.Time
 	// completionsRecorded wakes the next hold once no reported completion is left to record.
-	recorded chan struct{}
+	completionsRecorded chan struct{}
 
-	mu     sync.Mutex
-	runs   map[runKey]*known
-	forget uint64        // recordedUpTo is the number up to which completions are recorded.
-	told   []winch.Ended // listedCompletions holds the completions that the worker listed last.
+	mu                sync.Mutex
+	runs              map[runKey]*runState
+	recordedUpTo      uint64             // recordedUpTo is the number up to which completions are recorded.
+	listedCompletions []winch.Completion // listedCompletions holds the completions that the worker listed last.
 	// workerClock is the worker's time when the local time was clockReadAt.
-	clock   time.Duration
-	clockAt time.Time
+	workerClock time.Duration
+	clockReadAt time.Time
 	// leaseUntil is the last requested lease expiry, on the worker's clock, and ownExpiry
 	// the local time at which it is guaranteed to have passed there. Neither moves while
 	// the worker is unresponsive: a call without a response may still take effect, and a
 	// worker that has failed must eventually count as lost.
-	until time.Duration
-	own   time.Time
+	leaseUntil time.Duration
+	ownExpiry  time.Time
 	// priorExpiry is when the leases granted under earlier assignments are guaranteed to
 	// have expired.
-	prior  time.Time
-	silent bool
+	priorExpiry  time.Time
+	unresponsive bool
 	// retrying reports that the last hold failed: it is retried once, at once, before the
 	// worker counts as unresponsive.
-	doubted bool
+	retrying bool
 	// renewalAllowed reports that the lease may be renewed: the planner knows that the
 	// worker has responded since its last unresponsive period. Without that rule the
 	// planner, on losing this keeper, would have to assume the longest lease from then on,
 	// even for a worker that never responded.
-	open     bool
-	spell    uint64        // unresponsivePeriods counts the worker's unresponsive periods.
-	opened   chan struct{} // renewalSignal wakes the next hold once the lease may be renewed.
-	heard    time.Time     // lastContact is when the worker last responded; zero if it never did.
-	listed   bool          // listed reports that the worker's first lists were received.
-	closed   bool          // closed reports that no start may be sent anymore.
-	fenced   bool          // fenced reports that a later assignment of the worker has begun.
-	closely  bool          // reportOften reports that the planner needs frequent status reports.
-	lastEnd  uint64        // lastCompletion is the highest completion number listed so far.
-	statusAt time.Time     // lastStatus is when the status of runs was last reported.
+	renewalAllowed      bool
+	unresponsivePeriods uint64        // unresponsivePeriods counts the worker's unresponsive periods.
+	renewalSignal       chan struct{} // renewalSignal wakes the next hold once the lease may be renewed.
+	lastContact         time.Time     // lastContact is when the worker last responded; zero if it never did.
+	listed              bool          // listed reports that the worker's first lists were received.
+	closed              bool          // closed reports that no start may be sent anymore.
+	fenced              bool          // fenced reports that a later assignment of the worker has begun.
+	reportOften         bool          // reportOften reports that the planner needs frequent status reports.
+	lastCompletion      uint64        // lastCompletion is the highest completion number listed so far.
+	lastStatus          time.Time     // lastStatus is when the status of runs was last reported.
 	// failedCalls counts the consecutive calls without a response, and lastFailure is when
 	// the last of them timed out.
-	unanswered int
-	missed     time.Time
+	failedCalls int
+	lastFailure time.Time
 	// listsClock is the worker's clock in the newest accepted lists.
-	listsAt time.Duration
+	listsClock time.Duration
 }
 
 func (h *holder) run(ctx context.Context) {
 	var group conc.WaitGroup
-	for range senders {
-		group.Go(func() { h.send(ctx) })
+	for range orderSenders {
+		group.Go(func() { h.sendOrders(ctx) })
 	}
 	group.Go(func() {
 		defer h.cancel()
-		h.renew(ctx)
+		h.renewLoop(ctx)
 	})
 	group.Wait()
 }
 
 // knownRuns returns the runs that may exist at the worker or whose completions are not
 // recorded yet, and whether that list is complete. The holder must be closed.
-func (h *holder) known() ([]winch.Running, bool) {
+func (h *holder) knownRuns() ([]winch.Running, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []winch.Running
 	for key := range h.runs {
 		out = append(out, winch.Running{Task: key.task, Run: key.run})
 	}
-	for _, e := range h.told {
-		if e.Number > h.forget {
+	for _, e := range h.listedCompletions {
+		if e.Number > h.recordedUpTo {
 			out = append(out, winch.Running{Task: e.Task, Run: e.Run})
 		}
 	}
-	return out, (h.listed || h.empty) && !h.fenced
+	return out, (h.listed || h.startedEmpty) && !h.fenced
 }
 
 // enqueue applies an order that needs no message of its own, since the next hold carries it,
 // and queues any other one for the worker.
-func (h *holder) take(o proto.Order, text string) {
+func (h *holder) enqueue(o proto.Order, text string) {
 	switch o.Kind {
 	case proto.OrderForget:
 		h.mu.Lock()
-		h.forget = max(h.forget, o.Forget)
-		caughtUp := h.forget >= h.lastEnd
+		h.recordedUpTo = max(h.recordedUpTo, o.Forget)
+		caughtUp := h.recordedUpTo >= h.lastCompletion
 		h.mu.Unlock()
 		if caughtUp {
-			duty.Signal(h.recorded)
+			duty.Signal(h.completionsRecorded)
 		}
 		return
-	case proto.OrderLook:
+	case proto.OrderReportRate:
 		h.mu.Lock()
-		h.closely = o.Closely
+		h.reportOften = o.Closely
 		h.mu.Unlock()
 		return
-	case proto.OrderRenew:
+	case proto.OrderAllowRenewal:
 		h.mu.Lock()
-		h.open = h.open || o.Spell == h.spell && !h.silent
+		h.renewalAllowed = h.renewalAllowed || o.Spell == h.unresponsivePeriods && !h.unresponsive
 		h.mu.Unlock()
-		duty.Signal(h.opened)
+		duty.Signal(h.renewalSignal)
 		return
 	}
 	select {
-	case h.ring <- command{o, text}:
+	case h.orders <- queuedOrder{o, text}:
 	default:
 		h.keeper.count("Keep.RingFull")
 		if o.Kind == proto.OrderStart {
-			h.refuse(o)
+			h.reportNotStarted(o)
 		}
 	}
 }
 
 // reportNotStarted reports to the planner that a start was not sent.
-func (h *holder) refuse(o proto.Order) {
-	h.emit(proto.KeepEvent{Kind: proto.EventNotStarted, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
+func (h *holder) reportNotStarted(o proto.Order) {
+	h.emit(proto.KeeperEvent{Kind: proto.EventNotStarted, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
 }
 
-func (h *holder) emit(e proto.KeepEvent) {
+func (h *holder) emit(e proto.KeeperEvent) {
 	e.Token = h.token
 	h.keeper.emit(h, e)
 }
--- a/coord/keep/keep.go
+++ b/coord/keep/keep.go
@@ -23,59 +23,59 @@
 const (
 	// maxEvents bounds the events queued for the planner. A planner that lets so many pile
 	// up has lost the session, and a new session lists everything anyway.
-	mostEvents = 20_000
+	maxEvents = 20_000
 	// orderQueueSize bounds the orders queued for one worker.
-	ringSize = 128
+	orderQueueSize = 128
 	// batchDelay is how long events are collected into one response: the tasks of a job
 	// complete close together, and a message costs the planner as much as ten events.
-	gatherTime = 4 * time.Millisecond
+	batchDelay = 4 * time.Millisecond
 	// endedRetention is how long an ended assignment is kept for later planners: longer
 	// than an outage of the store.
-	lastTime = 10 * time.Minute
+	endedRetention = 10 * time.Minute
 )
 
 // Keeper manages the workers assigned to it. The exported fields must be set before Run.
 type Keeper struct {
-	Runner  winch.Runner
+	Client  winch.WorkerClient
 	Log     *zap.Logger
 	Metrics metrics.Registry
 	// Lease is how long workers continue to run their tasks without contact to a keeper.
 	Lease time.Duration
 	// FetchCommand fetches the command of a job from the entry that accepted it, its origin.
-	Command func(ctx context.Context, job, origin string) (string, error)
+	FetchCommand func(ctx context.Context, job, origin string) (string, error)
 
-	trips trips
+	roundTrips roundTrips
 
-	mu      sync.Mutex
-	session proto.Session
-	started time.Time
-	until   time.Time // authorityUntil is when the authority granted by the planner ends.
-	holders map[string]*holder
+	mu             sync.Mutex
+	session        proto.Session
+	started        time.Time
+	authorityUntil time.Time // authorityUntil is when the authority granted by the planner ends.
+	holders        map[string]*holder
 	// byToken holds the same holders by the fencing tokens that identify them in orders.
 	byToken  map[uint64]*holder
 	commands Commands
-	events   []proto.KeepEvent
+	events   []proto.KeeperEvent
 	// ended holds the ended assignments whose lease expiry the planner may not know yet;
 	// endedSent is how many of them the last response reported.
-	ended  []endedHolding
-	handed int
+	ended     []endedAssignment
+	endedSent int
 	// lastEnded holds the most recent ended assignment of each worker, even if it was reported
 	// already: a later planner starts from a stored record that may be older than what the
 	// earlier planner knew.
-	last  map[string]endedHolding
-	wake  chan struct{}
-	group *conc.WaitGroup
-	ctx   context.Context
-	over  bool // stopped reports that Run has ended and no worker is managed anymore.
+	lastEnded map[string]endedAssignment
+	wake      chan struct{}
+	group     *conc.WaitGroup
+	ctx       context.Context
+	stopped   bool // stopped reports that Run has ended and no worker is managed anymore.
 }
 
 // endedAssignment is an assignment that has ended. At leaseExpiry the leases granted under
 // it and under earlier ones are guaranteed to have expired.
-type endedHolding struct {
-	worker string
-	token  uint64
-	turn   uint64
-	lapse  time.Time
+type endedAssignment struct {
+	worker      string
+	token       uint64
+	generation  uint64
+	leaseExpiry time.Time
 }
 
 // Prepare initializes the keeper. Run must be called afterwards.
@@ -83,7 +83,7 @@
 	k.started = time.Now()
 	k.holders = make(map[string]*holder)
 	k.byToken = make(map[uint64]*holder)
-	k.last = make(map[string]endedHolding)
+	k.lastEnded = make(map[string]endedAssignment)
 	k.wake = make(chan struct{}, 1)
 	k.group = conc.NewWaitGroup()
 	k.ctx = context.Background()
@@ -95,9 +95,9 @@
 	k.mu.Lock()
 	for _, h := range k.holders {
 		h.cancel()
-		k.drop(h)
+		k.remove(h)
 	}
-	k.over = true
+	k.stopped = true
 	k.mu.Unlock()
 	k.group.Wait()
 }
@@ -110,40 +110,40 @@
 // SetAssignments replaces the set of assigned workers. A set of an older session is ignored:
 // its planner may have lost the office (the planner's leadership lease in the store) while
 // the message was in flight.
-func (k *Keeper) Set(set proto.KeepSet) {
+func (k *Keeper) SetAssignments(set proto.AssignmentSet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.over || newer(k.session, set.Session) {
+	if k.stopped || newer(k.session, set.Session) {
 		return
 	}
 	if newer(set.Session, k.session) {
-		k.begin(set.Session)
-		k.until = time.Now().Add(set.Authority)
+		k.beginSession(set.Session)
+		k.authorityUntil = time.Now().Add(set.Authority)
 	}
 	wanted := make(map[string]bool, len(set.Workers))
 	for _, w := range set.Workers {
 		wanted[w.VM.ID] = true
 		h := k.holders[w.VM.ID]
 		if h != nil && h.token == w.Token {
-			h.learn(w.Left)
+			h.lowerPriorExpiry(w.Left)
 			continue
 		}
 		if h != nil {
-			k.letGo(h)
-			k.drop(h)
+			k.endAssignment(h)
+			k.remove(h)
 		}
-		k.hold(w)
+		k.assign(w)
 	}
 	for id, h := range k.holders {
 		if !wanted[id] {
-			k.letGo(h)
-			k.drop(h)
+			k.endAssignment(h)
+			k.remove(h)
 		}
 	}
 }
 
 // remove removes a holder from the maps.
-func (k *Keeper) drop(h *holder) {
+func (k *Keeper) remove(h *holder) {
 	if k.holders[h.vm.ID] == h {
 		delete(k.holders, h.vm.ID)
 	}
@@ -152,28 +152,28 @@
 
 // endAssignment ends an assignment and records its lease expiry. Without that record the
 // worker's next keeper would have to assume the longest lease that could have been granted.
-func (k *Keeper) letGo(h *holder) {
+func (k *Keeper) endAssignment(h *holder) {
 	h.cancel()
 	if expiry, last := h.close(); last {
-		e := endedHolding{h.vm.ID, h.token, h.turn, expiry}
-		k.ended, k.last[e.worker] = append(k.ended, e), e
+		e := endedAssignment{h.vm.ID, h.token, h.generation, expiry}
+		k.ended, k.lastEnded[e.worker] = append(k.ended, e), e
 		duty.Signal(k.wake)
 	}
 }
 
 // beginSession ends all assignments and begins a session. If it belongs to a later planner,
 // the runs and lease expiries known so far are reported to that planner.
-func (k *Keeper) begin(s proto.Session) {
+func (k *Keeper) beginSession(s proto.Session) {
 	k.events = nil
-	k.handed = 0
+	k.endedSent = 0
 	if s.Term > k.session.Term {
-		k.ended = k.lastOfEach() // A later planner starts from the stored record, which may be outdated.
+		k.ended = k.lastEndedAssignments() // A later planner starts from the stored record, which may be outdated.
 	}
 	for id, h := range k.holders {
-		k.letGo(h)
-		k.drop(h)
-		if running, whole := h.known(); whole && s.Term > k.session.Term {
-			k.events = append(k.events, proto.KeepEvent{Kind: proto.EventKnown, Worker: id, Running: running, Turn: h.turn})
+		k.endAssignment(h)
+		k.remove(h)
+		if running, whole := h.knownRuns(); whole && s.Term > k.session.Term {
+			k.events = append(k.events, proto.KeeperEvent{Kind: proto.EventKnownRuns, Worker: id, Running: running, Turn: h.generation})
 		}
 	}
 	k.session = s
@@ -181,24 +181,24 @@
 }
 
 // lastEndedAssignments returns the last ended assignment of each unassigned worker.
-func (k *Keeper) lastOfEach() []endedHolding {
-	maps.DeleteFunc(k.last, func(_ string, e endedHolding) bool { return time.Since(e.lapse) > lastTime })
-	return slices.SortedFunc(maps.Values(k.last), func(a, b endedHolding) int { return cmp.Compare(a.worker, b.worker) })
+func (k *Keeper) lastEndedAssignments() []endedAssignment {
+	maps.DeleteFunc(k.lastEnded, func(_ string, e endedAssignment) bool { return time.Since(e.leaseExpiry) > endedRetention })
+	return slices.SortedFunc(maps.Values(k.lastEnded), func(a, b endedAssignment) int { return cmp.Compare(a.worker, b.worker) })
 }
 
-func (k *Keeper) hold(w proto.Kept) {
-	delete(k.last, w.VM.ID)
+func (k *Keeper) assign(w proto.Assignment) {
+	delete(k.lastEnded, w.VM.ID)
 	ctx, cancel := context.WithCancel(k.ctx)
 	now := time.Now()
 	left := w.Left
 	if w.Empty {
 		// No work waits for this expiry, and the worker may take a while to respond first.
-		left = Surely(max(k.Lease, k.until.Sub(now)))
+		left = ExpiryBound(max(k.Lease, k.authorityUntil.Sub(now)))
 	}
 	h := &holder{
-		keeper: k, vm: w.VM, token: w.Token, turn: w.Turn, empty: w.Empty, cancel: cancel, began: now, prior: now.Add(left),
-		ring: make(chan command, ringSize), runs: make(map[runKey]*known), recorded: make(chan struct{}, 1),
-		opened: make(chan struct{}, 1),
+		keeper: k, vm: w.VM, token: w.Token, generation: w.Generation, startedEmpty: w.Empty, cancel: cancel, began: now, priorExpiry: now.Add(left),
+		orders: make(chan queuedOrder, orderQueueSize), runs: make(map[runKey]*runState), completionsRecorded: make(chan struct{}, 1),
+		renewalSignal: make(chan struct{}, 1),
 	}
 	k.holders[w.VM.ID], k.byToken[w.Token] = h, h
 	k.group.Go(func() {
@@ -209,59 +209,59 @@
 
 // QueueOrders queues orders to the workers: starts once the command of their job is known,
 // all others at once.
-func (k *Keeper) Orders(msg proto.KeepOrders) {
-	starts := make(map[string][]pending)
-	for i, h := range k.addressed(msg) {
+func (k *Keeper) QueueOrders(msg proto.KeeperOrders) {
+	starts := make(map[string][]pendingStart)
+	for i, h := range k.holdersOf(msg) {
 		o := msg.Orders[i]
 		switch {
 		case h == nil:
 		case o.Kind == proto.OrderStart:
-			starts[o.Task.Job] = append(starts[o.Task.Job], pending{h, o})
+			starts[o.Task.Job] = append(starts[o.Task.Job], pendingStart{h, o})
 		default:
-			h.take(o, "")
+			h.enqueue(o, "")
 		}
 	}
 	for job, list := range starts {
-		if text, known := k.commands.Get(job); known || k.Command == nil {
-			startAll(list, text)
+		if text, known := k.commands.Get(job); known || k.FetchCommand == nil {
+			queueStarts(list, text)
 			continue
 		}
-		k.group.Go(func() { k.fetch(job, msg.Origins[job], list) })
+		k.group.Go(func() { k.startWithCommand(job, msg.Origins[job], list) })
 	}
 }
 
 // pendingStart is a start that waits for its job's command.
-type pending struct {
+type pendingStart struct {
 	holder *holder
 	order  proto.Order
 }
 
-func startAll(list []pending, text string) {
+func queueStarts(list []pendingStart, text string) {
 	for _, x := range list {
-		x.holder.take(x.order, text)
+		x.holder.enqueue(x.order, text)
 	}
 }
 
 // startWithCommand fetches the command of a job and queues the starts that wait for it. If
 // that fails, the starts are guaranteed to have no effect and are reported as not started.
-func (k *Keeper) fetch(job, origin string, list []pending) {
-	text, err := k.Command(k.ctx, job, origin)
+func (k *Keeper) startWithCommand(job, origin string, list []pendingStart) {
+	text, err := k.FetchCommand(k.ctx, job, origin)
 	if err == nil {
 		k.commands.Add(job, text)
-		startAll(list, text)
+		queueStarts(list, text)
 		return
 	}
 	k.count("Keep.NoCommand")
 	k.Log.Info("could not fetch the command of a job, its tasks are not started",
 		zap.String("job", job), zap.String("origin", origin), zap.Error(err))
 	for _, x := range list {
-		x.holder.refuse(x.order)
+		x.holder.reportNotStarted(x.order)
 	}
 }
 
 // holdersOf returns the holder of each order. It returns before any holder is locked, since
 // holders acquire the two locks in the opposite order.
-func (k *Keeper) addressed(msg proto.KeepOrders) []*holder {
+func (k *Keeper) holdersOf(msg proto.KeeperOrders) []*holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if msg.Session != k.session {
@@ -277,13 +277,13 @@
 // Poll returns the events since the last poll of the session. It waits for an event, and
 // shortly for others that come with it. A zero session in the response means that the
 // session of the request is not the keeper's current one.
-func (k *Keeper) Poll(ctx context.Context, req proto.KeepPoll) proto.KeepNews {
-	resp := k.await(ctx, req)
+func (k *Keeper) Poll(ctx context.Context, req proto.KeeperPollRequest) proto.KeeperPollResponse {
+	resp := k.waitForEvents(ctx, req)
 	resp.Stamp = time.Since(k.started)
 	return resp
 }
 
-func (k *Keeper) await(ctx context.Context, req proto.KeepPoll) proto.KeepNews {
+func (k *Keeper) waitForEvents(ctx context.Context, req proto.KeeperPollRequest) proto.KeeperPollResponse {
 	timer := time.NewTimer(req.Wait)
 	defer timer.Stop()
 	for {
@@ -298,45 +298,45 @@
 			resp.Session = req.Session
 			return resp
 		case <-k.wake:
-			duty.Pause(ctx, gatherTime)
+			duty.Sleep(ctx, batchDelay)
 		}
 	}
 }
 
-func (k *Keeper) collect(req proto.KeepPoll) (proto.KeepNews, bool) {
+func (k *Keeper) collect(req proto.KeeperPollRequest) (proto.KeeperPollResponse, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if req.Session != k.session {
-		return proto.KeepNews{Term: k.session.Term}, true
+		return proto.KeeperPollResponse{Term: k.session.Term}, true
 	}
-	if until := k.started.Add(req.Stamp + req.Authority); req.Stamp > 0 && until.After(k.until) {
-		k.until = until
+	if until := k.started.Add(req.Stamp + req.Authority); req.Stamp > 0 && until.After(k.authorityUntil) {
+		k.authorityUntil = until
 	}
-	k.ended, k.handed = k.ended[k.handed:], 0 // Another poll means that the last response was received.
+	k.ended, k.endedSent = k.ended[k.endedSent:], 0 // Another poll means that the last response was received.
 	if len(k.events) == 0 && len(k.ended) == 0 {
-		return proto.KeepNews{}, false
+		return proto.KeeperPollResponse{}, false
 	}
-	resp := proto.KeepNews{Session: k.session, Events: append(k.released(), k.events...)}
-	k.events, k.handed = nil, len(k.ended)
+	resp := proto.KeeperPollResponse{Session: k.session, Events: append(k.releasedEvents(), k.events...)}
+	k.events, k.endedSent = nil, len(k.ended)
 	return resp, true
 }
 
 // releasedEvents returns the events for the ended assignments.
-func (k *Keeper) released() []proto.KeepEvent {
-	out := make([]proto.KeepEvent, 0, len(k.ended))
+func (k *Keeper) releasedEvents() []proto.KeeperEvent {
+	out := make([]proto.KeeperEvent, 0, len(k.ended))
 	for _, e := range k.ended {
-		out = append(out, proto.KeepEvent{
-			Kind: proto.EventReleased, Worker: e.worker, Token: e.token, Turn: e.turn, Left: max(0, time.Until(e.lapse)),
+		out = append(out, proto.KeeperEvent{
+			Kind: proto.EventReleased, Worker: e.worker, Token: e.token, Turn: e.generation, Left: max(0, time.Until(e.leaseExpiry)),
 		})
 	}
 	return out
 }
 
 // emit queues events for the planner. Events of a replaced holder are dropped.
-func (k *Keeper) emit(h *holder, events ...proto.KeepEvent) {
+func (k *Keeper) emit(h *holder, events ...proto.KeeperEvent) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.holders[h.vm.ID] != h || len(k.events) > mostEvents {
+	if k.holders[h.vm.ID] != h || len(k.events) > maxEvents {
 		return
 	}
 	k.events = append(k.events, events...)
@@ -344,10 +344,10 @@
 }
 
 // authorityLeft returns how long the keeper may still renew leases.
-func (k *Keeper) authority() time.Duration {
+func (k *Keeper) authorityLeft() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return time.Until(k.until)
+	return time.Until(k.authorityUntil)
 }
 
 func (k *Keeper) count(name string) {
--- a/coord/keep/keep_test.go
+++ b/coord/keep/keep_test.go
@@ -17,46 +17,46 @@
 
 // fakeWorker simulates one worker VM, which the test can make unresponsive.
 type fakeWorker struct {
-	mu      sync.Mutex
-	silent  bool
-	begin   time.Time
-	until   time.Duration
-	forget  uint64
-	token   uint64
-	holds   int
-	running []winch.Running
-	ended   []winch.Ended
+	mu           sync.Mutex
+	unresponsive bool
+	begin        time.Time
+	until        time.Duration
+	forget       uint64
+	token        uint64
+	holds        int
+	running      []winch.Running
+	ended        []winch.Completion
 	// loseStarts drops the responses to starts; late makes these starts take effect.
 	loseStarts bool
 	late       bool
 	// maxForget is the largest Forget of the holds since the last boot.
-	told  uint64
-	stops int
+	maxForget uint64
+	stops     int
 }
 
 func (w *fakeWorker) clock() time.Duration { return time.Since(w.begin) }
 
-func (w *fakeWorker) wait(ctx context.Context) (winch.Holding, error) {
+func (w *fakeWorker) wait(ctx context.Context) (winch.HoldResponse, error) {
 	<-ctx.Done()
-	return winch.Holding{}, winch.ErrUncertain
+	return winch.HoldResponse{}, winch.ErrUncertain
 }
 
-func (w *fakeWorker) Hold(ctx context.Context, _ winch.WorkerVM, c winch.HoldCall) (winch.Holding, error) {
+func (w *fakeWorker) Hold(ctx context.Context, _ winch.WorkerVM, c winch.HoldRequest) (winch.HoldResponse, error) {
 	w.mu.Lock()
-	if w.silent {
+	if w.unresponsive {
 		w.mu.Unlock()
 		return w.wait(ctx)
 	}
 	defer w.mu.Unlock()
 	if c.Token < w.token {
-		return winch.Holding{}, winch.ErrFenced
+		return winch.HoldResponse{}, winch.ErrFenced
 	}
 	w.token = c.Token
 	w.holds++
 	w.until = max(w.until, c.Until)
 	w.forget = max(w.forget, c.Forget)
-	w.told = max(w.told, c.Forget)
-	var completions []winch.Ended
+	w.maxForget = max(w.maxForget, c.Forget)
+	var completions []winch.Completion
 	for _, e := range w.ended {
 		if e.Number > w.forget {
 			completions = append(completions, e)
@@ -68,10 +68,10 @@
 		time.Sleep(c.Wait)
 		w.mu.Lock()
 	}
-	return winch.Holding{Clock: w.clock(), Running: append([]winch.Running(nil), w.running...), Ended: append([]winch.Ended(nil), w.ended...)}, nil
+	return winch.HoldResponse{Clock: w.clock(), Running: append([]winch.Running(nil), w.running...), Ended: append([]winch.Completion(nil), w.ended...)}, nil
 }
 
-func (w *fakeWorker) Start(ctx context.Context, _ winch.WorkerVM, c winch.StartCall) (winch.StartResult, time.Duration) {
+func (w *fakeWorker) Start(ctx context.Context, _ winch.WorkerVM, c winch.StartRequest) (winch.StartResult, time.Duration) {
 	w.mu.Lock()
 	lose := w.loseStarts
 	if !lose || w.late {
@@ -92,49 +92,49 @@
 	for i, r := range w.running {
 		if r.Task == task && r.Run == run {
 			w.running = append(w.running[:i:i], w.running[i+1:]...)
-			w.ended = append(w.ended, winch.Ended{Number: 1, Task: task, Run: run, Kind: winch.EndStopped})
+			w.ended = append(w.ended, winch.Completion{Number: 1, Task: task, Run: run, Kind: winch.CompletionStopped})
 		}
 	}
 	return nil
 }
 
-func (w *fakeWorker) Pace(context.Context, winch.WorkerVM, uint64, winch.RunID, uint64, int) error {
+func (w *fakeWorker) Throttle(context.Context, winch.WorkerVM, uint64, winch.RunID, uint64, int) error {
 	return nil
 }
 
-func (w *fakeWorker) Drop(winch.WorkerVM) {}
+func (w *fakeWorker) Disconnect(winch.WorkerVM) {}
 
 // fixture is a keeper with one worker and the planner's side of a session.
-type rig struct {
+type fixture struct {
 	keeper  *Keeper
 	worker  *fakeWorker
 	session proto.Session
 	mu      sync.Mutex
-	events  []proto.KeepEvent
+	events  []proto.KeeperEvent
 	// withholdRenewals keeps the planner's side from allowing lease renewals.
-	deaf bool
+	withholdRenewals bool
 }
 
-func newRig(ctx context.Context) *rig {
-	r := &rig{worker: &fakeWorker{begin: time.Now()}, session: proto.Session{Term: 1, Number: 1}}
-	r.keeper = &Keeper{Runner: r.worker, Log: zap.NewNop(), Metrics: metrics.NewRegistry(), Lease: 6 * time.Second}
+func newFixture(ctx context.Context) *fixture {
+	r := &fixture{worker: &fakeWorker{begin: time.Now()}, session: proto.Session{Term: 1, Number: 1}}
+	r.keeper = &Keeper{Client: r.worker, Log: zap.NewNop(), Metrics: metrics.NewRegistry(), Lease: 6 * time.Second}
 	r.keeper.Prepare()
 	r.keeper.group.Go(func() { r.poll(ctx) })
-	r.keeper.Set(proto.KeepSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Kept{{VM: winch.WorkerVM{ID: "w"}, Token: 5}}})
+	r.keeper.SetAssignments(proto.AssignmentSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Assignment{{VM: winch.WorkerVM{ID: "w"}, Token: 5}}})
 	return r
 }
 
-func (r *rig) poll(ctx context.Context) {
+func (r *fixture) poll(ctx context.Context) {
 	stamp := time.Duration(0)
 	for ctx.Err() == nil {
-		resp := r.keeper.Poll(ctx, proto.KeepPoll{Session: r.session, Authority: 8 * time.Second, Wait: time.Second, Stamp: stamp})
+		resp := r.keeper.Poll(ctx, proto.KeeperPollRequest{Session: r.session, Authority: 8 * time.Second, Wait: time.Second, Stamp: stamp})
 		stamp = resp.Stamp
 		if resp.Session != r.session {
 			time.Sleep(10 * time.Millisecond)
 		}
 		r.mu.Lock()
 		r.events = append(r.events, resp.Events...)
-		withhold := r.deaf
+		withhold := r.withholdRenewals
 		r.mu.Unlock()
 		if !withhold {
 			r.allowRenewals(resp)
@@ -144,24 +144,24 @@
 
 // allowRenewals sends the orders by which a planner allows the renewal of leases after the
 // events that report a responsive worker.
-func (r *rig) allowRenewals(resp proto.KeepNews) {
+func (r *fixture) allowRenewals(resp proto.KeeperPollResponse) {
 	for _, e := range resp.Events {
-		if e.Kind == proto.EventListed || e.Kind == proto.EventBack {
-			o := proto.Order{Kind: proto.OrderRenew, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
-			r.keeper.Orders(proto.KeepOrders{Session: resp.Session, Orders: []proto.Order{o}})
+		if e.Kind == proto.EventListed || e.Kind == proto.EventResponsive {
+			o := proto.Order{Kind: proto.OrderAllowRenewal, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
+			r.keeper.QueueOrders(proto.KeeperOrders{Session: resp.Session, Orders: []proto.Order{o}})
 		}
 	}
 }
 
 // setUnresponsive makes the worker unresponsive or responsive.
-func (r *rig) setSilent(silent bool) {
+func (r *fixture) setUnresponsive(silent bool) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
-	r.worker.silent = silent
+	r.worker.unresponsive = silent
 }
 
 // last returns the last event of a kind.
-func (r *rig) last(kind proto.EventKind) (out proto.KeepEvent) {
+func (r *fixture) last(kind proto.EventKind) (out proto.KeeperEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.events {
@@ -172,7 +172,7 @@
 	return out
 }
 
-func (r *rig) count(kind proto.EventKind) int {
+func (r *fixture) count(kind proto.EventKind) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -184,7 +184,7 @@
 	return n
 }
 
-func (r *rig) end(cancel context.CancelFunc) {
+func (r *fixture) end(cancel context.CancelFunc) {
 	cancel()
 	r.keeper.mu.Lock()
 	for _, h := range r.keeper.holders {
@@ -199,15 +199,15 @@
 // Guards against a failed worker that never counts as lost, so that its tasks are never
 // restarted. A hold without a response may still arrive and extend the lease; if each of
 // them were assumed to do so, the lease would never expire.
-func TestSilentWorkerIsLostAfterItsLease(t *testing.T) {
+func TestUnresponsiveWorkerIsLostAfterItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
 		is.Equal(r.count(proto.EventListed), 1)
 		r.worker.mu.Lock()
-		r.worker.silent = true
+		r.worker.unresponsive = true
 		r.worker.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		is.Equal(r.count(proto.EventLost), 0) // the lease may still run
@@ -223,7 +223,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(2 * time.Second)
 		cancel() // No more polls.
 		lost := time.Now()
@@ -245,12 +245,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
-			r := newRig(ctx)
+			r := newFixture(ctx)
 			time.Sleep(time.Second)
 			r.worker.mu.Lock()
 			r.worker.loseStarts, r.worker.late = true, late
 			r.worker.mu.Unlock()
-			r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
+			r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
 			time.Sleep(6 * time.Second)
 			is.Equal(r.count(proto.EventStarted), 0)
 			is.Equal(r.count(proto.EventEnded)+r.count(proto.EventNotStarted), 1)
@@ -265,14 +265,14 @@
 // Guards against a replaced planner that stays active. Partitioned from the store, it goes on
 // polling a keeper that serves its successor. The keeper ignores its assignments and returns
 // the later term.
-func TestKeeperTellsAnOlderPlannerTheLaterTerm(t *testing.T) {
+func TestKeeperReportsTheLaterTermToAnOlderPlanner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
-		r.keeper.Set(proto.KeepSet{Session: proto.Session{Term: 2, Number: 1}, Authority: time.Second})
-		r.keeper.Set(proto.KeepSet{Session: proto.Session{Term: 1, Number: 9}, Authority: time.Second})
-		resp := r.keeper.Poll(ctx, proto.KeepPoll{Session: r.session, Wait: time.Second})
+		r := newFixture(ctx)
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: proto.Session{Term: 2, Number: 1}, Authority: time.Second})
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: proto.Session{Term: 1, Number: 9}, Authority: time.Second})
+		resp := r.keeper.Poll(ctx, proto.KeeperPollRequest{Session: r.session, Wait: time.Second})
 		is.Equal(resp.Session, proto.Session{})
 		is.Equal(resp.Term, uint64(2))
 		r.end(cancel)
@@ -282,14 +282,14 @@
 // Guards against a start sent under a later assignment than it was ordered for. The worker is
 // reassigned while the start is queued; sent now, the start could take effect after the
 // worker's new lists, and the task would be started twice.
-func TestStartOfAnEarlierHoldingIsDropped(t *testing.T) {
+func TestStartOfAnEarlierAssignmentIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(time.Second)
-		r.keeper.Set(proto.KeepSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Kept{{VM: winch.WorkerVM{ID: "w"}, Token: 6}}})
-		r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Assignment{{VM: winch.WorkerVM{ID: "w"}, Token: 6}}})
+		r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
 		time.Sleep(5 * time.Second)
 		r.worker.mu.Lock()
 		is.Equal(len(r.worker.running), 0)
@@ -306,13 +306,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		for i := range uint64(200) {
 			r.worker.mu.Lock()
-			r.worker.ended = []winch.Ended{{Number: i + 1, Task: oneTask, Run: i}}
+			r.worker.ended = []winch.Completion{{Number: i + 1, Task: oneTask, Run: i}}
 			r.worker.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
-			r.keeper.Set(proto.KeepSet{Session: proto.Session{Term: i + 2}, Authority: time.Second, Workers: []proto.Kept{{VM: winch.WorkerVM{ID: "w"}, Token: i + 6}}})
+			r.keeper.SetAssignments(proto.AssignmentSet{Session: proto.Session{Term: i + 2}, Authority: time.Second, Workers: []proto.Assignment{{VM: winch.WorkerVM{ID: "w"}, Token: i + 6}}})
 		}
 		is.Equal(r.keeper.session.Term, uint64(201))
 		r.end(cancel)
@@ -322,17 +322,17 @@
 // Guards against a start sent to an unresponsive worker. Its lease is about to count as
 // expired; the start would extend it at the worker, and tasks there would run on while they
 // are restarted elsewhere.
-func TestNoStartAtASilentWorker(t *testing.T) {
+func TestNoStartAtAnUnresponsiveWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(2 * time.Second)
 		r.worker.mu.Lock()
-		r.worker.silent = true
+		r.worker.unresponsive = true
 		r.worker.mu.Unlock()
 		time.Sleep(4 * time.Second)
-		r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
+		r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
 		time.Sleep(time.Second)
 		r.worker.mu.Lock()
 		is.Equal(len(r.worker.running), 0)
@@ -347,28 +347,28 @@
 func (w *fakeWorker) reboot() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.begin, w.until, w.forget, w.token, w.told = time.Now(), 0, 0, 0, 0
-	w.running, w.ended, w.silent = nil, nil, false
+	w.begin, w.until, w.forget, w.token, w.maxForget = time.Now(), 0, 0, 0, 0
+	w.running, w.ended, w.unresponsive = nil, nil, false
 }
 
 // Guards against a hold that carries the completion numbers of the previous boot. A worker
 // crashes and returns under the same ID; it would drop completions that nobody has seen, and
 // finished tasks would run again.
-func TestNextBootIsToldNoNumbersOfTheLast(t *testing.T) {
+func TestNextBootGetsNoCompletionNumbersOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
-		r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderForget, Worker: "w", Token: 5, Forget: 40}}})
+		r := newFixture(ctx)
+		r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderForget, Worker: "w", Token: 5, Forget: 40}}})
 		time.Sleep(5 * time.Second)
 		r.worker.mu.Lock()
-		r.worker.silent = true
+		r.worker.unresponsive = true
 		r.worker.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		r.worker.reboot()
 		time.Sleep(3 * time.Second)
 		r.worker.mu.Lock()
-		is.Equal(r.worker.told, uint64(0))
+		is.Equal(r.worker.maxForget, uint64(0))
 		r.worker.mu.Unlock()
 		is.Equal(r.count(proto.EventLost), 1) // The clock shows that it is another boot.
 		r.end(cancel)
@@ -382,11 +382,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(5 * time.Second)
 		r.worker.reboot()
 		time.Sleep(time.Millisecond)
-		r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
+		r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: 3}}})
 		time.Sleep(time.Second)
 		r.worker.mu.Lock()
 		is.Equal(len(r.worker.running), 0)
@@ -403,22 +403,22 @@
 // which only the lists show. Reported as vanished, it would be removed from the standby's
 // replica although its completion is not recorded, and be started again if the planner failed
 // during a store outage.
-func TestRunThatIsStoppedBeforeTheListsHasNotVanished(t *testing.T) {
+func TestRunStoppedBeforeFirstListsHasNotVanished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(time.Second)
-		r.setSilent(true)
-		r.keeper.Set(proto.KeepSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Kept{{VM: winch.WorkerVM{ID: "w"}, Token: 6, Left: 6 * time.Second}}})
-		r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStop, Worker: "w", Token: 6, Task: oneTask, Run: 3}}})
+		r.setUnresponsive(true)
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Assignment{{VM: winch.WorkerVM{ID: "w"}, Token: 6, Left: 6 * time.Second}}})
+		r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{{Kind: proto.OrderStop, Worker: "w", Token: 6, Task: oneTask, Run: 3}}})
 		time.Sleep(time.Second)
 		is.Equal(r.count(proto.EventVanished), 0)
 		r.worker.mu.Lock()
 		is.Equal(r.worker.stops, 1)
-		r.worker.ended = []winch.Ended{{Number: 1, Task: oneTask, Run: 3, Kind: winch.EndDone}}
+		r.worker.ended = []winch.Completion{{Number: 1, Task: oneTask, Run: 3, Kind: winch.CompletionDone}}
 		r.worker.mu.Unlock()
-		r.setSilent(false)
+		r.setUnresponsive(false)
 		time.Sleep(2 * time.Second)
 		is.Equal(r.count(proto.EventVanished), 0)
 		is.Equal(len(r.last(proto.EventListed).Ended), 1)
--- a/coord/keep/lease.go
+++ b/coord/keep/lease.go
@@ -15,58 +15,58 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
-	return h.lapse(), !h.fenced
+	return h.leaseExpiry(), !h.fenced
 }
 
 // leaseExpiry returns when all leases at the worker are guaranteed to have expired unless
 // they are renewed. The caller holds the mutex.
-func (h *holder) lapse() time.Time {
-	return later(h.prior, h.own)
+func (h *holder) leaseExpiry() time.Time {
+	return later(h.priorExpiry, h.ownExpiry)
 }
 
 // lowerPriorExpiry sets an earlier expiry of the leases granted under earlier assignments.
 // It has no effect once the worker has responded: from then on the planner relies on this
 // keeper for these leases and no longer sends their remaining time.
-func (h *holder) learn(left time.Duration) {
+func (h *holder) lowerPriorExpiry(left time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if until := time.Now().Add(left); !h.empty && !h.listed && until.Before(h.prior) {
-		h.prior = until
+	if until := time.Now().Add(left); !h.startedEmpty && !h.listed && until.Before(h.priorExpiry) {
+		h.priorExpiry = until
 	}
 }
 
 // waitForRenewal waits until the lease may be renewed, or until a timeout.
-func (h *holder) waitOpen(ctx context.Context) {
+func (h *holder) waitForRenewal(ctx context.Context) {
 	h.mu.Lock()
-	open := h.open
+	open := h.renewalAllowed
 	h.mu.Unlock()
 	if open {
 		return
 	}
-	timer := time.NewTimer(openTime)
+	timer := time.NewTimer(renewalTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-h.opened:
+	case <-h.renewalSignal:
 	}
 }
 
 // logFields returns what determines when an unresponsive worker is lost: how long it has
 // been assigned, its last contact, how long its lease may still run, and the error of the
 // last call. The caller holds the mutex.
-func (h *holder) describe(err error) []zap.Field {
+func (h *holder) logFields(err error) []zap.Field {
 	now := time.Now()
 	fields := []zap.Field{
 		zap.String("worker", h.vm.ID), zap.Uint64("token", h.token), zap.Int("runs", len(h.runs)),
-		zap.Duration("held", now.Sub(h.began)), zap.Duration("lapsesIn", h.lapse().Sub(now)),
+		zap.Duration("held", now.Sub(h.began)), zap.Duration("lapsesIn", h.leaseExpiry().Sub(now)),
 		zap.String("error", err.Error()),
 	}
 	if cause := merry.Cause(err); cause != nil {
 		fields = append(fields, zap.String("cause", cause.Error()))
 	}
-	if !h.heard.IsZero() {
-		fields = append(fields, zap.Duration("heardAgo", now.Sub(h.heard)))
+	if !h.lastContact.IsZero() {
+		fields = append(fields, zap.Duration("heardAgo", now.Sub(h.lastContact)))
 	}
 	return fields
 }
@@ -74,8 +74,8 @@
 // ExpiryBound returns the local duration after which a duration on a worker's clock is
 // guaranteed to have passed there too, including the time to deliver the call and to end
 // the runs.
-func Surely(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*clockDrift/(1-clockDrift)) + lapseMargin
+func ExpiryBound(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*maxClockDrift/(1-maxClockDrift)) + expiryMargin
 }
 
 func later(a, b time.Time) time.Time {
--- a/coord/keep/lease_test.go
+++ b/coord/keep/lease_test.go
@@ -20,16 +20,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		r.mu.Lock()
-		r.deaf = true
+		r.withholdRenewals = true
 		r.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		is.Equal(r.count(proto.EventListed), 1)
 		r.worker.mu.Lock()
 		is.Equal(r.worker.until, time.Duration(0))
 		r.worker.mu.Unlock()
-		r.allowRenewals(proto.KeepNews{Session: r.session, Events: []proto.KeepEvent{r.last(proto.EventListed)}})
+		r.allowRenewals(proto.KeeperPollResponse{Session: r.session, Events: []proto.KeeperEvent{r.last(proto.EventListed)}})
 		time.Sleep(time.Second)
 		r.worker.mu.Lock()
 		is.True(r.worker.until > 6*time.Second)
@@ -41,28 +41,28 @@
 // Guards against a renewal allowed by an outdated permission. After a short unresponsive
 // period, the planner knows of the responses before it but not of those after it: until those
 // are reported, the lease expiry reported to it must stay valid.
-func TestPermissionOfAnEarlierSpellRenewsNothing(t *testing.T) {
+func TestPermissionBeforeAnUnresponsivePeriodRenewsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(2 * time.Second)
 		r.mu.Lock()
-		r.deaf = true
+		r.withholdRenewals = true
 		r.mu.Unlock()
-		r.setSilent(true)
-		for r.count(proto.EventSilent) == 0 {
+		r.setUnresponsive(true)
+		for r.count(proto.EventUnresponsive) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		reported := time.Now()
-		left := r.last(proto.EventSilent).Left
+		left := r.last(proto.EventUnresponsive).Left
 		time.Sleep(time.Second)
-		r.setSilent(false)
+		r.setUnresponsive(false)
 		time.Sleep(time.Second)
-		is.Equal(r.count(proto.EventBack), 1)
-		stale := r.last(proto.EventBack)
+		is.Equal(r.count(proto.EventResponsive), 1)
+		stale := r.last(proto.EventResponsive)
 		stale.Spell--
-		r.allowRenewals(proto.KeepNews{Session: r.session, Events: []proto.KeepEvent{stale}})
+		r.allowRenewals(proto.KeeperPollResponse{Session: r.session, Events: []proto.KeeperEvent{stale}})
 		time.Sleep(time.Second)
 		r.worker.mu.Lock()
 		end := r.worker.begin.Add(r.worker.until)
@@ -75,19 +75,19 @@
 // Guards against waiting longer than necessary for a worker that never responds. A keeper is
 // assigned a worker that had failed before: it waits for the remaining time of the earlier
 // leases, not for another full lease, even if a shorter time is received later.
-func TestWaitForASilentWorkerIsWhatEarlierLeasesLeave(t *testing.T) {
+func TestWaitForAnUnresponsiveWorkerIsTheRestOfEarlierLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
-		r.setSilent(true)
-		set := proto.KeepSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Kept{{VM: winch.WorkerVM{ID: "w"}, Token: 6, Left: 7 * time.Second}}}
-		r.keeper.Set(set)
+		r := newFixture(ctx)
+		r.setUnresponsive(true)
+		set := proto.AssignmentSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Assignment{{VM: winch.WorkerVM{ID: "w"}, Token: 6, Left: 7 * time.Second}}}
+		r.keeper.SetAssignments(set)
 		time.Sleep(time.Second)
 		set.Workers[0].Left = 2 * time.Second
-		r.keeper.Set(set)
+		r.keeper.SetAssignments(set)
 		set.Workers[0].Left = 9 * time.Second // An older message that arrives late.
-		r.keeper.Set(set)
+		r.keeper.SetAssignments(set)
 		time.Sleep(1900 * time.Millisecond)
 		is.Equal(r.count(proto.EventLost), 0)
 		time.Sleep(300 * time.Millisecond)
@@ -99,22 +99,22 @@
 // Guards against losing the lease expiry of a failed worker when it is reassigned. The
 // previous keeper reports the expiry of the last lease in each response until the planner is
 // known to have received it, since responses get lost.
-func TestKeeperTellsUntilWhenItsLeasesRun(t *testing.T) {
+func TestKeeperReportsTheExpiryOfItsLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
-		r.setSilent(true)
+		r.setUnresponsive(true)
 		time.Sleep(time.Second)
 		cancel() // Only the test polls from here on.
-		r.keeper.Poll(t.Context(), proto.KeepPoll{Session: r.session})
+		r.keeper.Poll(t.Context(), proto.KeeperPollRequest{Session: r.session})
 		began := time.Now()
 		next := proto.Session{Term: 1, Number: 2}
-		r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: next, Authority: 8 * time.Second})
 		for range 2 {
-			r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
-			resp := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
+			r.keeper.SetAssignments(proto.AssignmentSet{Session: next, Authority: 8 * time.Second})
+			resp := r.keeper.Poll(t.Context(), proto.KeeperPollRequest{Session: next, Wait: time.Second})
 			is.Equal(len(resp.Events), 1)
 			is.Equal(resp.Events[0].Kind, proto.EventReleased)
 			is.Equal(resp.Events[0].Token, uint64(5))
@@ -122,12 +122,12 @@
 			r.worker.mu.Lock()
 			is.True(left.After(r.worker.begin.Add(r.worker.until)))
 			r.worker.mu.Unlock()
-			is.True(left.Before(began.Add(Surely(6 * time.Second))))
+			is.True(left.Before(began.Add(ExpiryBound(6 * time.Second))))
 			next.Number++ // The response was lost; a new session begins.
-			r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
+			r.keeper.SetAssignments(proto.AssignmentSet{Session: next, Authority: 8 * time.Second})
 		}
-		r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
-		resp := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: next, Wait: time.Second})
+		r.keeper.Poll(t.Context(), proto.KeeperPollRequest{Session: next, Wait: time.Second})
+		resp := r.keeper.Poll(t.Context(), proto.KeeperPollRequest{Session: next, Wait: time.Second})
 		is.Equal(len(resp.Events), 0)
 		r.end(cancel)
 	})
@@ -136,11 +136,11 @@
 // Guards against reporting the lease expiry of a fenced assignment. The worker was assigned to
 // another keeper, which renews its lease, and this keeper learned of that only from the worker.
 // A later planner that took the reported expiry for the last one would start the work twice.
-func TestFencedHoldingTellsNothing(t *testing.T) {
+func TestFencedAssignmentReportsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
 		r.worker.mu.Lock()
 		r.worker.token = 8
@@ -149,8 +149,8 @@
 		is.Equal(r.count(proto.EventFenced), 1)
 		cancel()
 		later := proto.Session{Term: 2, Number: 1}
-		r.keeper.Set(proto.KeepSet{Session: later, Authority: 8 * time.Second})
-		resp := r.keeper.Poll(t.Context(), proto.KeepPoll{Session: later, Wait: time.Second})
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: later, Authority: 8 * time.Second})
+		resp := r.keeper.Poll(t.Context(), proto.KeeperPollRequest{Session: later, Wait: time.Second})
 		is.Equal(len(resp.Events), 0)
 		r.end(cancel)
 	})
@@ -166,20 +166,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		r.mu.Lock()
-		r.deaf = true
+		r.withholdRenewals = true
 		r.mu.Unlock()
-		set := proto.KeepSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Kept{{VM: winch.WorkerVM{ID: "w"}, Token: 6, Left: 6 * time.Second}}}
+		set := proto.AssignmentSet{Session: r.session, Authority: 8 * time.Second, Workers: []proto.Assignment{{VM: winch.WorkerVM{ID: "w"}, Token: 6, Left: 6 * time.Second}}}
 		r.worker.mu.Lock()
 		r.worker.until = r.worker.clock() + 5*time.Second
 		r.worker.mu.Unlock()
-		r.keeper.Set(set)
+		r.keeper.SetAssignments(set)
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(r.last(proto.EventListed).Token, uint64(6))
 		set.Workers[0].Left = 0 // The planner has received the lists.
-		r.keeper.Set(set)
-		r.setSilent(true)
+		r.keeper.SetAssignments(set)
+		r.setUnresponsive(true)
 		for r.count(proto.EventLost) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -194,23 +194,23 @@
 // lease expiry, but the store is unavailable, so the roster still holds the worker. The next
 // planner starts from the roster: without the same report it would wait for the longest lease
 // from its own start.
-func TestLaterPlannerIsToldOfWorkersThatWereDropped(t *testing.T) {
+func TestRemovedWorkersAreReportedToALaterPlanner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(2 * time.Second)
-		r.setSilent(true)
+		r.setUnresponsive(true)
 		time.Sleep(time.Second)
-		r.keeper.Set(proto.KeepSet{Session: r.session, Authority: 8 * time.Second})
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: r.session, Authority: 8 * time.Second})
 		time.Sleep(time.Second)
 		is.Equal(r.count(proto.EventReleased), 1)
 		reported := r.last(proto.EventReleased)
 		time.Sleep(10 * time.Second)
-		r.setSilent(false)
+		r.setUnresponsive(false)
 		next := proto.Session{Term: 2, Number: 1}
-		r.keeper.Set(proto.KeepSet{Session: next, Authority: 8 * time.Second})
-		resp := r.keeper.Poll(ctx, proto.KeepPoll{Session: next, Wait: time.Second})
+		r.keeper.SetAssignments(proto.AssignmentSet{Session: next, Authority: 8 * time.Second})
+		resp := r.keeper.Poll(ctx, proto.KeeperPollRequest{Session: next, Wait: time.Second})
 		is.Equal(len(resp.Events), 1)
 		is.Equal(resp.Events[0].Kind, proto.EventReleased)
 		is.Equal(resp.Events[0].Turn, reported.Turn)
--- a/coord/keep/roundtrip_test.go
+++ b/coord/keep/roundtrip_test.go
@@ -13,14 +13,14 @@
 )
 
 // orderStart orders a start of a run of oneTask.
-func (r *rig) startOrder(run uint64) {
-	r.keeper.Orders(proto.KeepOrders{Session: r.session, Orders: []proto.Order{
+func (r *fixture) orderStart(run uint64) {
+	r.keeper.QueueOrders(proto.KeeperOrders{Session: r.session, Orders: []proto.Order{
 		{Kind: proto.OrderStart, Worker: "w", Token: 5, Task: oneTask, Run: run},
 	}})
 }
 
 // loseStarts sets whether the responses to starts are lost.
-func (r *rig) loseStarts(lose bool) {
+func (r *fixture) loseStarts(lose bool) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.worker.loseStarts = lose
@@ -28,18 +28,18 @@
 
 // Guards against a task that waits too long after a start without a response: until the pending
 // hold ends, although the worker could list at once that the run doesn't exist.
-func TestTaskOfAnUnansweredStartIsFreeSoon(t *testing.T) {
+func TestTaskOfAnUnansweredStartIsReleasedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
-		r.startOrder(1)
+		r.orderStart(1)
 		time.Sleep(50 * time.Millisecond)
 		is.Equal(r.count(proto.EventStarted), 1)
 		r.loseStarts(true)
-		r.startOrder(2)
-		time.Sleep(2 * leastAnswer)
+		r.orderStart(2)
+		time.Sleep(2 * minCallTimeout)
 		is.Equal(r.last(proto.EventNotStarted).Run, uint64(2))
 		r.end(cancel)
 	})
@@ -47,13 +47,13 @@
 
 // Guards against completions that go unnoticed after a lost response until the next hold. Holds
 // must be short while responses are lost, and long without losses, when short ones only cost.
-func TestHoldsAreShortWhileAnswersAreLost(t *testing.T) {
+func TestHoldsAreShortWhileResponsesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
-		r.startOrder(1)
+		r.orderStart(1)
 		holds := func(d time.Duration) int {
 			r.worker.mu.Lock()
 			before := r.worker.holds
@@ -65,11 +65,11 @@
 		}
 		is.True(holds(3*time.Second) <= 3)
 		r.loseStarts(true)
-		r.startOrder(2)
+		r.orderStart(2)
 		time.Sleep(holdWait)
 		r.loseStarts(false)
 		is.True(holds(time.Second) >= 2)
-		time.Sleep(2 * lossTime)
+		time.Sleep(2 * lossPeriod)
 		is.True(holds(3*time.Second) <= 3)
 		r.end(cancel)
 	})
@@ -77,21 +77,21 @@
 
 // Guards against applying lists out of order. Two responses are in flight and the older one
 // arrives last: a run that has ended in between would be reported as found.
-func TestOlderListsThatComeLastAreDropped(t *testing.T) {
+func TestOlderListsThatArriveLastAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
-		r.startOrder(1)
+		r.orderStart(1)
 		time.Sleep(holdWait + time.Second)
 		h := r.keeper.holders["w"]
 		sent := time.Now()
-		older := winch.Holding{Clock: r.worker.clock(), Running: []winch.Running{{Task: oneTask, Run: 1}}}
+		older := winch.HoldResponse{Clock: r.worker.clock(), Running: []winch.Running{{Task: oneTask, Run: 1}}}
 		time.Sleep(time.Millisecond)
-		newer := winch.Holding{Clock: r.worker.clock(), Ended: []winch.Ended{{Number: 1, Task: oneTask, Run: 1, Kind: winch.EndDone}}}
-		h.answered(sent, newer)
-		h.answered(sent, older)
+		newer := winch.HoldResponse{Clock: r.worker.clock(), Ended: []winch.Completion{{Number: 1, Task: oneTask, Run: 1, Kind: winch.CompletionDone}}}
+		h.handleResponse(sent, newer)
+		h.handleResponse(sent, older)
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(r.count(proto.EventEnded), 1)
 		is.Equal(r.count(proto.EventFound), 0)
@@ -100,35 +100,35 @@
 }
 
 // Guards against giving up a worker behind a slow link whose responses are merely late.
-func TestAnswerLimitFollowsRoundTrips(t *testing.T) {
+func TestCallTimeoutFollowsRoundTrips(t *testing.T) {
 	is := is.New(t)
-	var x trips
-	is.Equal(x.limit(0), mostAnswer)
+	var x roundTrips
+	is.Equal(x.timeout(0), maxCallTimeout)
 	for range 50 {
-		x.answered(2 * time.Millisecond)
+		x.observe(2 * time.Millisecond)
 	}
-	is.Equal(x.limit(0), leastAnswer)
-	is.Equal(x.limit(1), 2*leastAnswer)
-	is.Equal(x.limit(9), mostAnswer)
+	is.Equal(x.timeout(0), minCallTimeout)
+	is.Equal(x.timeout(1), 2*minCallTimeout)
+	is.Equal(x.timeout(9), maxCallTimeout)
 	for range 50 {
-		x.answered(200 * time.Millisecond)
+		x.observe(200 * time.Millisecond)
 	}
-	is.True(x.limit(0) > 200*time.Millisecond)
-	is.True(x.limit(0) <= mostAnswer)
+	is.True(x.timeout(0) > 200*time.Millisecond)
+	is.True(x.timeout(0) <= maxCallTimeout)
 }
 
 // Guards against taking a failed worker, which never responds again, for lost responses.
-func TestWorkerThatIsGoneLosesNoAnswers(t *testing.T) {
+func TestFailedWorkerDoesNotCountAsLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		r := newRig(ctx)
+		r := newFixture(ctx)
 		time.Sleep(3 * time.Second)
-		r.setSilent(true)
+		r.setUnresponsive(true)
 		time.Sleep(4 * time.Second)
-		is.True(!r.keeper.trips.lossy())
-		r.setSilent(false)
-		time.Sleep(lossNear)
+		is.True(!r.keeper.roundTrips.lossy())
+		r.setUnresponsive(false)
+		time.Sleep(lossWindow)
 		r.end(cancel)
 	})
 }
--- a/coord/keep/send.go
+++ b/coord/keep/send.go
@@ -13,61 +13,61 @@
 )
 
 // sendOrders sends queued orders to the worker, one at a time.
-func (h *holder) send(ctx context.Context) {
+func (h *holder) sendOrders(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-h.ring:
+		case c := <-h.orders:
 			h.execute(ctx, c)
 		}
 	}
 }
 
-func (h *holder) execute(ctx context.Context, c command) {
+func (h *holder) execute(ctx context.Context, c queuedOrder) {
 	switch c.Kind {
 	case proto.OrderStart:
 		h.start(ctx, c)
 	case proto.OrderStop:
-		h.stopUntilHeard(ctx, runKey{c.Task, c.Run}, false)
-	case proto.OrderPace:
-		callCtx, cancel := context.WithTimeout(ctx, h.answerLimit())
+		h.stopUntilAnswered(ctx, runKey{c.Task, c.Run}, false)
+	case proto.OrderThrottle:
+		callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
 		defer cancel()
-		if err := h.keeper.Runner.Pace(callCtx, h.vm, h.token, c.Task, c.Run, c.Percent); err != nil {
+		if err := h.keeper.Client.Throttle(callCtx, h.vm, h.token, c.Task, c.Run, c.Percent); err != nil {
 			h.keeper.count("Keep.PaceFailed")
 		}
 	}
 }
 
-func (h *holder) start(ctx context.Context, c command) {
+func (h *holder) start(ctx context.Context, c queuedOrder) {
 	key := runKey{c.Task, c.Run}
 	now := time.Now()
-	until, ok := h.mayStart(key, now)
+	until, ok := h.prepareStart(key, now)
 	if !ok {
-		h.emit(proto.KeepEvent{Kind: proto.EventNotStarted, Task: c.Task, Run: c.Run, Result: winch.StartRefused})
+		h.emit(proto.KeeperEvent{Kind: proto.EventNotStarted, Task: c.Task, Run: c.Run, Result: winch.StartRefused})
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, h.answerLimit())
+	callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
 	defer cancel()
-	result, clock := h.keeper.Runner.Start(callCtx, h.vm, winch.StartCall{
-		Token: h.token, Task: c.Task, Run: c.Run, Command: c.text,
+	result, clock := h.keeper.Client.Start(callCtx, h.vm, winch.StartRequest{
+		Token: h.token, Task: c.Task, Run: c.Run, Command: c.command,
 		Checkpoint: c.Checkpoint, Ticket: c.Ticket, Until: until,
 	})
-	h.noteOrder(now, result != winch.StartUncertain)
-	if otherBoot := h.setClock(clock); otherBoot {
-		h.startedElsewhere(ctx, key)
+	h.recordOrder(now, result != winch.StartUncertain)
+	if otherBoot := h.updateClock(clock); otherBoot {
+		h.startedOnOtherBoot(ctx, key)
 		return
 	}
 	switch result {
 	case winch.StartOK:
 		h.confirm(key, false)
-		h.emit(proto.KeepEvent{Kind: proto.EventStarted, Task: c.Task, Run: c.Run})
+		h.emit(proto.KeeperEvent{Kind: proto.EventStarted, Task: c.Task, Run: c.Run})
 	case winch.StartUncertain:
 		h.keeper.Log.Info("no response to a start, stopping the run", zap.String("job", c.Task.Job),
 			zap.Any("task", c.Task), zap.Uint64("run", c.Run), zap.String("worker", h.vm.ID))
-		h.stopUntilHeard(ctx, key, true)
+		h.stopUntilAnswered(ctx, key, true)
 	case winch.StartOtherBoot:
-		h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
+		h.emit(proto.KeeperEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
 		h.cancel()
 	default:
 		h.mu.Lock()
@@ -75,39 +75,39 @@
 		h.mu.Unlock()
 		h.keeper.Log.Info("worker refused a start", zap.String("job", c.Task.Job), zap.Any("task", c.Task), zap.Uint64("run", c.Run),
 			zap.String("worker", h.vm.ID), zap.Stringer("reason", result))
-		h.emit(proto.KeepEvent{Kind: proto.EventNotStarted, Task: c.Task, Run: c.Run, Result: result})
+		h.emit(proto.KeeperEvent{Kind: proto.EventNotStarted, Task: c.Task, Run: c.Run, Result: result})
 	}
 }
 
 // recordOrder records whether an order was answered, and its round-trip time.
-func (h *holder) noteOrder(sent time.Time, ok bool) {
-	h.noteCall(ok)
+func (h *holder) recordOrder(sent time.Time, ok bool) {
+	h.recordCall(ok)
 	if ok {
-		h.keeper.trips.answered(time.Since(sent))
+		h.keeper.roundTrips.observe(time.Since(sent))
 	}
 }
 
 // startedOnOtherBoot stops a run that was started by another boot of the worker under the
 // same ID. The planner knows nothing of that boot. It will restart all runs of the intended
 // boot elsewhere, so this run would otherwise run twice.
-func (h *holder) startedElsewhere(ctx context.Context, key runKey) {
-	h.stopUntilHeard(ctx, key, true)
-	h.emit(proto.KeepEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
+func (h *holder) startedOnOtherBoot(ctx context.Context, key runKey) {
+	h.stopUntilAnswered(ctx, key, true)
+	h.emit(proto.KeeperEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
 	h.cancel()
 }
 
 // prepareStart records a start that is about to be sent and returns until when the worker
 // accepts it. A start extends the lease at the worker, so none is sent to a worker that
 // doesn't respond to holds: it would run on after it counts as lost.
-func (h *holder) mayStart(key runKey, now time.Time) (time.Duration, bool) {
+func (h *holder) prepareStart(key runKey, now time.Time) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.closed || !h.open {
+	if h.closed || !h.renewalAllowed {
 		return 0, false
 	}
-	h.runs[key] = &known{}
-	h.own = later(h.own, now.Add(Surely(startTime)))
-	return h.clockNow(now) + startTime, true
+	h.runs[key] = &runState{}
+	h.ownExpiry = later(h.ownExpiry, now.Add(ExpiryBound(startTimeout)))
+	return h.workerTime(now) + startTimeout, true
 }
 
 // confirm records that the worker has responded to an order about a run.
@@ -115,39 +115,39 @@
 	h.mu.Lock()
 	r, listed := h.runs[key], h.listed
 	if r != nil {
-		r.acked = time.Now()
-		r.doubt = doubt
+		r.confirmedAt = time.Now()
+		r.startUncertain = doubt
 	}
 	h.mu.Unlock()
 	if r == nil && listed {
 		// Its completion was already listed, or the run belongs to an earlier session and
 		// was not listed in this one. Before the first lists its state is unknown: they may
 		// contain its completion, which must be reported to the planner first.
-		h.emit(proto.KeepEvent{Kind: proto.EventVanished, Task: key.task, Run: key.run})
+		h.emit(proto.KeeperEvent{Kind: proto.EventVanished, Task: key.task, Run: key.run})
 	}
 }
 
 // stopUntilAnswered stops a run and retries until the worker has responded. After the
 // response the worker refuses a start of the run that is still in flight, so the next lists
 // show definitively whether it was started.
-func (h *holder) stopUntilHeard(ctx context.Context, key runKey, doubt bool) {
+func (h *holder) stopUntilAnswered(ctx context.Context, key runKey, doubt bool) {
 	for ctx.Err() == nil {
 		sent := time.Now()
-		callCtx, cancel := context.WithTimeout(ctx, h.answerLimit())
-		err := h.keeper.Runner.Stop(callCtx, h.vm, h.token, key.task, key.run)
+		callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
+		err := h.keeper.Client.Stop(callCtx, h.vm, h.token, key.task, key.run)
 		cancel()
-		h.noteOrder(sent, isAnswer(err))
+		h.recordOrder(sent, isResponse(err))
 		switch {
 		case err == nil:
 			h.confirm(key, doubt)
 			if doubt {
-				h.list(ctx) // The task can't be placed again until it is known whether the run had begun.
+				h.requestLists(ctx) // The task can't be placed again until it is known whether the run had begun.
 			}
 			return
 		case errors.Is(err, winch.ErrFenced), errors.Is(err, winch.ErrOtherBoot):
 			return // The next hold fails likewise and reports it.
 		}
 		h.keeper.count("Keep.StopFailed")
-		duty.Pause(ctx, retryPause)
+		duty.Sleep(ctx, retryDelay)
 	}
 }
--- a/coord/lanes/lanes.go
+++ b/coord/lanes/lanes.go
@@ -15,16 +15,16 @@
 	// more, an urgent one some 30 ms; without a reserve, urgent requests spend most of their
 	// time waiting behind slow ones. At most the fraction maxUrgentReserve of the lanes is
 	// reserved.
-	urgentSpare = 2.0
-	urgentMost  = 0.5
+	urgentReserveFactor = 2.0
+	maxUrgentReserve    = 0.5
 	// urgentHalfLife is the half-life of the moving average of their use.
-	urgentHalf = 3 * time.Second
+	urgentHalfLife = 3 * time.Second
 	// failureBackoff is how long a lane is not used after a failed request.
-	restAfterFailure = time.Second
+	failureBackoff = time.Second
 )
 
 // Request is one request that waits for a lane. Requests of a lower Rank go first.
-type Question[T any] struct {
+type Request[T any] struct {
 	Body   T
 	Urgent bool
 	Rank   float64
@@ -34,19 +34,19 @@
 type Lanes[T any] struct {
 	lanes map[string]*lane
 	// urgentQueue and slowQueue hold the waiting requests.
-	urgentOnes, slowOnes queue[T]
-	slow                 int // busySlow counts the lanes that are busy with slow requests.
-	urgent               int // busyUrgent counts those that are busy with urgent ones.
+	urgentQueue, slowQueue queue[T]
+	busySlow               int // busySlow counts the lanes that are busy with slow requests.
+	busyUrgent             int // busyUrgent counts those that are busy with urgent ones.
 	// urgentUse is the moving average of busyUrgent, updated last at measuredAt.
-	use float64
-	at  time.Time
+	urgentUse  float64
+	measuredAt time.Time
 }
 
 // queue holds requests sorted by rank, the lowest first, and among equal ranks the earliest.
-type queue[T any] []Question[T]
+type queue[T any] []Request[T]
 
-func (q *queue[T]) add(x Question[T]) {
-	i, _ := slices.BinarySearchFunc(*q, x.Rank, func(a Question[T], rank float64) int {
+func (q *queue[T]) add(x Request[T]) {
+	i, _ := slices.BinarySearchFunc(*q, x.Rank, func(a Request[T], rank float64) int {
 		if a.Rank <= rank {
 			return -1
 		}
@@ -55,16 +55,16 @@
 	*q = slices.Insert(*q, i, x)
 }
 
-func (q *queue[T]) take() Question[T] {
+func (q *queue[T]) pop() Request[T] {
 	x := (*q)[0]
 	*q = slices.Delete(*q, 0, 1)
 	return x
 }
 
 type lane struct {
-	busy   bool
-	urgent bool
-	rest   time.Time
+	busy         bool
+	urgent       bool
+	backoffUntil time.Time
 }
 
 // SetLanes sets the names of the lanes. The pending request of a removed lane still has to
@@ -86,81 +86,81 @@
 }
 
 // Add queues a request.
-func (l *Lanes[T]) Add(q Question[T]) {
+func (l *Lanes[T]) Add(q Request[T]) {
 	if q.Urgent {
-		l.urgentOnes.add(q)
+		l.urgentQueue.add(q)
 	} else {
-		l.slowOnes.add(q)
+		l.slowQueue.add(q)
 	}
 }
 
 // Waiting returns the number of queued requests.
 func (l *Lanes[T]) Waiting() int {
-	return len(l.urgentOnes) + len(l.slowOnes)
+	return len(l.urgentQueue) + len(l.slowQueue)
 }
 
 // Available returns how many more urgent and how many more slow requests could be sent now,
 // beyond the queued ones.
-func (l *Lanes[T]) Openings(now time.Time) (urgent, slow int) {
-	l.measure(now)
+func (l *Lanes[T]) Available(now time.Time) (urgent, slow int) {
+	l.updateUrgentUse(now)
 	free := 0
 	for _, x := range l.lanes {
-		if !x.busy && now.After(x.rest) {
+		if !x.busy && now.After(x.backoffUntil) {
 			free++
 		}
 	}
 	free = max(0, free-l.Waiting())
-	return free, max(0, min(free, l.mostSlow()-l.slow-len(l.slowOnes)))
+	return free, max(0, min(free, l.maxSlow()-l.busySlow-len(l.slowQueue)))
 }
 
 // Next returns a free lane and the request to send there, or false if none can be sent now.
-func (l *Lanes[T]) Next(now time.Time) (string, Question[T], bool) {
-	var none Question[T]
+func (l *Lanes[T]) Next(now time.Time) (string, Request[T], bool) {
+	var none Request[T]
 	if l.Waiting() == 0 {
 		return "", none, false
 	}
-	l.measure(now)
-	urgent := len(l.urgentOnes) > 0
-	if !urgent && l.slow >= l.mostSlow() {
+	l.updateUrgentUse(now)
+	urgent := len(l.urgentQueue) > 0
+	if !urgent && l.busySlow >= l.maxSlow() {
 		return "", none, false
 	}
-	name := l.free(now)
+	name := l.freeLane(now)
 	if name == "" {
 		return "", none, false
 	}
 	x := l.lanes[name]
 	x.busy, x.urgent = true, urgent
 	if urgent {
-		l.urgent++
-		return name, l.urgentOnes.take(), true
+		l.busyUrgent++
+		return name, l.urgentQueue.pop(), true
 	}
-	l.slow++
-	return name, l.slowOnes.take(), true
+	l.busySlow++
+	return name, l.slowQueue.pop(), true
 }
 
 // maxSlow returns how many lanes may be busy with slow requests.
-func (l *Lanes[T]) mostSlow() int {
+func (l *Lanes[T]) maxSlow() int {
 	n := len(l.lanes)
 	if n <= 1 {
 		return n
 	}
-	reserved := min(int(math.Ceil(urgentSpare*l.use)), int(urgentMost*float64(n)))
+	reserved := min(int(math.Ceil(urgentReserveFactor*l.urgentUse)), int(maxUrgentReserve*float64(n)))
 	return n - max(1, reserved)
 }
 
 // updateUrgentUse adds the use since the last call to the moving average.
-func (l *Lanes[T]) measure(now time.Time) {
-	if !l.at.IsZero() {
-		weight := math.Exp2(-now.Sub(l.at).Seconds() / urgentHalf.Seconds())
-		l.use += (1 - weight) * (float64(l.urgent) - l.use)
+func (l *Lanes[T]) updateUrgentUse(now time.Time) {
+	if !l.measuredAt.IsZero() {
+		weight := math.Exp2(-now.Sub(l.measuredAt).Seconds() / urgentHalfLife.Seconds())
+		l.urgentUse += (1 - weight) * (float64(l.busyUrgent) - l.urgentUse)
 	}
-	l.at = now
+	l.measuredAt = now
 }
 
-func (l *Lanes[T]) free(now time.Time) string {
+func (l *Lanes[T]) freeLane(now time.Time) string {
 	first := ""
 	for name, x := range l.lanes {
-		if !x.busy && now.After(x.rest) && (first == "" || name < first) {
+		if !x.busy && now.After(x.backoffUntil) && (first == "" || name < first) {
 			first = name
 		}
 	}
@@ -173,14 +173,14 @@
 	if x == nil || !x.busy {
 		return
 	}
-	l.measure(now)
+	l.updateUrgentUse(now)
 	x.busy = false
 	if x.urgent {
-		l.urgent--
+		l.busyUrgent--
 	} else {
-		l.slow--
+		l.busySlow--
 	}
 	if !ok {
-		x.rest = now.Add(restAfterFailure)
+		x.backoffUntil = now.Add(failureBackoff)
 	}
 }
--- a/coord/lanes/lanes_test.go
+++ b/coord/lanes/lanes_test.go
@@ -11,7 +11,7 @@
 // simulate sends urgent requests at a fixed rate and slow ones whenever a lane is free. It
 // returns, for the second half of the time, the maximum number of slow requests in flight
 // and the maximum waiting time of an urgent one.
-func play(lanes int, urgentGap, urgentTime, slowTime, length time.Duration) (slow int, waited time.Duration) {
+func simulate(lanes int, urgentGap, urgentTime, slowTime, length time.Duration) (slow int, waited time.Duration) {
 	var l Lanes[time.Time]
 	var names []string
 	for i := range lanes {
@@ -30,11 +30,11 @@
 			}
 		}
 		for urgentGap > 0 && !urgent.After(now) {
-			l.Add(Question[time.Time]{Body: urgent, Urgent: true})
+			l.Add(Request[time.Time]{Body: urgent, Urgent: true})
 			urgent = urgent.Add(urgentGap)
 		}
 		for l.Waiting() < 2*lanes {
-			l.Add(Question[time.Time]{Body: now})
+			l.Add(Request[time.Time]{Body: now})
 		}
 		for {
 			name, q, ok := l.Next(now)
@@ -50,7 +50,7 @@
 				busy[name] = now.Add(slowTime)
 			}
 			if now.Sub(end.Add(-length)) > length/2 {
-				slow = max(slow, l.slow)
+				slow = max(slow, l.busySlow)
 			}
 		}
 	}
@@ -59,35 +59,35 @@
 
 // Guards against reserving lanes that urgent requests hardly use: with a fixed reserve a third
 // of the lanes stays idle while slow requests wait.
-func TestSlowQuestionsTakeLanesThatUrgentOnesDoNotUse(t *testing.T) {
+func TestSlowRequestsUseLanesNotNeededByUrgentOnes(t *testing.T) {
 	is := is.New(t)
-	slow, _ := play(30, 0, 0, 500*time.Millisecond, 30*time.Second)
+	slow, _ := simulate(30, 0, 0, 500*time.Millisecond, 30*time.Second)
 	is.Equal(slow, 29)
-	slow, waited := play(30, 50*time.Millisecond, 30*time.Millisecond, 500*time.Millisecond, 30*time.Second)
+	slow, waited := simulate(30, 50*time.Millisecond, 30*time.Millisecond, 500*time.Millisecond, 30*time.Second)
 	is.True(slow >= 27)
 	is.True(waited < 100*time.Millisecond)
 }
 
 // Guards against a burst of urgent requests that waits behind slow ones of half a second.
-func TestUrgentQuestionsFindALaneInABurst(t *testing.T) {
+func TestUrgentRequestsFindALaneInABurst(t *testing.T) {
 	is := is.New(t)
-	_, waited := play(7, 16*time.Millisecond, 30*time.Millisecond, 500*time.Millisecond, 30*time.Second)
+	_, waited := simulate(7, 16*time.Millisecond, 30*time.Millisecond, 500*time.Millisecond, 30*time.Second)
 	is.True(waited <= 100*time.Millisecond)
 }
 
 // Guards against using a lane again right after a failed request, which loses the next one too.
-func TestLaneThatFailedRests(t *testing.T) {
+func TestFailedLaneBacksOff(t *testing.T) {
 	is := is.New(t)
 	var l Lanes[int]
 	l.SetLanes([]string{"a"})
 	now := time.Unix(0, 0)
-	l.Add(Question[int]{Body: 1})
+	l.Add(Request[int]{Body: 1})
 	name, _, ok := l.Next(now)
 	is.True(ok)
 	l.Done(name, false, now)
-	l.Add(Question[int]{Body: 2})
-	_, _, ok = l.Next(now.Add(restAfterFailure / 2))
+	l.Add(Request[int]{Body: 2})
+	_, _, ok = l.Next(now.Add(failureBackoff / 2))
 	is.True(!ok)
-	_, _, ok = l.Next(now.Add(restAfterFailure + time.Millisecond))
+	_, _, ok = l.Next(now.Add(failureBackoff + time.Millisecond))
 	is.True(ok)
 }
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -34,7 +34,7 @@
 type Peer struct {
 	Name        string
 	LastContact time.Time
-	Beat        proto.Beat
+	Beat        proto.Heartbeat
 }
 
 // View is a consistent snapshot of the cell. It must not be changed.
@@ -132,13 +132,13 @@
 	Peers             winch.Peers
 	Lister            winch.Lister
 	// Heartbeat returns the heartbeat to send.
-	Heartbeat func(ctx context.Context) proto.Beat
+	Heartbeat func(ctx context.Context) proto.Heartbeat
 	// OnChange is called after the set of live peers, whether one of them is leaving, or the VM
 	// list has changed.
 	OnChange func()
 	// OnHeartbeat is called after each heartbeat of a peer.
-	OnHeartbeat func(name string, beat proto.Beat)
-	Duty        *duty.Duty
+	OnHeartbeat func(name string, beat proto.Heartbeat)
+	Duty        *duty.Loop
 	Metrics     metrics.Registry
 
 	peers   map[string]Peer
@@ -193,7 +193,7 @@
 }
 
 // Receive handles a peer's heartbeat.
-func (t *Tracker) Receive(from string, beat proto.Beat) {
+func (t *Tracker) Receive(from string, beat proto.Heartbeat) {
 	_ = t.Duty.Post(func() {
 		old, known := t.peers[from]
 		t.peers[from] = Peer{Name: from, LastContact: time.Now(), Beat: beat}
@@ -211,7 +211,7 @@
 func (t *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(t.HeartbeatInterval)
 	defer ticker.Stop()
-	t.Duty.Every(ctx, ticker.C, t.prune)
+	t.Duty.RunWithTick(ctx, ticker.C, t.prune)
 }
 
 // RunHeartbeats sends heartbeats until ctx ends.
@@ -234,7 +234,7 @@
 	beat.Domain = t.Domain
 	beat.Leaving = t.leaving.Load()
 	for _, name := range t.Peers.Names() {
-		_ = t.Peers.Tell(name, proto.KindBeat, beat)
+		_ = t.Peers.Notify(name, proto.KindHeartbeat, beat)
 	}
 }
 
--- a/coord/office/elect.go
+++ b/coord/office/elect.go
@@ -145,7 +145,7 @@
 	}
 	_, err = o.Store.Get(ctx, LeasePrefix+o.Domain)
 	switch {
-	case errors.Is(err, winch.ErrMissing):
+	case errors.Is(err, winch.ErrNotFound):
 		o.knownHolder.set("", rec.Body.Epoch)
 		return true, rec.Body, nil
 	case err == nil:
@@ -225,7 +225,7 @@
 	case err == nil:
 		t.extend(sent, o.Lease)
 		return t.active()
-	case errors.Is(err, winch.ErrMissing):
+	case errors.Is(err, winch.ErrNotFound):
 		return o.reacquire(ctx, t)
 	default:
 		metrics.GetOrRegisterCounter("Office.RenewFailed", o.Metrics).Inc(1)
--- a/coord/office/office.go
+++ b/coord/office/office.go
@@ -53,7 +53,7 @@
 	Ledger    *ledger.Ledger
 	Planner   *place.Planner
 	Quota     *quota.Holder
-	Duty      *duty.Duty
+	Duty      *duty.Loop
 	Log       *zap.Logger
 	Metrics   metrics.Registry
 	Lease     time.Duration
--- a/coord/office/session.go
+++ b/coord/office/session.go
@@ -448,7 +448,7 @@
 	if len(succeeded) > 0 {
 		err = s.Ledger.Progress(ctx, id, succeeded)
 	}
-	if err == nil || errors.Is(err, ledger.ErrFinal) || errors.Is(err, winch.ErrMissing) {
+	if err == nil || errors.Is(err, ledger.ErrFinal) || errors.Is(err, winch.ErrNotFound) {
 		_ = s.Duty.Do(context.Background(), func() { s.completions.markRecorded(id, done) })
 	} else {
 		_ = s.Duty.Do(context.Background(), func() { s.completions.retryRecording(id) })
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -89,7 +89,7 @@
 	// passes from one holder of the office to the next.
 	Office bool
 	Store  winch.Store
-	Duty   *duty.Duty
+	Duty   *duty.Loop
 	// Document returns the current configuration, or nil if none was read yet.
 	Document func() *winch.Document
 	// Valid reports whether the holder may still start work against its units. It must
--- a/coord/slots/home.go
+++ b/coord/slots/home.go
@@ -59,11 +59,11 @@
 }
 
 // slotsInUse lists the slots in use of an executor.
-func (t *Table) slotsInUse(id string) []proto.Held {
-	var out []proto.Held
+func (t *Table) slotsInUse(id string) []proto.HeldSlot {
+	var out []proto.HeldSlot
 	for _, g := range t.grants {
 		if g.exec.vm.ID == id {
-			out = append(out, proto.Held{Grant: g.id, Executor: id, Team: g.team, Left: time.Until(g.expires)})
+			out = append(out, proto.HeldSlot{Grant: g.id, Executor: id, Team: g.team, Left: time.Until(g.expires)})
 		}
 	}
 	return out
@@ -93,7 +93,7 @@
 	}
 	for _, w := range matching {
 		s.remove(w)
-		w.reply <- proto.SlotGive{Refused: why}
+		w.reply <- proto.SlotResponse{Refused: why}
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // addHeld records slots in use that were granted by an earlier home or, for a known
 // grant, updates its holder.
-func (t *Table) addHeld(e *executor, holder string, held []proto.Held) {
+func (t *Table) addHeld(e *executor, holder string, held []proto.HeldSlot) {
 	now := time.Now()
 	for _, h := range held {
 		if _, returned := t.returnedEarly[h.Grant]; returned {
@@ -155,13 +155,13 @@
 // sent over a new link. If the list is complete, grants missing from it were lost with
 // the old link and never used, so their slots are freed. Listed grants that are unknown
 // here were made by an earlier home.
-func (t *Table) Reconcile(holder string, list []proto.Held, complete bool) error {
+func (t *Table) Reconcile(holder string, list []proto.HeldSlot, complete bool) error {
 	return t.Duty.Post(func() {
 		listed := make(map[string]bool, len(list))
 		for _, h := range list {
 			listed[h.Grant] = true
 			if e := t.executors[h.Executor]; e != nil {
-				t.addHeld(e, holder, []proto.Held{h})
+				t.addHeld(e, holder, []proto.HeldSlot{h})
 			}
 		}
 		for _, g := range t.grants {
--- a/coord/slots/queue.go
+++ b/coord/slots/queue.go
@@ -9,10 +9,10 @@
 
 // waiter is a request that waits for a slot.
 type waiter struct {
-	request  proto.SlotAsk
+	request  proto.SlotRequest
 	holder   string
 	deadline time.Time
-	reply    chan proto.SlotGive
+	reply    chan proto.SlotResponse
 	queued   bool
 	index    int
 }
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -55,16 +55,16 @@
 	return out
 }
 
-func newRequest(id, team string, remaining time.Duration) proto.SlotAsk {
-	return proto.SlotAsk{Grant: id, Service: "render", Class: "preview", Team: team, KeyID: "K-" + team, Remaining: remaining, MaxRun: 30 * time.Second}
+func newRequest(id, team string, remaining time.Duration) proto.SlotRequest {
+	return proto.SlotRequest{Grant: id, Service: "render", Class: "preview", Team: team, KeyID: "K-" + team, Remaining: remaining, MaxRun: 30 * time.Second}
 }
 
-func (b *rig) acquire(id, team string, remaining time.Duration) proto.SlotGive {
+func (b *rig) acquire(id, team string, remaining time.Duration) proto.SlotResponse {
 	return b.Acquire(context.Background(), "a", newRequest(id, team, remaining))
 }
 
 func (b *rig) giveBack(id string, v proto.Verdict, after time.Duration) {
-	if err := b.Return(proto.SlotDone{Grant: id, Verdict: v, After: after, Took: time.Second}); err != nil {
+	if err := b.Return(proto.SlotRelease{Grant: id, Verdict: v, After: after, Took: time.Second}); err != nil {
 		b.Fatal(err)
 	}
 	synctest.Wait()
@@ -251,7 +251,7 @@
 	withTable(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
 		b.giveBack("x", proto.Answered, 0)
-		is.NoErr(b.Adopt(proto.Handoff{Executor: "e0", Held: []proto.Held{
+		is.NoErr(b.Adopt(proto.Handoff{Executor: "e0", Held: []proto.HeldSlot{
 			{Grant: "x", Executor: "e0", Left: 30 * time.Second}, {Grant: "y", Executor: "e0", Left: 30 * time.Second},
 		}}))
 		synctest.Wait()
@@ -271,7 +271,7 @@
 			b.giveBack(fmt.Sprint("x", n), proto.Answered, 0)
 			is.Equal(b.Loads()[0].Slots, min(n+1, 4))
 		}
-		is.NoErr(b.Reconcile("b", []proto.Held{{Grant: "old", Executor: "e0", Left: 5 * time.Second}}, false))
+		is.NoErr(b.Reconcile("b", []proto.HeldSlot{{Grant: "old", Executor: "e0", Left: 5 * time.Second}}, false))
 		synctest.Wait()
 		is.Equal(b.busy(), 1) // another entry reports a call that the previous home granted
 		is.Equal(b.acquire("z", "choir", time.Second).Executor.ID, "e0")
@@ -290,7 +290,7 @@
 		}
 		r := b.Acquire(context.Background(), "b", newRequest("other", "choir", time.Second))
 		is.True(r.Refused.OK())
-		is.NoErr(b.Reconcile("a", []proto.Held{{Grant: "used", Executor: "e0", Left: time.Second}}, true))
+		is.NoErr(b.Reconcile("a", []proto.HeldSlot{{Grant: "used", Executor: "e0", Left: time.Second}}, true))
 		synctest.Wait()
 		is.Equal(b.busy(), 2) // the one that entry a uses and the one of entry b
 	})
@@ -386,7 +386,7 @@
 			mu.Lock()
 			inUse[r.Executor.ID]--
 			mu.Unlock()
-			_ = b.Return(proto.SlotDone{Grant: id, Verdict: proto.Answered, Took: runTime})
+			_ = b.Return(proto.SlotRelease{Grant: id, Verdict: proto.Answered, Took: runTime})
 		})
 		time.Sleep(time.Duration(rnd.IntN(60)) * time.Millisecond)
 	}
--- a/coord/slots/table.go
+++ b/coord/slots/table.go
@@ -66,7 +66,7 @@
 // Table manages the slots of the executors whose home is this entry. Set the exported
 // fields before calling Prepare.
 type Table struct {
-	Duty *duty.Duty
+	Duty *duty.Loop
 	// QueueLimit bounds the waiting calls of one class and service. Zero means
 	// DefaultQueueLimit.
 	QueueLimit int
@@ -114,16 +114,16 @@
 func (t *Table) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	t.Duty.Every(ctx, ticker.C, t.sweep)
+	t.Duty.RunWithTick(ctx, ticker.C, t.sweep)
 }
 
 // Acquire waits for a slot and grants it, or refuses the request. The result is final and
 // is returned as soon as it is known.
-func (t *Table) Acquire(ctx context.Context, holder string, request proto.SlotAsk) proto.SlotGive {
-	w := &waiter{request: request, holder: holder, reply: make(chan proto.SlotGive, 1)}
+func (t *Table) Acquire(ctx context.Context, holder string, request proto.SlotRequest) proto.SlotResponse {
+	w := &waiter{request: request, holder: holder, reply: make(chan proto.SlotResponse, 1)}
 	w.deadline = time.Now().Add(request.Remaining)
 	if err := t.Duty.Do(ctx, func() { t.admit(w) }); err != nil {
-		return proto.SlotGive{Refused: winch.RefuseFor(winch.QueueFull, "the entry is overloaded", time.Second)}
+		return proto.SlotResponse{Refused: winch.RefuseFor(winch.QueueFull, "the entry is overloaded", time.Second)}
 	}
 	timer := time.NewTimer(request.Remaining)
 	defer timer.Stop()
@@ -142,14 +142,14 @@
 func (t *Table) refuseWaiting(w *waiter, why winch.Result) {
 	err := t.Duty.Do(context.Background(), func() {
 		if t.dequeue(w) {
-			w.reply <- proto.SlotGive{Refused: why}
+			w.reply <- proto.SlotResponse{Refused: why}
 		}
 	})
 	if err == nil {
 		return
 	}
 	select {
-	case w.reply <- proto.SlotGive{Refused: why}:
+	case w.reply <- proto.SlotResponse{Refused: why}:
 	default: // The waiter was answered before the table stopped.
 	}
 }
@@ -167,12 +167,12 @@
 // admit grants a slot at once, queues the waiter or refuses it.
 func (t *Table) admit(w *waiter) {
 	if _, returned := t.returnedEarly[w.request.Grant]; returned {
-		w.reply <- proto.SlotGive{Refused: winch.Refuse(winch.CallerGone, "the slot was given back before it was granted")}
+		w.reply <- proto.SlotResponse{Refused: winch.Refuse(winch.CallerGone, "the slot was given back before it was granted")}
 		return
 	}
 	s := t.service(w.request.Service)
 	if len(t.eligible(w.request)) == 0 {
-		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.NoExecutor, "no executor of the service is known here", time.Second)}
+		w.reply <- proto.SlotResponse{Refused: winch.RefuseFor(winch.NoExecutor, "no executor of the service is known here", time.Second)}
 		return
 	}
 	if s.queued == 0 {
@@ -182,11 +182,11 @@
 		}
 	}
 	if s.queuedByClass[w.request.Class] >= t.QueueLimit {
-		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.QueueFull, "the queue of class "+w.request.Class+" is full", s.estimateWait(t.openSlots(w.request.Service)))}
+		w.reply <- proto.SlotResponse{Refused: winch.RefuseFor(winch.QueueFull, "the queue of class "+w.request.Class+" is full", s.estimateWait(t.openSlots(w.request.Service)))}
 		return
 	}
 	if wait := s.estimateWait(t.openSlots(w.request.Service)); wait > w.request.Remaining {
-		w.reply <- proto.SlotGive{Refused: winch.RefuseFor(winch.DeadlineHopeless, "the queue is longer than the deadline", wait)}
+		w.reply <- proto.SlotResponse{Refused: winch.RefuseFor(winch.DeadlineHopeless, "the queue is longer than the deadline", wait)}
 		return
 	}
 	s.push(w)
@@ -204,7 +204,7 @@
 }
 
 // eligible lists the executors that the request may be sent to, including busy ones.
-func (t *Table) eligible(request proto.SlotAsk) []*executor {
+func (t *Table) eligible(request proto.SlotRequest) []*executor {
 	var out []*executor
 	for _, e := range t.executors {
 		if e.vm.Service == request.Service && !e.vm.Leaving && !contains(request.Avoid, e.vm.ID) {
@@ -226,7 +226,7 @@
 // pick returns the less loaded of two random executors with a free slot, or nil. Two
 // random choices spread the load nearly as well as a full comparison and do not direct
 // all concurrent requests to the same executor.
-func (t *Table) pick(request proto.SlotAsk) *executor {
+func (t *Table) pick(request proto.SlotRequest) *executor {
 	now := time.Now()
 	var free []*executor
 	for _, e := range t.executors {
@@ -249,7 +249,7 @@
 	g := &grant{id: w.request.Grant, holder: w.holder, team: w.request.Team, exec: e}
 	g.expires = time.Now().Add(w.request.MaxRun)
 	t.addGrant(g)
-	w.reply <- proto.SlotGive{Executor: e.vm}
+	w.reply <- proto.SlotResponse{Executor: e.vm}
 }
 
 // addGrant records a slot as in use.
@@ -304,7 +304,7 @@
 
 // Return gives a slot back. If the slot was not granted yet, its request is refused, also
 // if it has yet to arrive, so that a return that overtakes its request leaks no slot.
-func (t *Table) Return(done proto.SlotDone) error {
+func (t *Table) Return(done proto.SlotRelease) error {
 	return t.Duty.Post(func() {
 		g := t.grants[done.Grant]
 		if g == nil {
@@ -327,14 +327,14 @@
 	for _, s := range t.services {
 		if w := s.findWaiter(id); w != nil {
 			s.remove(w)
-			w.reply <- proto.SlotGive{Refused: winch.Refuse(winch.CallerGone, "the request was given up")}
+			w.reply <- proto.SlotResponse{Refused: winch.Refuse(winch.CallerGone, "the request was given up")}
 		}
 	}
 }
 
 // applyVerdict updates the failure count, open slots and run time statistics with the
 // result of one call.
-func (t *Table) applyVerdict(e *executor, done proto.SlotDone) {
+func (t *Table) applyVerdict(e *executor, done proto.SlotRelease) {
 	switch done.Verdict {
 	case proto.Answered:
 		e.failures, e.backoff = 0, 0
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -23,47 +23,47 @@
 
 // Loop runs queued functions one at a time in one goroutine. The state it owns may be
 // accessed only by these functions.
-type Duty struct {
+type Loop struct {
 	Name    string
 	Size    int
 	Metrics metrics.Registry
 
-	ring    chan func()
+	queue   chan func()
 	stopped chan struct{}
 	refused metrics.Counter
 }
 
 // New returns a loop that accepts functions at once and runs them after Run is called.
-func New(name string, size int, reg metrics.Registry) *Duty {
+func New(name string, size int, reg metrics.Registry) *Loop {
 	if size == 0 {
 		size = DefaultSize
 	}
 	if reg == nil {
 		reg = metrics.NewRegistry()
 	}
-	d := &Duty{Name: name, Size: size, Metrics: reg}
-	d.ring = make(chan func(), size)
+	d := &Loop{Name: name, Size: size, Metrics: reg}
+	d.queue = make(chan func(), size)
 	d.stopped = make(chan struct{})
 	d.refused = metrics.GetOrRegisterCounter("Ring."+name+".Refused", reg)
 	_ = reg.Register("Ring."+name+".Depth", metrics.NewFunctionalGauge(func() int64 {
-		return int64(len(d.ring))
+		return int64(len(d.queue))
 	}))
 	return d
 }
 
 // Run runs the queued functions until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
-	d.Every(ctx, nil, nil)
+func (d *Loop) Run(ctx context.Context) {
+	d.RunWithTick(ctx, nil, nil)
 }
 
 // RunWithTick runs the queued functions until ctx ends, and f whenever tick fires.
-func (d *Duty) Every(ctx context.Context, tick <-chan time.Time, f func()) {
+func (d *Loop) RunWithTick(ctx context.Context, tick <-chan time.Time, f func()) {
 	defer close(d.stopped)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case work := <-d.ring:
+		case work := <-d.queue:
 			work()
 		case <-tick:
 			f()
@@ -72,9 +72,9 @@
 }
 
 // Post queues f without waiting for it to run. It returns ErrFull if the queue is full.
-func (d *Duty) Post(f func()) error {
+func (d *Loop) Post(f func()) error {
 	select {
-	case d.ring <- f:
+	case d.queue <- f:
 		return nil
 	default:
 		d.refused.Inc(1)
@@ -84,14 +84,14 @@
 
 // Do waits until f is queued and has run. It is meant for a bounded number of callers;
 // work that peers or callers can send without limit must go through Post.
-func (d *Duty) Do(ctx context.Context, f func()) error {
+func (d *Loop) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	task := func() {
 		f()
 		close(done)
 	}
 	select {
-	case d.ring <- task:
+	case d.queue <- task:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-d.stopped:
@@ -107,7 +107,7 @@
 
 // RunUntil runs f with a context that is also cancelled when stop is closed or receives a
 // value, and reports whether that happened. f must return soon after its context has ended.
-func Until(ctx context.Context, stop <-chan struct{}, f func(ctx context.Context)) (stopped bool) {
+func RunUntil(ctx context.Context, stop <-chan struct{}, f func(ctx context.Context)) (stopped bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	group.Go(func() {
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -19,8 +19,8 @@
 		stop := make(chan struct{})
 		begin := time.Now()
 		time.AfterFunc(time.Second, func() { close(stop) })
-		is.True(duty.Until(t.Context(), stop, func(ctx context.Context) { duty.Pause(ctx, time.Hour) }))
+		is.True(duty.RunUntil(t.Context(), stop, func(ctx context.Context) { duty.Sleep(ctx, time.Hour) }))
 		is.Equal(time.Since(begin), time.Second)
-		is.Equal(duty.Until(t.Context(), make(chan struct{}), func(context.Context) {}), false)
+		is.Equal(duty.RunUntil(t.Context(), make(chan struct{}), func(context.Context) {}), false)
 	})
 }
--- a/duty/sleep.go
+++ b/duty/sleep.go
@@ -6,7 +6,7 @@
 )
 
 // Sleep waits for the duration d, or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/entry/alive.go
+++ b/entry/alive.go
@@ -87,7 +87,7 @@
 	defer cancel()
 	if lease != "" {
 		err := e.Store.Renew(ctx, lease)
-		if !errors.Is(err, winch.ErrMissing) {
+		if !errors.Is(err, winch.ErrNotFound) {
 			return lease, err
 		}
 	}
@@ -100,7 +100,7 @@
 		return "", err
 	}
 	old, err := e.Store.Get(ctx, memberPrefix+e.Name())
-	if err != nil && !errors.Is(err, winch.ErrMissing) {
+	if err != nil && !errors.Is(err, winch.ErrNotFound) {
 		return "", err
 	}
 	if _, err := e.Store.Put(ctx, memberPrefix+e.Name(), data, old.Version, lease); err != nil {
--- a/entry/call.go
+++ b/entry/call.go
@@ -411,7 +411,7 @@
 // receive takes the answer. A small one is read whole first, so that a break is
 // told as an outcome; a large one is streamed, and a break ends the connection
 // to the caller, so that it cannot be taken for whole.
-func (f *flight) receive(ctx context.Context, cancel context.CancelFunc, g *grant, answer *winch.Answer) *Reply {
+func (f *flight) receive(ctx context.Context, cancel context.CancelFunc, g *grant, answer *winch.Response) *Reply {
 	limit := int64(f.entry.Settings.Limits.HoldAnswer)
 	head, err := io.ReadAll(io.LimitReader(answer.Body, limit+1))
 	if err != nil {
@@ -465,7 +465,7 @@
 	if g.began.IsZero() {
 		took, after = 0, 0
 	}
-	e.giveBack(g, proto.SlotDone{Grant: g.id, Verdict: v, After: after, Took: took})
+	e.giveBack(g, proto.SlotRelease{Grant: g.id, Verdict: v, After: after, Took: took})
 	team := f.who.team.Name
 	if after == 0 {
 		e.units.Release(team)
--- a/entry/chaos_test.go
+++ b/entry/chaos_test.go
@@ -301,7 +301,7 @@
 		for _, b := range c.names {
 			if from, _ := c.reach(b, a); from != nil && a != b {
 				kind, body := from.First(b)
-				_ = fakePeers{from}.Tell(b, kind, body)
+				_ = fakePeers{from}.Notify(b, kind, body)
 			}
 		}
 	}
--- a/entry/fakes_test.go
+++ b/entry/fakes_test.go
@@ -31,7 +31,7 @@
 	return out
 }
 
-func (p fakePeers) Tell(to string, kind winch.Kind, body any) error {
+func (p fakePeers) Notify(to string, kind winch.Kind, body any) error {
 	if err := p.n.pass(); err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (p fakePeers) Ask(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
+func (p fakePeers) Request(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
 	if err := p.n.pass(); err != nil {
 		return err
 	}
@@ -350,7 +350,7 @@
 
 var errReset = errors.New("connection reset")
 
-func (x fakeExecutor) Send(ctx context.Context, vm winch.VM, req winch.Request) (*winch.Answer, bool, error) {
+func (x fakeExecutor) Send(ctx context.Context, vm winch.VM, req winch.Request) (*winch.Response, bool, error) {
 	if err := x.n.pass(); err != nil {
 		return nil, false, err
 	}
@@ -384,7 +384,7 @@
 	return f.answer(req, body)
 }
 
-func (f *fakeExecutors) answer(req winch.Request, body []byte) (*winch.Answer, bool, error) {
+func (f *fakeExecutors) answer(req winch.Request, body []byte) (*winch.Response, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	echo := req.ID
@@ -395,7 +395,7 @@
 	if f.cutAt > 0 {
 		reader = io.MultiReader(strings.NewReader(string(body[:f.cutAt])), brokenReader{})
 	}
-	return &winch.Answer{Status: http.StatusOK, Header: http.Header{exec.RequestIDHeader: {echo}}, Body: io.NopCloser(reader)}, true, nil
+	return &winch.Response{Status: http.StatusOK, Header: http.Header{exec.RequestIDHeader: {echo}}, Body: io.NopCloser(reader)}, true, nil
 }
 
 type brokenReader struct{}
--- a/entry/grants.go
+++ b/entry/grants.go
@@ -42,10 +42,10 @@
 }
 
 // of lists the grants of one home.
-func (b *grantBook) of(home string) []proto.Held {
+func (b *grantBook) of(home string) []proto.HeldSlot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []proto.Held
+	var out []proto.HeldSlot
 	for id, g := range b.held {
 		if g.home == home {
 			out = append(out, g.message(id))
@@ -54,16 +54,16 @@
 	return out
 }
 
-func (g *heldGrant) message(id string) proto.Held {
-	return proto.Held{Grant: id, Executor: g.executor, Team: g.team, Left: time.Until(g.until)}
+func (g *heldGrant) message(id string) proto.HeldSlot {
+	return proto.HeldSlot{Grant: id, Executor: g.executor, Team: g.team, Left: time.Until(g.until)}
 }
 
 // moved changes the home of grants whose executor has a new one and returns
 // them by that home.
-func (b *grantBook) moved(home func(executor string) string) map[string][]proto.Held {
+func (b *grantBook) moved(home func(executor string) string) map[string][]proto.HeldSlot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string][]proto.Held)
+	out := make(map[string][]proto.HeldSlot)
 	for id, g := range b.held {
 		now := home(g.executor)
 		if now == "" || now == g.home {
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -356,7 +356,7 @@
 	for _, p := range [][2]string{{a, b}, {b, a}} {
 		from, _ := w.reach(p[1], p[0])
 		kind, body := from.First(p[1])
-		if err := (fakePeers{from}).Tell(p[1], kind, body); err != nil {
+		if err := (fakePeers{from}).Notify(p[1], kind, body); err != nil {
 			w.t.Fatal(err)
 		}
 	}
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		if home := view.Home(vm); home != "" && home != e.Name() {
-			_ = e.Peers.Tell(home, proto.KindHandoff, hand)
+			_ = e.Peers.Notify(home, proto.KindHandoff, hand)
 		}
 	}
 }
@@ -71,11 +71,11 @@
 		return ""
 	}
 	for name, held := range e.grants.moved(home) {
-		msg := proto.SlotHeld{Held: held}
+		msg := proto.HeldSlots{Held: held}
 		if name == e.Name() {
 			_ = e.table.Reconcile(e.Name(), held, false)
 			continue
 		}
-		_ = e.Peers.Tell(name, proto.KindSlotHeld, msg)
+		_ = e.Peers.Notify(name, proto.KindHeldSlots, msg)
 	}
 }
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -205,7 +205,7 @@
 		e.hinted(ctx, id)
 		return
 	}
-	_ = e.Peers.Tell(name, proto.KindJobHint, proto.JobHint{ID: id})
+	_ = e.Peers.Notify(name, proto.KindJobHint, proto.JobHint{ID: id})
 }
 
 func (e *Entry) hinted(_ context.Context, id string) {
@@ -247,7 +247,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeCall)
 	defer cancel()
 	job, err := e.jobs.Job(ctx, id)
-	if errors.Is(err, winch.ErrMissing) || err == nil && job.Team != team {
+	if errors.Is(err, winch.ErrNotFound) || err == nil && job.Team != team {
 		return JobView{}, winch.Refuse(winch.UnknownJob, "the team has no job "+id+", or it ended long ago")
 	}
 	if err != nil {
@@ -266,7 +266,7 @@
 	var st proto.JobStatus
 	if name == e.Name() {
 		st = e.office.Status(ctx, view.ID)
-	} else if e.Peers.Ask(ctx, name, proto.KindJobStatus, proto.JobStatusAsk{ID: view.ID}, &st) != nil {
+	} else if e.Peers.Request(ctx, name, proto.KindJobStatus, proto.JobStatusRequest{ID: view.ID}, &st) != nil {
 		view.Why = "the placer of domain " + view.Domain + " cannot be reached"
 		return
 	}
--- a/entry/links.go
+++ b/entry/links.go
@@ -14,12 +14,12 @@
 
 // First returns the first message on a new link to a peer.
 func (e *Entry) First(peer string) (winch.Kind, any) {
-	return proto.KindSlotHeld, proto.SlotHeld{Held: e.grants.of(peer), Complete: true}
+	return proto.KindHeldSlots, proto.HeldSlots{Held: e.grants.of(peer), Complete: true}
 }
 
 // beat makes the heartbeat.
-func (e *Entry) beat(ctx context.Context) proto.Beat {
-	b := proto.Beat{Config: e.held.Version(), Loads: e.table.Loads(), Store: e.alive.within(memberLease)}
+func (e *Entry) beat(ctx context.Context) proto.Heartbeat {
+	b := proto.Heartbeat{Config: e.held.Version(), Loads: e.table.Loads(), Store: e.alive.within(memberLease)}
 	b.Placer, b.Epoch = e.office.Holder()
 	use, _ := e.units.Usage(ctx)
 	for team, n := range use {
@@ -37,7 +37,7 @@
 }
 
 // heard fetches a newer configuration that a peer has.
-func (e *Entry) heard(name string, beat proto.Beat) {
+func (e *Entry) heard(name string, beat proto.Heartbeat) {
 	if beat.Config > e.held.Version() {
 		select {
 		case e.fetch <- name:
@@ -62,8 +62,8 @@
 func (e *Entry) fetchFrom(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, storeCall)
 	defer cancel()
-	var give proto.ConfigGive
-	if e.Peers.Ask(ctx, name, proto.KindConfig, proto.ConfigAsk{Have: e.held.Version()}, &give) != nil || len(give.Document) == 0 {
+	var give proto.ConfigResponse
+	if e.Peers.Request(ctx, name, proto.KindConfig, proto.ConfigRequest{Have: e.held.Version()}, &give) != nil || len(give.Document) == 0 {
 		return
 	}
 	doc := new(winch.Document)
@@ -75,22 +75,22 @@
 // Handle answers the messages of other entries.
 func (e *Entry) Handle(ctx context.Context, from string, kind winch.Kind, decode func(any) error) any {
 	switch kind {
-	case proto.KindBeat:
-		return handle(decode, func(b proto.Beat) any { e.members.Receive(from, b); return nil })
+	case proto.KindHeartbeat:
+		return handle(decode, func(b proto.Heartbeat) any { e.members.Receive(from, b); return nil })
 	case proto.KindConfig:
-		return handle(decode, func(a proto.ConfigAsk) any { return e.giveConfig(a) })
+		return handle(decode, func(a proto.ConfigRequest) any { return e.giveConfig(a) })
 	case proto.KindSlot:
-		return handle(decode, func(a proto.SlotAsk) any { return e.giveSlot(ctx, from, a) })
-	case proto.KindSlotDone:
-		return handle(decode, func(d proto.SlotDone) any { _ = e.table.Return(d); return nil })
-	case proto.KindSlotHeld:
-		return handle(decode, func(h proto.SlotHeld) any { _ = e.table.Reconcile(from, h.Held, h.Complete); return nil })
+		return handle(decode, func(a proto.SlotRequest) any { return e.giveSlot(ctx, from, a) })
+	case proto.KindSlotRelease:
+		return handle(decode, func(d proto.SlotRelease) any { _ = e.table.Return(d); return nil })
+	case proto.KindHeldSlots:
+		return handle(decode, func(h proto.HeldSlots) any { _ = e.table.Reconcile(from, h.Held, h.Complete); return nil })
 	case proto.KindHandoff:
 		return handle(decode, func(h proto.Handoff) any { _ = e.table.Adopt(h); return nil })
 	case proto.KindJobHint:
 		return handle(decode, func(h proto.JobHint) any { e.hinted(ctx, h.ID); return nil })
 	case proto.KindJobStatus:
-		return handle(decode, func(a proto.JobStatusAsk) any { return e.office.Status(ctx, a.ID) })
+		return handle(decode, func(a proto.JobStatusRequest) any { return e.office.Status(ctx, a.ID) })
 	default:
 		metrics.GetOrRegisterCounter("Peer.UnknownKind", e.Metrics).Inc(1)
 		return nil
@@ -107,26 +107,26 @@
 	return f(msg)
 }
 
-func (e *Entry) giveConfig(ask proto.ConfigAsk) proto.ConfigGive {
+func (e *Entry) giveConfig(ask proto.ConfigRequest) proto.ConfigResponse {
 	doc := e.held.Get()
 	if doc == nil || doc.Version <= ask.Have {
-		return proto.ConfigGive{}
+		return proto.ConfigResponse{}
 	}
 	copied, err := config.Clone(doc)
 	if err != nil {
-		return proto.ConfigGive{}
+		return proto.ConfigResponse{}
 	}
 	copied.Trail = nil // The trail is read from the store.
 	data, err := json.Marshal(copied)
 	if err != nil {
-		return proto.ConfigGive{}
+		return proto.ConfigResponse{}
 	}
-	return proto.ConfigGive{Document: data}
+	return proto.ConfigResponse{Document: data}
 }
 
-func (e *Entry) giveSlot(ctx context.Context, from string, ask proto.SlotAsk) proto.SlotGive {
+func (e *Entry) giveSlot(ctx context.Context, from string, ask proto.SlotRequest) proto.SlotResponse {
 	if e.draining.Load() {
-		return proto.SlotGive{Refused: winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second)}
+		return proto.SlotResponse{Refused: winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second)}
 	}
 	return e.table.Acquire(ctx, from, ask)
 }
--- a/entry/slot.go
+++ b/entry/slot.go
@@ -77,7 +77,7 @@
 
 func (e *Entry) askSlot(ctx context.Context, f *flight, home string) (*grant, winch.Result) {
 	g := &grant{id: rand.Text(), home: home}
-	ask := proto.SlotAsk{
+	ask := proto.SlotRequest{
 		Grant: g.id, Service: f.call.Service, Class: f.who.class.Name, Team: f.who.team.Name, KeyID: f.who.key.ID,
 		Remaining: time.Until(f.startBy()), MaxRun: f.maxRun, Avoid: f.tried,
 	}
@@ -92,7 +92,7 @@
 		return nil, give.Refused
 	}
 	if ctx.Err() != nil {
-		e.giveBack(g, proto.SlotDone{Grant: g.id})
+		e.giveBack(g, proto.SlotRelease{Grant: g.id})
 		return nil, winch.Refuse(winch.CallerGone, "the caller went away")
 	}
 	g.vm = give.Executor
@@ -100,14 +100,14 @@
 	return g, winch.Result{}
 }
 
-func (e *Entry) ask(ctx context.Context, home string, ask proto.SlotAsk) (give proto.SlotGive, err error) {
+func (e *Entry) ask(ctx context.Context, home string, ask proto.SlotRequest) (give proto.SlotResponse, err error) {
 	if home == e.Name() {
 		return e.table.Acquire(ctx, home, ask), nil
 	}
 	metrics.GetOrRegisterCounter("Calls.Hops", e.Metrics).Inc(1)
 	ctx, cancel := context.WithTimeout(ctx, ask.Remaining+storeCall)
 	defer cancel()
-	err = e.Peers.Ask(ctx, home, proto.KindSlot, ask, &give)
+	err = e.Peers.Request(ctx, home, proto.KindSlot, ask, &give)
 	return give, err
 }
 
@@ -116,7 +116,7 @@
 // goes first over the next link tells it the same.
 func (e *Entry) askFailed(ctx context.Context, g *grant, err error) winch.Result {
 	if !errors.Is(err, winch.ErrNoPeer) {
-		_ = e.Peers.Tell(g.home, proto.KindSlotDone, proto.SlotDone{Grant: g.id})
+		_ = e.Peers.Notify(g.home, proto.KindSlotRelease, proto.SlotRelease{Grant: g.id})
 	}
 	if ctx.Err() != nil {
 		return winch.Refuse(winch.CallerGone, "the caller went away")
@@ -128,7 +128,7 @@
 // executor's present one: while an executor changes its home, the old one may
 // have handed the grant on already, and the new one would keep the slot taken
 // for the longest run time.
-func (e *Entry) giveBack(g *grant, done proto.SlotDone) {
+func (e *Entry) giveBack(g *grant, done proto.SlotRelease) {
 	home := e.grants.remove(g.id)
 	if home == "" {
 		home = g.home
@@ -142,10 +142,10 @@
 	}
 }
 
-func (e *Entry) tellDone(home string, done proto.SlotDone) {
+func (e *Entry) tellDone(home string, done proto.SlotRelease) {
 	if home == e.Name() {
 		_ = e.table.Return(done)
 		return
 	}
-	_ = e.Peers.Tell(home, proto.KindSlotDone, done)
+	_ = e.Peers.Notify(home, proto.KindSlotRelease, done)
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -61,7 +61,7 @@
 	own := e.beat(ctx)
 	own.Domain = e.Domain()
 	own.Leaving = e.draining.Load()
-	beats := map[string]proto.Beat{e.Name(): own}
+	beats := map[string]proto.Heartbeat{e.Name(): own}
 	for name, p := range view.Peers {
 		beats[name] = p.Beat
 	}
@@ -100,7 +100,7 @@
 	return out
 }
 
-func memberStatus(name string, b proto.Beat) MemberStatus {
+func memberStatus(name string, b proto.Heartbeat) MemberStatus {
 	s := MemberStatus{Name: name, Domain: b.Domain, Config: b.Config, Leaving: b.Leaving}
 	for _, l := range b.Loads {
 		s.Loads = append(s.Loads, LoadStatus{Service: l.Service, Slots: l.Slots, Busy: l.Busy, Queued: l.Queued})
@@ -109,7 +109,7 @@
 }
 
 // addDomain takes the newest epoch that any entry tells.
-func addDomain(domains map[string]*DomainStatus, name string, b proto.Beat) {
+func addDomain(domains map[string]*DomainStatus, name string, b proto.Heartbeat) {
 	d := domains[b.Domain]
 	if d == nil {
 		d = &DomainStatus{Name: b.Domain}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -65,7 +65,7 @@
 // the watch does not cover the jobs then, and what is accepted by an entry that
 // dies before it can tell would not be taken up.
 func (e *Entry) watchOnce(ctx context.Context, prefixes []string, after uint64) (changes []winch.Change, next uint64, err error) {
-	anew := duty.Until(ctx, e.rewatch, func(ctx context.Context) {
+	anew := duty.RunUntil(ctx, e.rewatch, func(ctx context.Context) {
 		changes, next, err = e.Store.Watch(ctx, prefixes, after)
 	})
 	if err != nil && anew {
--- a/proto/keep.go
+++ b/proto/keep.go
@@ -8,19 +8,19 @@
 
 // Kinds of the messages between the entries of a region.
 const (
-	KindKeepSet    winch.Kind = "KeepSet"
-	KindKeepOrders winch.Kind = "KeepOrders"
-	KindKeepPoll   winch.Kind = "KeepPoll"
-	KindAdvise     winch.Kind = "Advise"
-	KindAccepted   winch.Kind = "Accepted"
-	KindCancel     winch.Kind = "Cancel"
-	KindState      winch.Kind = "State"
-	KindWaiting    winch.Kind = "Waiting"
-	KindSettings   winch.Kind = "Settings"
-	KindSettingAsk winch.Kind = "SettingsAsk"
-	KindMirror     winch.Kind = "Mirror"
-	KindCommand    winch.Kind = "Command"
-	KindTerm       winch.Kind = "Term"
+	KindAssignmentSet   winch.Kind = "KeepSet"
+	KindKeeperOrders    winch.Kind = "KeepOrders"
+	KindKeeperPoll      winch.Kind = "KeepPoll"
+	KindAdvise          winch.Kind = "Advise"
+	KindAcceptedJobs    winch.Kind = "Accepted"
+	KindCancel          winch.Kind = "Cancel"
+	KindState           winch.Kind = "State"
+	KindWaitingJobs     winch.Kind = "Waiting"
+	KindSettings        winch.Kind = "Settings"
+	KindSettingsRequest winch.Kind = "SettingsAsk"
+	KindMirror          winch.Kind = "Mirror"
+	KindCommand         winch.Kind = "Command"
+	KindTerm            winch.Kind = "Term"
 )
 
 // Session identifies one uninterrupted planner-keeper connection. A planner that
@@ -32,7 +32,7 @@
 }
 
 // Assignment assigns one worker to a keeper, with the fencing token to use.
-type Kept struct {
+type Assignment struct {
 	VM    winch.WorkerVM `cbor:"1,keyasint"`
 	Token uint64         `cbor:"2,keyasint"`
 	// Empty reports that the worker runs nothing except what is ordered in this session.
@@ -41,13 +41,13 @@
 	// of the worker, counted from the arrival of the message.
 	Left time.Duration `cbor:"4,keyasint,omitempty"`
 	// Generation is the generation of the assignment as recorded in the roster.
-	Turn uint64 `cbor:"5,keyasint,omitempty"`
+	Generation uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // AssignmentSet is sent to a keeper and lists all workers assigned to it from now on.
-type KeepSet struct {
-	Session Session `cbor:"1,keyasint"`
-	Workers []Kept  `cbor:"2,keyasint,omitempty"`
+type AssignmentSet struct {
+	Session Session      `cbor:"1,keyasint"`
+	Workers []Assignment `cbor:"2,keyasint,omitempty"`
 	// Authority is how long the keeper may go on renewing leases without another message
 	// from the planner, counted from the first set of the session. It is a duration
 	// because the clocks of the two machines differ.
@@ -61,14 +61,14 @@
 const (
 	OrderStart OrderKind = iota + 1
 	OrderStop
-	OrderPace
+	OrderThrottle
 	OrderForget
 	// OrderReportRate sets whether the status of the worker's runs is reported more often.
-	OrderLook
+	OrderReportRate
 	// OrderAllowRenewal allows the keeper to renew the lease of a worker that has listed
 	// its runs or become responsive again: the planner has received that event. Spell is
 	// copied from the event.
-	OrderRenew
+	OrderAllowRenewal
 )
 
 // Order is one order to a worker.
@@ -95,39 +95,39 @@
 
 // KeeperOrders carries orders to a keeper. Origins maps each job that is started to the
 // entry that accepted it and still has its command.
-type KeepOrders struct {
+type KeeperOrders struct {
 	Session Session           `cbor:"1,keyasint"`
 	Orders  []Order           `cbor:"2,keyasint"`
 	Origins map[string]string `cbor:"3,keyasint,omitempty"`
 }
 
 // CommandRequest asks the entry that accepted a job for its command.
-type CommandAsk struct {
+type CommandRequest struct {
 	Job string `cbor:"1,keyasint"`
 }
 
 // CommandResponse is the response to a CommandRequest; Known is false if the entry no
 // longer has the command.
-type CommandGive struct {
+type CommandResponse struct {
 	Known   bool   `cbor:"1,keyasint,omitempty"`
 	Command string `cbor:"2,keyasint,omitempty"`
 }
 
 // TermRequest asks an entry how long it has known that a term, or a later one, began.
-type TermAsk struct {
+type TermRequest struct {
 	Term uint64 `cbor:"1,keyasint"`
 }
 
 // TermResponse is the response to a TermRequest; Known is false if the entry has seen
 // neither the term nor a later one.
-type TermGive struct {
+type TermResponse struct {
 	Known bool          `cbor:"1,keyasint,omitempty"`
 	Age   time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
 // KeeperPollRequest asks a keeper for new events. The keeper responds at once if there
 // are any, and after Wait at the latest.
-type KeepPoll struct {
+type KeeperPollRequest struct {
 	Session   Session       `cbor:"1,keyasint"`
 	Authority time.Duration `cbor:"2,keyasint"`
 	Wait      time.Duration `cbor:"3,keyasint"`
@@ -138,9 +138,9 @@
 }
 
 // KeeperPollResponse holds the events at a keeper's workers since its last response.
-type KeepNews struct {
-	Session Session     `cbor:"1,keyasint"`
-	Events  []KeepEvent `cbor:"2,keyasint,omitempty"`
+type KeeperPollResponse struct {
+	Session Session       `cbor:"1,keyasint"`
+	Events  []KeeperEvent `cbor:"2,keyasint,omitempty"`
 	// Term is the term of the keeper's own session if that differs from the request's.
 	Term uint64 `cbor:"3,keyasint,omitempty"`
 	// Stamp is the keeper's clock at the time of the response.
@@ -175,19 +175,19 @@
 	// EventKnownRuns reports the runs that a keeper knew of at a worker when the session
 	// of a later planner began. With it that planner can proceed if the worker is
 	// unresponsive.
-	EventKnown
+	EventKnownRuns
 	// EventUnresponsive reports that the worker is unresponsive: no start is sent to it,
 	// and its lease is not renewed before an OrderAllowRenewal.
-	EventSilent
+	EventUnresponsive
 	// EventResponsive reports that an unresponsive worker responds again.
-	EventBack
+	EventResponsive
 	// EventReleased reports that the assignment with the event's token has ended. It is
 	// sent again until the planner is known to have received it.
 	EventReleased
 )
 
 // KeeperEvent is one event at a worker.
-type KeepEvent struct {
+type KeeperEvent struct {
 	_    struct{} `cbor:",toarray"`
 	Kind EventKind
 	// Token is the fencing token of the worker's assignment. An event of an earlier
@@ -196,7 +196,7 @@
 	Task    winch.RunID
 	Run     uint64
 	Result  winch.StartResult
-	Ended   []winch.Ended
+	Ended   []winch.Completion
 	Running []winch.Running
 	// Left is set for EventUnresponsive and EventReleased: the time after which all leases
 	// at the worker are guaranteed to have expired if nobody renews them.
@@ -214,21 +214,21 @@
 }
 
 // AdviseRequest asks an entry to call the advice service in its lane.
-type AdviseAsk struct {
+type AdviseRequest struct {
 	Phase   winch.RunID `cbor:"1,keyasint"`
 	Workers []string    `cbor:"2,keyasint"`
 }
 
 // AdviseResponse is the response to an AdviseRequest; Failed is the error text if the
 // call to the advice service failed.
-type AdviseGive struct {
+type AdviseResponse struct {
 	Tickets []winch.Ticket `cbor:"1,keyasint,omitempty"`
 	Valid   time.Duration  `cbor:"2,keyasint,omitempty"`
 	Failed  string         `cbor:"3,keyasint,omitempty"`
 }
 
 // AcceptedJobs notifies the planner of jobs that were committed.
-type Accepted struct {
+type AcceptedJobs struct {
 	Jobs []AcceptedJob `cbor:"1,keyasint"`
 }
 
@@ -246,19 +246,19 @@
 }
 
 // StateRequest asks the planner for a job's state.
-type StateAsk struct {
+type StateRequest struct {
 	ID string `cbor:"1,keyasint"`
 }
 
 // StateResponse is the response to a StateRequest; Known is false if the receiver does
 // not know the job or is not the planner.
-type StateGive struct {
+type StateResponse struct {
 	Known bool           `cbor:"1,keyasint,omitempty"`
 	State winch.JobState `cbor:"2,keyasint,omitempty"`
 }
 
 // WaitingJobs notifies all entries of the number of jobs in each queue that have not begun.
-type Waiting struct {
+type WaitingJobs struct {
 	Term   uint64         `cbor:"1,keyasint"`
 	Queues map[string]int `cbor:"2,keyasint,omitempty"`
 	// Settings is the version of the planner's configuration.
@@ -273,7 +273,7 @@
 }
 
 // SettingsRequest asks for the configuration, which is sent only if it is newer than Have.
-type SettingsAsk struct {
+type SettingsRequest struct {
 	Have uint64 `cbor:"1,keyasint,omitempty"`
 }
 
@@ -289,10 +289,10 @@
 	// LeaseExpiries holds the lease expiries of all unresponsive workers that may run work.
 	// A planner that is about to stop adds the workers that have not responded yet. None of
 	// these leases is renewed before the standby accepts a message without the worker.
-	Lapses []MirrorLapse `cbor:"6,keyasint,omitempty"`
+	LeaseExpiries []MirrorLeaseExpiry `cbor:"6,keyasint,omitempty"`
 	// ExpiriesUnchanged reports that the lease expiries are those of the last message of
 	// the session that held any.
-	Same bool `cbor:"8,keyasint,omitempty"`
+	ExpiriesUnchanged bool `cbor:"8,keyasint,omitempty"`
 	// Stamp is copied from the standby's last response. The lease expiries are valid only
 	// for a short time from then: after that the planner may renew the leases without the
 	// standby being notified.
@@ -301,7 +301,7 @@
 
 // MirrorLeaseExpiry is the time after which the leases that a keeper granted at a worker
 // are guaranteed to have expired. A worker that had several keepers has several.
-type MirrorLapse struct {
+type MirrorLeaseExpiry struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Left   time.Duration
--- a/proto/keep_test.go
+++ b/proto/keep_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an encoding that truncates times to whole seconds: a job's age would then
 // count from up to a second before the job was accepted.
-func TestTimesKeepTheirFractions(t *testing.T) {
+func TestTimesKeepFractionsOfSeconds(t *testing.T) {
 	is := is.New(t)
 	accepted := time.Unix(1_790_000_000, 987_654_000)
 	data, err := Encode(AcceptedJob{Job: winch.PhasedJob{ID: "a", Accepted: accepted}})
@@ -24,7 +24,7 @@
 // Guards against larger messages for a start. Each start is sent to a keeper and a standby, and
 // its begin and completion are reported to the planner, so on a slow link the size of these
 // messages limits the rate of starts.
-func TestMessagesOfAStartAreShort(t *testing.T) {
+func TestStartMessagesAreSmall(t *testing.T) {
 	is := is.New(t)
 	size := func(v any) int {
 		data, err := Encode(v)
@@ -35,6 +35,6 @@
 	const token, run = 4711 << 20, 10_000_123
 	is.True(size(Order{Kind: OrderStart, Token: token, Task: task, Run: run, Worker: "i-0123456789"}) <= 48)
 	is.True(size(MirrorRun{Worker: "i-0123456789", Task: task, Run: run}) <= 42)
-	is.True(size(KeepEvent{Kind: EventStarted, Token: token, Task: task, Run: run}) <= 50)
-	is.True(size(KeepEvent{Kind: EventEnded, Token: token, Ended: []winch.Ended{{Number: 300, Task: task, Run: run, Kind: winch.EndDone}}}) <= 70)
+	is.True(size(KeeperEvent{Kind: EventStarted, Token: token, Task: task, Run: run}) <= 50)
+	is.True(size(KeeperEvent{Kind: EventEnded, Token: token, Ended: []winch.Completion{{Number: 300, Task: task, Run: run, Kind: winch.CompletionDone}}}) <= 70)
 }
--- a/proto/proto.go
+++ b/proto/proto.go
@@ -15,15 +15,15 @@
 
 // Kinds of the messages between entries.
 const (
-	KindHello     winch.Kind = "Hello"
-	KindBeat      winch.Kind = "Beat"
-	KindConfig    winch.Kind = "Config"
-	KindSlot      winch.Kind = "Slot"
-	KindSlotDone  winch.Kind = "SlotDone"
-	KindSlotHeld  winch.Kind = "SlotHeld"
-	KindHandoff   winch.Kind = "Handoff"
-	KindJobHint   winch.Kind = "JobHint"
-	KindJobStatus winch.Kind = "JobStatus"
+	KindHello       winch.Kind = "Hello"
+	KindHeartbeat   winch.Kind = "Beat"
+	KindConfig      winch.Kind = "Config"
+	KindSlot        winch.Kind = "Slot"
+	KindSlotRelease winch.Kind = "SlotDone"
+	KindHeldSlots   winch.Kind = "SlotHeld"
+	KindHandoff     winch.Kind = "Handoff"
+	KindJobHint     winch.Kind = "JobHint"
+	KindJobStatus   winch.Kind = "JobStatus"
 )
 
 // Frame is one message on a link.
@@ -60,7 +60,7 @@
 }
 
 // Heartbeat is sent by each entry to every other one.
-type Beat struct {
+type Heartbeat struct {
 	Domain  string    `cbor:"1,keyasint"`
 	Leaving bool      `cbor:"2,keyasint,omitempty"`
 	Config  uint64    `cbor:"3,keyasint,omitempty"`
@@ -84,17 +84,17 @@
 }
 
 // ConfigRequest asks for the configuration if it is newer than Have.
-type ConfigAsk struct {
+type ConfigRequest struct {
 	Have uint64
 }
 
 // ConfigResponse carries a configuration document as JSON, empty if there is no newer one.
-type ConfigGive struct {
+type ConfigResponse struct {
 	Document []byte
 }
 
 // SlotRequest asks the home entry of executors for a slot.
-type SlotAsk struct {
+type SlotRequest struct {
 	// Grant is the ID of the grant. The requester chooses it, so that it can release
 	// a slot even if the response is lost.
 	Grant   string
@@ -112,7 +112,7 @@
 }
 
 // SlotResponse grants a slot or refuses the request with a result.
-type SlotGive struct {
+type SlotResponse struct {
 	Executor winch.VM
 	Refused  winch.Result
 }
@@ -129,7 +129,7 @@
 )
 
 // SlotRelease releases a slot.
-type SlotDone struct {
+type SlotRelease struct {
 	Grant   string
 	Verdict Verdict
 	// After is how long the slot stays occupied because the work may still run.
@@ -138,7 +138,7 @@
 }
 
 // HeldSlot is a slot in use.
-type Held struct {
+type HeldSlot struct {
 	Grant    string
 	Executor string
 	Team     string
@@ -146,8 +146,8 @@
 }
 
 // HeldSlots lists slots of the receiver's executors that the sender uses.
-type SlotHeld struct {
-	Held []Held
+type HeldSlots struct {
+	Held []HeldSlot
 	// Complete reports that the sender uses no other slots. It is set in the first
 	// message on a new link, before any grant on that link.
 	Complete bool
@@ -156,7 +156,7 @@
 // Handoff transfers an executor and its slots in use to a new home entry.
 type Handoff struct {
 	Executor string
-	Held     []Held
+	Held     []HeldSlot
 }
 
 // JobHint notifies a domain's placer that a job was committed or changed.
@@ -165,7 +165,7 @@
 }
 
 // JobStatusRequest asks a domain's placer why a job is waiting.
-type JobStatusAsk struct {
+type JobStatusRequest struct {
 	ID string
 }
 
@@ -180,7 +180,7 @@
 }
 
 // encMode encodes times with microsecond precision and floats in the shortest exact form.
-var mode = func() cbor.EncMode {
+var encMode = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Time: cbor.TimeUnixMicro, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		panic(err)
@@ -190,7 +190,7 @@
 
 // Encode returns the CBOR form of a message or a stored record.
 func Encode(v any) ([]byte, error) {
-	return mode.Marshal(v)
+	return encMode.Marshal(v)
 }
 
 // Decode reads the CBOR form of a message or a stored record.
--- a/region/accept.go
+++ b/region/accept.go
@@ -17,7 +17,7 @@
 	acceptQueueSize = 1024
 	// maxAcceptBatch is how many submissions, of two conditions and two writes each, one
 	// transaction may carry.
-	maxAcceptBatch = winch.TxnEntries / 4
+	maxAcceptBatch = winch.MaxTxnItems / 4
 	// concurrentAccepts is how many transactions may be outstanding at once, so that one whose
 	// response is lost does not delay the others.
 	concurrentAccepts = 4
@@ -150,7 +150,7 @@
 
 // accepted answers the stored submissions of a batch and notifies the planner of them.
 func (a *acceptor) accepted(batch []*submission, revision uint64) {
-	var msg proto.Accepted
+	var msg proto.AcceptedJobs
 	for _, s := range batch {
 		s.job.Revision = revision
 		a.node.commands.Add(s.job.ID, s.job.Command)
@@ -158,7 +158,7 @@
 		a.node.Log.Info("accepted", zap.String("job", s.job.ID), zap.String("queue", s.job.Queue), zap.String("team", s.job.Team), zap.Uint64("revision", revision))
 		msg.Jobs = append(msg.Jobs, proto.AcceptedJob{Job: *s.job, Revision: revision, Command: s.job.Command})
 	}
-	a.node.notifyPlanner(proto.KindAccepted, msg)
+	a.node.notifyPlanner(proto.KindAcceptedJobs, msg)
 }
 
 // Submit implements winch.Region. It returns when the job is stored, when storing it has failed or
--- a/region/assign.go
+++ b/region/assign.go
@@ -172,7 +172,7 @@
 		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Generation != turn || recorded.VM.Born != vm.Born {
 			continue
 		}
-		if l.keepers[vm.ID] == name && l.kept[vm.ID].Turn == turn {
+		if l.keepers[vm.ID] == name && l.kept[vm.ID].Generation == turn {
 			continue
 		}
 		if old := l.keepers[vm.ID]; old != "" {
@@ -183,8 +183,8 @@
 		}
 		changed[name] = true
 		l.tokens++
-		l.recordAssignment(vm.ID, name, proto.Kept{
-			VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Turn: turn,
+		l.recordAssignment(vm.ID, name, proto.Assignment{
+			VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Generation: turn,
 			Empty: l.planner.Empty(vm.ID),
 		})
 	}
--- a/region/cell.go
+++ b/region/cell.go
@@ -277,7 +277,7 @@
 			values, asOf, err := n.Table.Read(ctx, prefix)
 			if err != nil {
 				options.notify(sent, false)
-				duty.Pause(ctx, retryDelay)
+				duty.Sleep(ctx, retryDelay)
 				continue
 			}
 			all(values)
@@ -291,7 +291,7 @@
 			after = 0
 		case err != nil:
 			options.notify(sent, false)
-			duty.Pause(ctx, retryDelay)
+			duty.Sleep(ctx, retryDelay)
 		default:
 			after = max(after, next)
 			if len(events) > 0 {
@@ -299,7 +299,7 @@
 			}
 			options.notify(sent, true)
 			if options.delay > 0 && len(events) < fullBatch {
-				duty.Pause(ctx, options.delay)
+				duty.Sleep(ctx, options.delay)
 			}
 		}
 	}
@@ -309,8 +309,8 @@
 // answers again after an outage: a call sent into the outage may never be answered, and the
 // changes that it waits for would be seen seconds late.
 func (n *Node) watchOnce(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []winch.Event, next uint64, err error) {
-	duty.Until(ctx, n.storeBack.wait(), func(ctx context.Context) {
-		events, next, err = n.Table.Follow(ctx, prefix, after, wait)
+	duty.RunUntil(ctx, n.storeBack.wait(), func(ctx context.Context) {
+		events, next, err = n.Table.Watch(ctx, prefix, after, wait)
 	})
 	return events, next, err
 }
@@ -323,7 +323,7 @@
 	for ctx.Err() == nil {
 		if !n.leaving.Load() {
 			lease = n.renewWithTimeout(ctx, lease)
-		} else if lease != 0 && n.Table.End(ctx, lease) == nil {
+		} else if lease != 0 && n.Table.RevokeLease(ctx, lease) == nil {
 			lease = 0
 		}
 		if now := n.healthy(); now != healthy {
@@ -331,9 +331,9 @@
 			n.Log.Info("store responsiveness changed", zap.Bool("answers", now))
 		}
 		if healthy {
-			duty.Pause(ctx, nodeRenewInterval)
+			duty.Sleep(ctx, nodeRenewInterval)
 		} else {
-			duty.Pause(ctx, outageRenewDelay)
+			duty.Sleep(ctx, outageRenewDelay)
 		}
 	}
 }
@@ -385,8 +385,8 @@
 // lease; zero if that failed.
 func (n *Node) renewRecord(ctx context.Context, lease uint64) uint64 {
 	if lease != 0 {
-		err := n.Table.Keep(ctx, lease)
-		if !errors.Is(err, winch.ErrMissing) && !n.recordMissing() {
+		err := n.Table.RenewLease(ctx, lease)
+		if !errors.Is(err, winch.ErrNotFound) && !n.recordMissing() {
 			return lease
 		}
 	}
@@ -394,7 +394,7 @@
 	if err != nil {
 		return 0
 	}
-	lease, err = n.Table.Lease(ctx, nodeTTL)
+	lease, err = n.Table.GrantLease(ctx, nodeTTL)
 	if err != nil {
 		return 0
 	}
--- a/region/command.go
+++ b/region/command.go
@@ -27,7 +27,7 @@
 // Keepers ask for them, and while the store is unresponsive or this failure domain is partitioned
 // no other source may be left.
 func (l *leadership) readCommands(ctx context.Context) {
-	for duty.Pause(ctx, commandsReadDelay); ctx.Err() == nil; duty.Pause(ctx, retryDelay) {
+	for duty.Sleep(ctx, commandsReadDelay); ctx.Err() == nil; duty.Sleep(ctx, retryDelay) {
 		values, _, err := l.node.Table.Read(ctx, prefixCommands)
 		if err != nil {
 			l.node.Log.Info("commands of jobs not read; retrying", zap.Error(err))
@@ -41,9 +41,9 @@
 }
 
 // commandResponse answers a keeper's request for the command of a job that this entry accepted.
-func (n *Node) commandResponse(request proto.CommandAsk) proto.CommandGive {
+func (n *Node) commandResponse(request proto.CommandRequest) proto.CommandResponse {
 	text, known := n.commands.Get(request.Job)
-	return proto.CommandGive{Known: known, Command: text}
+	return proto.CommandResponse{Known: known, Command: text}
 }
 
 // command returns the command of a job for this entry's keeper. It asks the entry that accepted
@@ -77,7 +77,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var response proto.CommandGive
-	err := n.Peers.Ask(ctx, name, proto.KindCommand, proto.CommandAsk{Job: job}, &response)
+	var response proto.CommandResponse
+	err := n.Peers.Request(ctx, name, proto.KindCommand, proto.CommandRequest{Job: job}, &response)
 	return response.Command, err == nil && response.Known
 }
--- a/region/expiry.go
+++ b/region/expiry.go
@@ -78,7 +78,7 @@
 func (s *leaseExpiries) endAssignment(worker, keeper string, token uint64, authority time.Duration) {
 	expiry, fixed := s.fixed[worker]
 	if s.renewable[worker] {
-		expiry, fixed = time.Now().Add(keep.Surely(authority)), true
+		expiry, fixed = time.Now().Add(keep.ExpiryBound(authority)), true
 	}
 	if fixed {
 		s.earlier[worker] = append(s.earlier[worker], assignment{token: token, keeper: keeper, expiry: expiry})
@@ -89,7 +89,7 @@
 
 // applyRelease applies a keeper's report on an assignment that has ended, and reports whether the
 // leases expire earlier than was known.
-func (s *leaseExpiries) applyRelease(keeper string, e proto.KeepEvent) bool {
+func (s *leaseExpiries) applyRelease(keeper string, e proto.KeeperEvent) bool {
 	return s.shorten(e.Worker, time.Now().Add(e.Left), func(a assignment) bool {
 		return a.token == e.Token || a.token == 0 && a.keeper == keeper && a.generation == e.Turn
 	})
@@ -146,12 +146,12 @@
 
 // updates returns until when work may run at the unresponsive workers whose leases nobody may renew at
 // present; with withoutContact, also at those that have not responded to their current keeper yet.
-func (s *leaseExpiries) updates(keepers map[string]string, withoutContact bool) []proto.MirrorLapse {
-	var out []proto.MirrorLapse
+func (s *leaseExpiries) updates(keepers map[string]string, withoutContact bool) []proto.MirrorLeaseExpiry {
+	var out []proto.MirrorLeaseExpiry
 	for worker := range s.unresponsive {
 		expiry, fixed := s.fixed[worker]
 		if fixed || len(s.earlier[worker]) == 0 {
-			out = append(out, proto.MirrorLapse{Worker: worker, Keeper: keepers[worker], Left: time.Until(expiry)})
+			out = append(out, proto.MirrorLeaseExpiry{Worker: worker, Keeper: keepers[worker], Left: time.Until(expiry)})
 		}
 	}
 	for worker, list := range s.earlier {
@@ -159,7 +159,7 @@
 			continue
 		}
 		for _, a := range list {
-			out = append(out, proto.MirrorLapse{Worker: worker, Keeper: a.keeper, Left: time.Until(a.expiry)})
+			out = append(out, proto.MirrorLeaseExpiry{Worker: worker, Keeper: a.keeper, Left: time.Until(a.expiry)})
 		}
 	}
 	return out
@@ -194,7 +194,7 @@
 		for _, a := range list {
 			l.noteEarlierBoot(a)
 			at, ended := l.node.cell.endedBy(a.keeper)
-			if ended && l.expiries.endKeeper(id, a.keeper, at.Add(keep.Surely(maxLease))) && l.expiries.unresponsive[id] {
+			if ended && l.expiries.endKeeper(id, a.keeper, at.Add(keep.ExpiryBound(maxLease))) && l.expiries.unresponsive[id] {
 				l.changedExpiries = append(l.changedExpiries, id)
 			}
 		}
@@ -217,22 +217,22 @@
 // releaseAssignment handles a keeper's report on an ended assignment. It is more precise than the
 // assumed expiry, so it is passed on to the worker's current keeper unless the worker has responded to
 // that one: the current keeper may have to report it to the next planner.
-func (l *leadership) releaseAssignment(keeper string, e proto.KeepEvent) {
+func (l *leadership) releaseAssignment(keeper string, e proto.KeeperEvent) {
 	if l.expiries.applyRelease(keeper, e) && !l.expiries.renewable[e.Worker] {
 		l.changedExpiries = append(l.changedExpiries, e.Worker)
 	}
 }
 
 // applyExpiryEvent updates the lease expiries with an event of a worker's current assignment.
-func (l *leadership) applyExpiryEvent(e proto.KeepEvent) {
+func (l *leadership) applyExpiryEvent(e proto.KeeperEvent) {
 	switch e.Kind {
 	case proto.EventListed:
 		l.expiries.markListed(e.Worker)
 		l.allowRenewal(e)
-	case proto.EventBack:
+	case proto.EventResponsive:
 		l.expiries.markResponsive(e.Worker)
 		l.allowRenewal(e)
-	case proto.EventSilent:
+	case proto.EventUnresponsive:
 		l.expiries.markUnresponsive(e.Worker, e.Left)
 		l.changedExpiries = append(l.changedExpiries, e.Worker)
 	}
@@ -241,11 +241,11 @@
 // allowRenewal lets a worker's keeper renew the lease. If a standby may know an expiry of that lease,
 // it is told first that the expiry no longer holds: otherwise it would start the work a second time
 // after taking over.
-func (l *leadership) allowRenewal(e proto.KeepEvent) {
+func (l *leadership) allowRenewal(e proto.KeeperEvent) {
 	if l.runsRecorded {
 		return // The time at which the leases there expire is recorded.
 	}
-	o := proto.Order{Kind: proto.OrderRenew, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
+	o := proto.Order{Kind: proto.OrderAllowRenewal, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
 	if l.maybeBound[e.Worker] {
 		l.pendingRenewals[e.Worker] = o
 		l.reassignSoon()
@@ -277,7 +277,7 @@
 	}
 	l.standbyExpiries, l.ackedExpiries, l.expiriesChanged = make(map[string]bool), nil, true
 	waiting := slices.Concat(l.queuedOrders, l.mirroredOrders)
-	renews := func(o proto.Order) bool { return o.Kind == proto.OrderRenew }
+	renews := func(o proto.Order) bool { return o.Kind == proto.OrderAllowRenewal }
 	starts := func(o proto.Order) bool { return !renews(o) }
 	l.queuedOrders = slices.DeleteFunc(l.queuedOrders, renews)
 	l.mirroredOrders = slices.DeleteFunc(l.mirroredOrders, renews)
--- a/region/expiry_test.go
+++ b/region/expiry_test.go
@@ -122,10 +122,10 @@
 		is.Equal(s.remaining("w"), 8*time.Second)
 		s.endAssignment("w", "b", 5, 7*time.Second) // It never listed the worker's runs.
 		is.Equal(s.remaining("w"), 8*time.Second)
-		is.True(!s.applyRelease("b", proto.KeepEvent{Worker: "w", Token: 5, Left: time.Second}))
+		is.True(!s.applyRelease("b", proto.KeeperEvent{Worker: "w", Token: 5, Left: time.Second}))
 		// Other keepers had the worker since.
-		is.True(!s.applyRelease("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second}))
-		is.True(s.applyRelease("a", proto.KeepEvent{Worker: "w", Token: 3, Turn: 2, Left: 4 * time.Second}))
+		is.True(!s.applyRelease("a", proto.KeeperEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second}))
+		is.True(s.applyRelease("a", proto.KeeperEvent{Worker: "w", Token: 3, Turn: 2, Left: 4 * time.Second}))
 		is.Equal(s.remaining("w"), 4*time.Second)
 		time.Sleep(time.Second)
 		is.Equal(s.remaining("w"), 3*time.Second)
@@ -134,7 +134,7 @@
 		is.Equal(s.remaining("w"), time.Duration(0))
 		s.endAssignment("w", "c", 9, 7*time.Second) // It could renew until its authority ends.
 		is.True(s.remaining("w") > 7*time.Second)
-		is.True(s.applyRelease("c", proto.KeepEvent{Worker: "w", Token: 9, Left: 2 * time.Second}))
+		is.True(s.applyRelease("c", proto.KeeperEvent{Worker: "w", Token: 9, Left: 2 * time.Second}))
 		is.Equal(s.remaining("w"), 2*time.Second)
 
 		s.markListed("w")
@@ -155,14 +155,14 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		lapses := []proto.MirrorLapse{{Worker: "w", Left: 5 * time.Second}}
+		lapses := []proto.MirrorLeaseExpiry{{Worker: "w", Left: 5 * time.Second}}
 		claimed := func(wait time.Duration, again bool) int {
 			var m mirror
-			ack := m.answer(proto.Mirror{Term: 1, Session: 1, Full: true, Lapses: lapses})
+			ack := m.answer(proto.Mirror{Term: 1, Session: 1, Full: true, LeaseExpiries: lapses})
 			is.True(ack.OK)
 			time.Sleep(wait)
 			if again {
-				is.True(m.answer(proto.Mirror{Term: 1, Session: 1, Lapses: lapses, Stamp: ack.Stamp}).OK)
+				is.True(m.answer(proto.Mirror{Term: 1, Session: 1, LeaseExpiries: lapses, Stamp: ack.Stamp}).OK)
 			}
 			out, whole := m.claim(2)
 			is.True(whole)
--- a/region/fault_test.go
+++ b/region/fault_test.go
@@ -16,7 +16,7 @@
 
 // simPhase returns a phase of simulated tasks that starts after the given phases.
 func simPhase(count int, after ...int) winch.Phase {
-	return winch.Phase{Count: count, Need: winch.Room{Milli: taskMilli}, Estimate: taskDuration, After: after}
+	return winch.Phase{Count: count, Need: winch.Capacity{Milli: taskMilli}, Estimate: taskDuration, After: after}
 }
 
 // settle waits until the entries have found each other and elected a planner.
--- a/region/handover.go
+++ b/region/handover.go
@@ -53,12 +53,12 @@
 		l.recordRuns(ctx)
 	}
 	for ctx.Err() == nil {
-		err := l.node.Table.End(ctx, l.lease)
-		if err == nil || errors.Is(err, winch.ErrMissing) {
+		err := l.node.Table.RevokeLease(ctx, l.lease)
+		if err == nil || errors.Is(err, winch.ErrNotFound) {
 			break
 		}
 		l.node.Log.Info("ending the office lease failed; retrying", zap.Error(err))
-		duty.Pause(ctx, retryDelay/3)
+		duty.Sleep(ctx, retryDelay/3)
 	}
 	l.cancel()
 }
@@ -83,7 +83,7 @@
 		if !pending {
 			return covered
 		}
-		duty.Pause(ctx, gatherDelay)
+		duty.Sleep(ctx, gatherDelay)
 	}
 	return false
 }
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -77,7 +77,7 @@
 func (l *leadership) applyNotification(body any) {
 	l.post(func() {
 		switch m := body.(type) {
-		case proto.Accepted:
+		case proto.AcceptedJobs:
 			for _, a := range m.Jobs {
 				if a.Revision <= l.jobsRevision {
 					continue // It was read from the store, or had ended by then.
@@ -99,8 +99,8 @@
 // state returns the known state of a job. Callers often ask just as the last task ends, a moment
 // before that is recorded and may be reported; with an immediate response they would learn of it only
 // when they ask again. So the response for a job that may end soon waits briefly.
-func (l *leadership) state(ctx context.Context, id string) proto.StateGive {
-	var resp proto.StateGive
+func (l *leadership) state(ctx context.Context, id string) proto.StateResponse {
+	var resp proto.StateResponse
 	var ended chan struct{}
 	if l.duty.Do(ctx, func() {
 		if l.validity.Load().remaining() <= -maxOfficeOverrun {
--- a/region/lasting_test.go
+++ b/region/lasting_test.go
@@ -54,7 +54,7 @@
 
 // startLasting submits a job with lasting tasks, and waits until they all run.
 func (w *world) startLasting(id string, count int) {
-	phase := winch.Phase{Count: count, Need: winch.Room{Milli: taskMilli}, Estimate: taskDuration, Lasting: true}
+	phase := winch.Phase{Count: count, Need: winch.Capacity{Milli: taskMilli}, Estimate: taskDuration, Lasting: true}
 	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingCommand, Phases: []winch.Phase{phase}})
 	for w.runningLasting() < count && w.ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
@@ -93,7 +93,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for key := range x.runs {
-		x.endRun(w, key, winch.EndLapsed)
+		x.endRun(w, key, winch.CompletionLeaseExpired)
 	}
 	x.unresponsive, x.terminated = true, true
 	w.log.note("worker %s is terminated", id)
--- a/region/lastrand_test.go
+++ b/region/lastrand_test.go
@@ -388,7 +388,7 @@
 		return false
 	}
 	for key := range x.runs {
-		x.endRun(w, key, winch.EndLapsed)
+		x.endRun(w, key, winch.CompletionLeaseExpired)
 	}
 	x.unresponsive, x.terminated = true, true
 	if w.downtimeChecks != nil {
@@ -447,7 +447,7 @@
 // submitLasting submits a job with lasting tasks that have a response time target.
 func (w *world) submitLasting(id string, count int) {
 	phase := winch.Phase{
-		Count: count, Need: winch.Room{Milli: taskMilli}, Estimate: taskDuration,
+		Count: count, Need: winch.Capacity{Milli: taskMilli}, Estimate: taskDuration,
 		Lasting: true, Image: "serves", Target: servingTarget,
 	}
 	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingCommand, Phases: []winch.Phase{phase}})
--- a/region/leadership.go
+++ b/region/leadership.go
@@ -71,7 +71,7 @@
 	revision   uint64 // revision is the office's revision; all records are written on condition of it.
 	lease      uint64
 	validity   atomic.Pointer[validity]
-	duty       *duty.Duty
+	duty       *duty.Loop
 	cancel     context.CancelFunc
 	ctx        context.Context
 	group      *conc.WaitGroup
@@ -86,9 +86,9 @@
 	planner       *fleet.Planner
 	lanes         lanes.Lanes[fleet.AdviceRequest]
 	proxies       map[string]*proxy
-	keepers       map[string]string     // keepers holds the name of each worker's keeper.
-	kept          map[string]proto.Kept // kept holds the fencing token of each worker's assignment.
-	byToken       map[uint64]string     // byToken holds the worker of each fencing token.
+	keepers       map[string]string           // keepers holds the name of each worker's keeper.
+	kept          map[string]proto.Assignment // kept holds the fencing token of each worker's assignment.
+	byToken       map[uint64]string           // byToken holds the worker of each fencing token.
 	workers       map[string]winch.WorkerVM
 	listAsOf      time.Time // listAsOf is the time at which the known worker list was current.
 	missing       map[string]time.Time
@@ -177,7 +177,7 @@
 	l := &leadership{
 		node: n, term: term, revision: revision, lease: lease, namedRevision: revision, maybeNamed: make(map[string]bool),
 		duty: duty.New("Planner", eventQueueSize, nil), planner: fleet.New(term),
-		proxies: make(map[string]*proxy), keepers: make(map[string]string), kept: make(map[string]proto.Kept),
+		proxies: make(map[string]*proxy), keepers: make(map[string]string), kept: make(map[string]proto.Assignment),
 		byToken: make(map[uint64]string), stateWaiters: make(map[string][]chan struct{}),
 		workers: make(map[string]winch.WorkerVM), missing: make(map[string]time.Time),
 		keeperBackoff: make(map[string]bool), previousRoster: make(map[string]rosteredWorker), roster: make(map[string]rosteredWorker),
@@ -225,7 +225,7 @@
 			l.group.Go(func() { f(l.ctx) })
 		}
 	}
-	l.duty.Every(l.ctx, l.timer.C, l.decide) // It returns at once if the records were not read.
+	l.duty.RunWithTick(l.ctx, l.timer.C, l.decide) // It returns at once if the records were not read.
 	l.cancel()
 	l.node.lead.CompareAndSwap(l, nil)
 	l.group.Wait()
@@ -237,17 +237,17 @@
 	for ctx.Err() == nil {
 		sent := time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, officeTTL/2)
-		err := l.node.Table.Keep(callCtx, l.lease)
+		err := l.node.Table.RenewLease(callCtx, l.lease)
 		cancel()
 		switch {
 		case err == nil:
 			v := newValidity(sent.Add(officeTTL))
 			l.validity.Store(&v)
-		case errors.Is(err, winch.ErrMissing):
+		case errors.Is(err, winch.ErrNotFound):
 			l.node.Log.Info("office lease lost", zap.Uint64("term", l.term))
 			return
 		}
-		duty.Pause(ctx, officeRenewInterval)
+		duty.Sleep(ctx, officeRenewInterval)
 	}
 }
 
