--- a/region/mirror.go
+++ b/region/mirror.go
@@ -87,10 +87,10 @@
 	for _, r := range msg.Remove {
 		delete(m.runs, r)
 	}
-	if !msg.Same {
-		m.expiries = make(map[string][]assignment, len(msg.Lapses))
+	if !msg.ExpiriesUnchanged {
+		m.expiries = make(map[string][]assignment, len(msg.LeaseExpiries))
 	}
-	for _, e := range msg.Lapses {
+	for _, e := range msg.LeaseExpiries {
 		m.expiries[e.Worker] = append(m.expiries[e.Worker], assignment{keeper: e.Keeper, expiry: time.Now().Add(e.Left)})
 	}
 	m.expiriesUntil = time.Time{}
@@ -254,10 +254,10 @@
 	}
 	msg := proto.Mirror{
 		Term: l.term, Session: s.session, Full: !s.synced, Remove: l.removedRuns,
-		Same: s.synced && !l.expiriesChanged, Stamp: s.stamp,
+		ExpiriesUnchanged: s.synced && !l.expiriesChanged, Stamp: s.stamp,
 	}
-	if !msg.Same {
-		msg.Lapses = l.expiries.updates(l.keepers, l.closed)
+	if !msg.ExpiriesUnchanged {
+		msg.LeaseExpiries = l.expiries.updates(l.keepers, l.closed)
 	}
 	if msg.Full {
 		msg.Add, msg.Remove = l.allRuns(), nil
@@ -268,7 +268,7 @@
 			}
 		}
 	}
-	for _, x := range msg.Lapses {
+	for _, x := range msg.LeaseExpiries {
 		l.standbyExpiries[x.Worker] = true
 	}
 	starts := l.queuedOrders
@@ -281,7 +281,7 @@
 	defer cancel()
 	var ack proto.MirrorAck
 	sent := time.Now()
-	err := l.node.Peers.Ask(ctx, s.name, proto.KindMirror, msg, &ack)
+	err := l.node.Peers.Request(ctx, s.name, proto.KindMirror, msg, &ack)
 	took := time.Since(sent)
 	l.post(func() {
 		l.mirrorPending, l.mirrorRoundTrip = false, took
@@ -300,10 +300,10 @@
 			s.synced = true
 			duty.Signal(l.standbyCh)
 		}
-		if !msg.Same {
-			l.ackedExpiries = make(map[string]bool, len(msg.Lapses))
+		if !msg.ExpiriesUnchanged {
+			l.ackedExpiries = make(map[string]bool, len(msg.LeaseExpiries))
 		}
-		for _, x := range msg.Lapses {
+		for _, x := range msg.LeaseExpiries {
 			l.ackedExpiries[x.Worker] = true
 		}
 		l.mirroredOrders = append(l.mirroredOrders, starts...)
@@ -338,7 +338,7 @@
 			done, err := l.recordStandby(ctx)
 			if err != nil {
 				l.node.Log.Info("recording the standby failed; retrying", zap.Error(err))
-				duty.Pause(ctx, retryDelay/3)
+				duty.Sleep(ctx, retryDelay/3)
 			}
 			if done {
 				break
--- a/region/node.go
+++ b/region/node.go
@@ -73,7 +73,7 @@
 	Share   int
 	Timing  Timing
 	Table   winch.Table
-	Runner  winch.Runner
+	Runner  winch.WorkerClient
 	Advisor winch.Advisor
 	Codec   winch.Codec
 	Peers   winch.Peers
@@ -105,7 +105,7 @@
 func (n *Node) Prepare() {
 	n.started = time.Now()
 	n.changed = make(chan struct{}, 1)
-	n.keeper = &keep.Keeper{Runner: n.Runner, Log: n.Log, Metrics: n.Metrics, Lease: min(n.Timing.Lease, maxLease), Command: n.command}
+	n.keeper = &keep.Keeper{Client: n.Runner, Log: n.Log, Metrics: n.Metrics, Lease: min(n.Timing.Lease, maxLease), FetchCommand: n.command}
 	n.keeper.Prepare()
 	n.accept.prepare(n)
 	n.settings.prepare(n)
--- a/region/office.go
+++ b/region/office.go
@@ -35,7 +35,7 @@
 	for ctx.Err() == nil {
 		n.endStaleOffice(ctx)
 		if n.mayTake() {
-			duty.Pause(ctx, n.electionDelay())
+			duty.Sleep(ctx, n.electionDelay())
 			if n.mayTake() {
 				n.tryOffice(ctx)
 			}
@@ -114,9 +114,9 @@
 // lost or given up.
 func (n *Node) tryOffice(ctx context.Context) {
 	sent := time.Now()
-	lease, err := n.Table.Lease(ctx, officeTTL)
+	lease, err := n.Table.GrantLease(ctx, officeTTL)
 	if err != nil {
-		duty.Pause(ctx, retryDelay)
+		duty.Sleep(ctx, retryDelay)
 		return
 	}
 	n.cell.mu.Lock()
@@ -165,8 +165,8 @@
 			}
 		}
 	}
-	if err := n.Table.End(ctx, lease); err != nil {
-		duty.Pause(ctx, retryDelay)
+	if err := n.Table.RevokeLease(ctx, lease); err != nil {
+		duty.Sleep(ctx, retryDelay)
 	}
 }
 
--- a/region/prefetch.go
+++ b/region/prefetch.go
@@ -64,7 +64,7 @@
 // advance reads one response of the store, and returns the number of changes in it.
 func (c *prefixCopy) advance(ctx context.Context, table winch.Table, prefix string) (int, error) {
 	if c.revision != 0 {
-		events, at, err := table.Follow(ctx, prefix, c.revision, 0)
+		events, at, err := table.Watch(ctx, prefix, c.revision, 0)
 		if err == nil {
 			c.apply(events, at)
 			return len(events), nil
@@ -98,7 +98,7 @@
 		if n.mirror.active() {
 			p.follow(ctx, n)
 		}
-		duty.Pause(ctx, prefetchCheckInterval)
+		duty.Sleep(ctx, prefetchCheckInterval)
 	}
 }
 
@@ -112,7 +112,7 @@
 		group.Go(func() { p.followPrefix(ctx, n, prefix, into) })
 	}
 	for ctx.Err() == nil && n.mirror.active() {
-		duty.Pause(ctx, prefetchCheckInterval)
+		duty.Sleep(ctx, prefetchCheckInterval)
 	}
 	cancel()
 	group.Wait()
@@ -133,7 +133,7 @@
 			p.mu.Unlock()
 		}
 		if changes < fullBatch {
-			duty.Pause(ctx, jobsPollInterval)
+			duty.Sleep(ctx, jobsPollInterval)
 		}
 	}
 }
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -50,7 +50,7 @@
 		l.proxies[name] = p
 		p.ctx, p.cancel = context.WithCancel(l.ctx)
 	}
-	set := proto.KeepSet{Session: p.session, Authority: l.authority()}
+	set := proto.AssignmentSet{Session: p.session, Authority: l.authority()}
 	for id, keeper := range l.keepers {
 		if keeper == name {
 			kept := l.kept[id]
@@ -58,7 +58,7 @@
 			set.Workers = append(set.Workers, kept)
 		}
 	}
-	p.send(proto.KindKeepSet, set)
+	p.send(proto.KindAssignmentSet, set)
 	if fresh {
 		l.group.Go(p.poll)
 	}
@@ -69,14 +69,14 @@
 	n := p.lead.node
 	if p.local {
 		switch m := body.(type) {
-		case proto.KeepSet:
-			n.keeper.Set(m)
-		case proto.KeepOrders:
-			n.keeper.Orders(m)
+		case proto.AssignmentSet:
+			n.keeper.SetAssignments(m)
+		case proto.KeeperOrders:
+			n.keeper.QueueOrders(m)
 		}
 		return
 	}
-	if n.Peers.Tell(p.name, kind, body) != nil {
+	if n.Peers.Notify(p.name, kind, body) != nil {
 		p.cancel() // A lost message would leave planner and keeper with different views.
 	}
 }
@@ -119,7 +119,7 @@
 func (l *leadership) backOff(name string) {
 	l.keeperBackoff[name] = true
 	l.group.Go(func() {
-		duty.Pause(l.ctx, sessionRetryDelay)
+		duty.Sleep(l.ctx, sessionRetryDelay)
 		l.post(func() {
 			delete(l.keeperBackoff, name)
 			l.reassignSoon()
@@ -128,15 +128,15 @@
 }
 
 // pollOnce sends one poll request to the keeper.
-func (p *proxy) pollOnce(ctx context.Context) (proto.KeepNews, error) {
-	request := proto.KeepPoll{Session: p.session, Authority: p.lead.authority(), Wait: pollWait, Stamp: p.stamp}
+func (p *proxy) pollOnce(ctx context.Context) (proto.KeeperPollResponse, error) {
+	request := proto.KeeperPollRequest{Session: p.session, Authority: p.lead.authority(), Wait: pollWait, Stamp: p.stamp}
 	if p.local {
 		return p.lead.node.keeper.Poll(ctx, request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollWait+pollTimeout)
 	defer cancel()
-	var report proto.KeepNews
-	err := p.lead.node.Peers.Ask(ctx, p.name, proto.KindKeepPoll, request, &report)
+	var report proto.KeeperPollResponse
+	err := p.lead.node.Peers.Request(ctx, p.name, proto.KindKeeperPoll, request, &report)
 	return report, err
 }
 
@@ -159,7 +159,7 @@
 
 // handleEvents handles what a keeper has reported. Reports of an ended session are stale and
 // dropped.
-func (l *leadership) handleEvents(p *proxy, events []proto.KeepEvent) {
+func (l *leadership) handleEvents(p *proxy, events []proto.KeeperEvent) {
 	if l.proxies[p.name] != p {
 		return
 	}
@@ -169,7 +169,7 @@
 			e.Worker = l.byToken[e.Token]
 		}
 		switch e.Kind {
-		case proto.EventKnown:
+		case proto.EventKnownRuns:
 			l.handleKnown(p.name, e)
 			continue
 		case proto.EventReleased:
@@ -202,7 +202,7 @@
 			return
 		case proto.EventLost:
 			l.unassignLost(e.Worker)
-		case proto.EventSilent, proto.EventBack, proto.EventListed:
+		case proto.EventUnresponsive, proto.EventResponsive, proto.EventListed:
 			quiet, _ := l.planner.Unresponsive(e.Worker)
 			changed = changed || quiet || len(l.roster[e.Worker].Earlier) > 0
 		}
@@ -217,7 +217,7 @@
 
 // handleKnown handles what a keeper knew of a worker when this planner's session began. If
 // the roster names the keeper with the same generation, that is all that may run there.
-func (l *leadership) handleKnown(keeper string, e proto.KeepEvent) {
+func (l *leadership) handleKnown(keeper string, e proto.KeeperEvent) {
 	if w := l.previousRoster[e.Worker]; w.Keeper == keeper && w.Generation == e.Turn {
 		l.planner.HandleEvent(e)
 	}
@@ -232,7 +232,7 @@
 }
 
 // recordAssignment records that a worker is assigned to a keeper under a fencing token.
-func (l *leadership) recordAssignment(id, keeper string, kept proto.Kept) {
+func (l *leadership) recordAssignment(id, keeper string, kept proto.Assignment) {
 	delete(l.byToken, l.kept[id].Token)
 	l.keepers[id], l.kept[id], l.byToken[kept.Token] = keeper, kept, id
 }
@@ -264,7 +264,7 @@
 
 // sendOrders sends orders to the keepers of their workers.
 func (l *leadership) sendOrders(orders []proto.Order) {
-	byKeeper := make(map[string]*proto.KeepOrders)
+	byKeeper := make(map[string]*proto.KeeperOrders)
 	for _, o := range orders {
 		name := l.keepers[o.Worker]
 		p := l.proxies[name]
@@ -274,7 +274,7 @@
 		}
 		msg := byKeeper[name]
 		if msg == nil {
-			msg = &proto.KeepOrders{Session: p.session, Origins: make(map[string]string)}
+			msg = &proto.KeeperOrders{Session: p.session, Origins: make(map[string]string)}
 			byKeeper[name] = msg
 		}
 		if o.Kind == proto.OrderStart {
@@ -284,7 +284,7 @@
 		msg.Orders = append(msg.Orders, o)
 	}
 	for name, msg := range byKeeper {
-		l.proxies[name].send(proto.KindKeepOrders, *msg)
+		l.proxies[name].send(proto.KindKeeperOrders, *msg)
 	}
 }
 
@@ -293,7 +293,7 @@
 // effect after those lists and yet be considered never started.
 func (l *leadership) handleUnsent(o proto.Order) {
 	if o.Kind == proto.OrderStart {
-		l.planner.HandleEvent(proto.KeepEvent{
+		l.planner.HandleEvent(proto.KeeperEvent{
 			Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused,
 		})
 	}
@@ -302,14 +302,14 @@
 // openings returns how many requests to the advice service may be made now. There are no more
 // than free lanes, so that each request is based on what is known when a lane takes it.
 func (l *leadership) openings() fleet.RequestQuota {
-	urgent, usual := l.lanes.Openings(time.Now())
+	urgent, usual := l.lanes.Available(time.Now())
 	return fleet.RequestQuota{Urgent: urgent, Normal: usual}
 }
 
 // requestAdvice distributes the planner's requests to the advice service over the lanes.
 func (l *leadership) requestAdvice() {
 	for _, a := range l.planner.AdviceRequests() {
-		l.lanes.Add(lanes.Question[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
+		l.lanes.Add(lanes.Request[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
 	for {
 		name, q, ok := l.lanes.Next(time.Now())
@@ -326,13 +326,13 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(l.ctx, a.Cost+adviceTimeout)
 	defer cancel()
-	request := proto.AdviseAsk{Phase: a.Phase, Workers: a.Workers}
-	var response proto.AdviseGive
+	request := proto.AdviseRequest{Phase: a.Phase, Workers: a.Workers}
+	var response proto.AdviseResponse
 	var err error
 	if lane == l.node.Name {
 		response = l.node.advise(ctx, request)
 	} else {
-		err = l.node.Peers.Ask(ctx, lane, proto.KindAdvise, request, &response)
+		err = l.node.Peers.Request(ctx, lane, proto.KindAdvise, request, &response)
 	}
 	ok := err == nil && response.Failed == ""
 	if !ok {
@@ -359,12 +359,12 @@
 	case proto.OrderStop:
 		l.node.Log.Info("run stop ordered", zap.String("job", o.Task.Job), zap.Int("phase", o.Task.Phase), zap.Int("index", o.Task.Index),
 			zap.Uint64("run", o.Run), zap.String("worker", o.Worker))
-	case proto.OrderPace:
+	case proto.OrderThrottle:
 		l.node.Log.Info("run throttle ordered", zap.String("job", o.Task.Job), zap.Uint64("run", o.Run), zap.String("worker", o.Worker), zap.Int("percent", o.Percent))
 	}
 }
 
-func (l *leadership) logEvent(e proto.KeepEvent) {
+func (l *leadership) logEvent(e proto.KeeperEvent) {
 	switch e.Kind {
 	case proto.EventListed:
 		l.node.Log.Info("worker listed its runs", zap.String("worker", e.Worker), zap.Int("running", len(e.Running)), zap.Int("ended", len(e.Ended)))
--- a/region/record.go
+++ b/region/record.go
@@ -27,7 +27,7 @@
 	// office. A progress record takes a condition and a write; the record of an ended job takes
 	// a write and the removal of all keys of the job or, while runs remain, a write and a
 	// progress record.
-	maxCommitCost  = winch.TxnEntries - 1
+	maxCommitCost  = winch.MaxTxnItems - 1
 	progressCost   = 2
 	completionCost = 5
 	// retentionMargin is added to how long an ended job is known. Callers count from when they
@@ -38,7 +38,7 @@
 	endedReadDelay = 20 * time.Second
 	// sweepBatchSize is how many jobs, of two keys each, one transaction removes, and sweepDelay
 	// the pause between two transactions.
-	sweepBatchSize = (winch.TxnEntries - 1) / 2
+	sweepBatchSize = (winch.MaxTxnItems - 1) / 2
 	sweepDelay     = 50 * time.Millisecond
 )
 
@@ -132,7 +132,7 @@
 	})
 	if err != nil {
 		l.node.Log.Info("job records not written; retrying", zap.Int("count", len(batch)), zap.Error(err))
-		duty.Pause(ctx, retryDelay/3)
+		duty.Sleep(ctx, retryDelay/3)
 	}
 	return err == nil
 }
@@ -141,7 +141,7 @@
 func (l *leadership) runSweep(ctx context.Context) {
 	old := l.readEnded(ctx)
 	for ctx.Err() == nil {
-		duty.Pause(ctx, sweepInterval)
+		duty.Sleep(ctx, sweepInterval)
 		before := time.Now().Add(-l.node.Timing.Keep - retentionMargin)
 		var ids []string
 		if l.duty.Do(ctx, func() { ids = l.planner.ExpiredJobs(before) }) != nil {
@@ -155,7 +155,7 @@
 		}
 		for batch := range slices.Chunk(ids, sweepBatchSize) {
 			l.sweep(ctx, batch)
-			duty.Pause(ctx, sweepDelay)
+			duty.Sleep(ctx, sweepDelay)
 		}
 		l.sweepOrphans(ctx)
 	}
@@ -166,7 +166,7 @@
 func (l *leadership) readEnded(ctx context.Context) map[string]time.Time {
 	old := make(map[string]time.Time)
 	for ctx.Err() == nil {
-		duty.Pause(ctx, endedReadDelay)
+		duty.Sleep(ctx, endedReadDelay)
 		values, _, err := l.node.Table.Read(ctx, prefixEnded)
 		if err != nil {
 			l.node.Log.Info("records of ended jobs not read; retrying", zap.Error(err))
@@ -244,7 +244,7 @@
 		}
 		if err := l.writeRoster(ctx, wanted); err != nil {
 			l.node.Log.Info("roster not written; retrying", zap.Error(err))
-			duty.Pause(ctx, retryDelay)
+			duty.Sleep(ctx, retryDelay)
 			duty.Signal(l.rosterCh)
 			continue
 		}
--- a/region/report.go
+++ b/region/report.go
@@ -16,17 +16,17 @@
 // runWaiting periodically sends all entries the number of jobs that have not begun.
 func (l *leadership) runWaiting(ctx context.Context) {
 	for ctx.Err() == nil {
-		var msg proto.Waiting
+		var msg proto.WaitingJobs
 		if l.duty.Do(ctx, func() {
-			msg = proto.Waiting{Term: l.term, Queues: l.planner.Waiting(), Settings: l.node.settings.version()}
+			msg = proto.WaitingJobs{Term: l.term, Queues: l.planner.Waiting(), Settings: l.node.settings.version()}
 		}) == nil && l.validity.Load().remaining() > 0 {
 			l.node.updateWaiting(msg)
 			for _, name := range l.node.Peers.Names() {
 				// A peer that gets no message reports the number as unknown.
-				_ = l.node.Peers.Tell(name, proto.KindWaiting, msg)
+				_ = l.node.Peers.Notify(name, proto.KindWaitingJobs, msg)
 			}
 		}
-		duty.Pause(ctx, waitingInterval)
+		duty.Sleep(ctx, waitingInterval)
 	}
 }
 
@@ -58,7 +58,7 @@
 			zap.Any("waiting", load.Waiting), zap.Int("capped", load.Capped),
 			zap.Int64("filling", load.Filling), zap.Int("asks", asks),
 			zap.Any("bytes", l.node.linkBytes()))
-		duty.Pause(ctx, loadInterval)
+		duty.Sleep(ctx, loadInterval)
 	}
 }
 
--- a/region/serve.go
+++ b/region/serve.go
@@ -43,20 +43,20 @@
 	case s.job == nil:
 		return "", winch.Refuse(winch.UnknownJob, "no such submission")
 	}
-	n.notifyPlanner(proto.KindAccepted, proto.Accepted{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
+	n.notifyPlanner(proto.KindAcceptedJobs, proto.AcceptedJobs{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
 	return s.state(), winch.Result{}
 }
 
 // requestState asks the planner for a job's state.
-func (n *Node) requestState(ctx context.Context, id string) proto.StateGive {
+func (n *Node) requestState(ctx context.Context, id string) proto.StateResponse {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	if l := n.lead.Load(); l != nil {
 		return l.state(ctx, id)
 	}
-	var response proto.StateGive
-	if err := n.Peers.Ask(ctx, n.cell.holder(), proto.KindState, proto.StateAsk{ID: id}, &response); err != nil {
-		return proto.StateGive{}
+	var response proto.StateResponse
+	if err := n.Peers.Request(ctx, n.cell.holder(), proto.KindState, proto.StateRequest{ID: id}, &response); err != nil {
+		return proto.StateResponse{}
 	}
 	return response
 }
@@ -148,47 +148,47 @@
 // harm, since the planner also watches the store.
 func (n *Node) notifyPlanner(kind winch.Kind, body any) {
 	if !n.handToLead(body) {
-		_ = n.Peers.Tell(n.cell.holder(), kind, body)
+		_ = n.Peers.Notify(n.cell.holder(), kind, body)
 	}
 }
 
 // Handle handles a message from another entry and returns the response, if there is one.
 func (n *Node) Handle(ctx context.Context, from string, kind winch.Kind, read func(into any) error) any {
 	switch kind {
-	case proto.KindKeepSet:
-		return handleMessage(read, func(m proto.KeepSet) any { n.keeper.Set(m); return nil })
-	case proto.KindKeepOrders:
-		return handleMessage(read, func(m proto.KeepOrders) any { n.keeper.Orders(m); return nil })
-	case proto.KindKeepPoll:
-		return handleMessage(read, func(m proto.KeepPoll) any { return n.keeper.Poll(ctx, m) })
+	case proto.KindAssignmentSet:
+		return handleMessage(read, func(m proto.AssignmentSet) any { n.keeper.SetAssignments(m); return nil })
+	case proto.KindKeeperOrders:
+		return handleMessage(read, func(m proto.KeeperOrders) any { n.keeper.QueueOrders(m); return nil })
+	case proto.KindKeeperPoll:
+		return handleMessage(read, func(m proto.KeeperPollRequest) any { return n.keeper.Poll(ctx, m) })
 	case proto.KindCommand:
-		return handleMessage(read, func(m proto.CommandAsk) any { return n.commandResponse(m) })
+		return handleMessage(read, func(m proto.CommandRequest) any { return n.commandResponse(m) })
 	case proto.KindTerm:
-		return handleMessage(read, func(m proto.TermAsk) any { return n.answerTerm(m) })
+		return handleMessage(read, func(m proto.TermRequest) any { return n.answerTerm(m) })
 	case proto.KindMirror:
 		return handleMessage(read, func(m proto.Mirror) any { return n.mirror.answer(m) })
 	case proto.KindAdvise:
-		return handleMessage(read, func(m proto.AdviseAsk) any { return n.advise(ctx, m) })
+		return handleMessage(read, func(m proto.AdviseRequest) any { return n.advise(ctx, m) })
 	case proto.KindSettings:
 		return handleMessage(read, func(m proto.Settings) any { n.settings.noteVersion(from, m.Version); return nil })
-	case proto.KindSettingAsk:
-		return handleMessage(read, func(m proto.SettingsAsk) any { return n.settings.respond(m) })
-	case proto.KindWaiting:
-		return handleMessage(read, func(m proto.Waiting) any {
+	case proto.KindSettingsRequest:
+		return handleMessage(read, func(m proto.SettingsRequest) any { return n.settings.respond(m) })
+	case proto.KindWaitingJobs:
+		return handleMessage(read, func(m proto.WaitingJobs) any {
 			n.settings.noteVersion(from, m.Settings)
 			n.updateWaiting(m)
 			return nil
 		})
-	case proto.KindAccepted:
-		return handleMessage(read, func(m proto.Accepted) any { n.handToLead(m); return nil })
+	case proto.KindAcceptedJobs:
+		return handleMessage(read, func(m proto.AcceptedJobs) any { n.handToLead(m); return nil })
 	case proto.KindCancel:
 		return handleMessage(read, func(m proto.CancelJob) any { n.handToLead(m); return nil })
 	case proto.KindState:
-		return handleMessage(read, func(m proto.StateAsk) any {
+		return handleMessage(read, func(m proto.StateRequest) any {
 			if l := n.lead.Load(); l != nil {
 				return l.state(ctx, m.ID)
 			}
-			return proto.StateGive{}
+			return proto.StateResponse{}
 		})
 	}
 	n.Log.Error("received a message of unknown kind", zap.String("from", from), zap.String("kind", string(kind)))
@@ -216,7 +216,7 @@
 
 // updateWaiting stores the planner's report of waiting jobs, unless a planner of a later term has
 // sent one.
-func (n *Node) updateWaiting(m proto.Waiting) {
+func (n *Node) updateWaiting(m proto.WaitingJobs) {
 	if v := n.waiting.Load(); v != nil && v.term > m.Term {
 		return
 	}
@@ -224,10 +224,10 @@
 }
 
 // advise calls the advice service in this entry's lane.
-func (n *Node) advise(ctx context.Context, request proto.AdviseAsk) proto.AdviseGive {
+func (n *Node) advise(ctx context.Context, request proto.AdviseRequest) proto.AdviseResponse {
 	tickets, valid, err := n.Advisor.Advise(ctx, request.Phase, request.Workers)
 	if err != nil {
-		return proto.AdviseGive{Failed: err.Error()}
+		return proto.AdviseResponse{Failed: err.Error()}
 	}
-	return proto.AdviseGive{Tickets: tickets, Valid: valid}
+	return proto.AdviseResponse{Tickets: tickets, Valid: valid}
 }
--- a/region/settings.go
+++ b/region/settings.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settingsTimeout)
 	defer cancel()
 	var response proto.Settings
-	if s.node.Peers.Ask(ctx, name, proto.KindSettingAsk, proto.SettingsAsk{Have: s.version()}, &response) == nil && len(response.Data) > 0 {
+	if s.node.Peers.Request(ctx, name, proto.KindSettingsRequest, proto.SettingsRequest{Have: s.version()}, &response) == nil && len(response.Data) > 0 {
 		s.apply(s.node.Codec.ConfigKey(), response.Data, name)
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 // respond answers a peer's request with the configuration, if it is newer than the peer's.
-func (s *settings) respond(request proto.SettingsAsk) proto.Settings {
+func (s *settings) respond(request proto.SettingsRequest) proto.Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.config.Load()
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -147,7 +147,7 @@
 	return out, asOf, err
 }
 
-func (t *simTable) Follow(ctx context.Context, prefix string, after uint64, wait time.Duration) (out []winch.Event, next uint64, err error) {
+func (t *simTable) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (out []winch.Event, next uint64, err error) {
 	begin := time.Now()
 	for {
 		err = t.call(ctx, func() {
@@ -196,7 +196,7 @@
 		}
 		for _, x := range txn.Writes {
 			if x.Lease != 0 && t.store.leases[x.Lease] == nil {
-				result = winch.ErrMissing
+				result = winch.ErrNotFound
 				return
 			}
 		}
@@ -225,7 +225,7 @@
 	return revision, errors.Join(err, result)
 }
 
-func (t *simTable) Lease(ctx context.Context, ttl time.Duration) (id uint64, err error) {
+func (t *simTable) GrantLease(ctx context.Context, ttl time.Duration) (id uint64, err error) {
 	err = t.call(ctx, func() {
 		t.store.revision++
 		id = t.store.revision
@@ -234,12 +234,12 @@
 	return id, err
 }
 
-func (t *simTable) Keep(ctx context.Context, id uint64) error {
+func (t *simTable) RenewLease(ctx context.Context, id uint64) error {
 	var result error
 	err := t.call(ctx, func() {
 		l := t.store.leases[id]
 		if l == nil {
-			result = winch.ErrMissing
+			result = winch.ErrNotFound
 			return
 		}
 		l.until = time.Now().Add(l.ttl)
@@ -247,6 +247,6 @@
 	return errors.Join(err, result)
 }
 
-func (t *simTable) End(ctx context.Context, id uint64) error {
+func (t *simTable) RevokeLease(ctx context.Context, id uint64) error {
 	return t.call(ctx, func() { t.store.endLease(id) })
 }
--- a/region/simworker_test.go
+++ b/region/simworker_test.go
@@ -21,7 +21,7 @@
 	leaseUntil   time.Duration // leaseUntil is when the lease expires, on the worker's clock.
 	runs         map[runKey]*simRun
 	highestRun   map[winch.RunID]uint64 // highestRun is the highest run that has ended or was stopped, by task.
-	ended        []winch.Ended          // ended holds the completions that no entry has acknowledged.
+	ended        []winch.Completion     // ended holds the completions that no entry has acknowledged.
 	lastEnded    uint64                 // lastEnded is the number of the last completion.
 	usedMilli    int64                  // usedMilli is what the runs take of Room.Milli.
 	unresponsive bool                   // unresponsive makes calls time out without being carried out.
@@ -81,7 +81,7 @@
 func simVM(id, address, domain string) winch.WorkerVM {
 	return winch.WorkerVM{
 		ID: id, Address: address, Service: "render", Domain: domain, Rack: "r" + domain,
-		Room: winch.Room{Milli: 4000, Memory: 1 << 40},
+		Room: winch.Capacity{Milli: 4000, Memory: 1 << 40},
 	}
 }
 
@@ -150,12 +150,12 @@
 			case r.gang != nil:
 				r.gang.endDueRun(w, x, key, r, expired, now)
 			case expired:
-				x.endRun(w, key, winch.EndLapsed)
+				x.endRun(w, key, winch.CompletionLeaseExpired)
 			case r.end.IsZero():
 			case now.After(r.end) && r.fails:
-				x.endRun(w, key, winch.EndFailed)
+				x.endRun(w, key, winch.CompletionFailed)
 			case now.After(r.end):
-				x.endRun(w, key, winch.EndDone)
+				x.endRun(w, key, winch.CompletionDone)
 			}
 		}
 		x.mu.Unlock()
@@ -164,7 +164,7 @@
 }
 
 // endRun ends a run and adds its completion to the list that entries read. Both locks are held.
-func (x *simWorker) endRun(w *world, key runKey, kind winch.EndKind) {
+func (x *simWorker) endRun(w *world, key runKey, kind winch.CompletionKind) {
 	r := x.runs[key]
 	delete(x.runs, key)
 	x.usedMilli -= r.milli
@@ -172,17 +172,17 @@
 	// Only the actual end counts: a run at an unresponsive worker goes on until its lease expires.
 	w.running[key.task]--
 	w.lasting.runEnded(key.task)
-	if r.gang != nil && kind != winch.EndDone {
+	if r.gang != nil && kind != winch.CompletionDone {
 		r.gang.broken = true
 	}
-	if kind == winch.EndDone {
+	if kind == winch.CompletionDone {
 		w.completed[key.task] = append(w.completed[key.task], &completedRun{run: key.run, worker: x, leaseExpiries: x.leaseExpiries})
 	}
-	if kind == winch.EndFailed {
+	if kind == winch.CompletionFailed {
 		w.failed[key.task]++
 	}
 	x.lastEnded++
-	x.ended = append(x.ended, winch.Ended{Number: x.lastEnded, Task: key.task, Run: key.run, Kind: kind})
+	x.ended = append(x.ended, winch.Completion{Number: x.lastEnded, Task: key.task, Run: key.run, Kind: kind})
 }
 
 // simRunner carries the calls of one entry to the workers.
@@ -235,7 +235,7 @@
 	return nil
 }
 
-func (r *simRunner) Hold(ctx context.Context, vm winch.WorkerVM, c winch.HoldCall) (out winch.Holding, err error) {
+func (r *simRunner) Hold(ctx context.Context, vm winch.WorkerVM, c winch.HoldRequest) (out winch.HoldResponse, err error) {
 	begin := time.Now()
 	for {
 		err = r.call(ctx, vm, func(x *simWorker) error {
@@ -244,15 +244,15 @@
 			}
 			x.updateLease()
 			x.leaseUntil = max(x.leaseUntil, c.Until)
-			x.ended = slices.DeleteFunc(x.ended, func(e winch.Ended) bool {
-				if e.Number <= c.Forget && e.Kind == winch.EndDone {
+			x.ended = slices.DeleteFunc(x.ended, func(e winch.Completion) bool {
+				if e.Number <= c.Forget && e.Kind == winch.CompletionDone {
 					x.checkAcknowledged(r.world, e.Task, e.Run)
 					r.world.acknowledged[e.Task] = r.world.acknowledged[e.Task] || x.heldLeaseSince(r.world, e.Task, e.Run)
 					r.world.log.note("completion of %v of %s at %s is acknowledged by %s", e.Task, e.Task.Job, x.vm.ID, r.node.Name)
 				}
 				return e.Number <= c.Forget
 			})
-			out = winch.Holding{Clock: x.clock(), Ended: slices.Clone(x.ended)}
+			out = winch.HoldResponse{Clock: x.clock(), Ended: slices.Clone(x.ended)}
 			for key := range x.runs {
 				out.Running = append(out.Running, winch.Running{Task: key.task, Run: key.run, Percent: 100, Load: x.load(key)})
 			}
@@ -265,7 +265,7 @@
 	}
 }
 
-func (r *simRunner) Start(ctx context.Context, vm winch.WorkerVM, c winch.StartCall) (winch.StartResult, time.Duration) {
+func (r *simRunner) Start(ctx context.Context, vm winch.WorkerVM, c winch.StartRequest) (winch.StartResult, time.Duration) {
 	result := winch.StartOK
 	err := r.call(ctx, vm, func(x *simWorker) error {
 		key := runKey{c.Task, c.Run}
@@ -276,7 +276,7 @@
 			result = winch.StartLate
 		case x.runs[key] != nil:
 		case c.Run <= x.highestRun[c.Task]:
-			result = winch.StartOld
+			result = winch.StartOutdated
 		default:
 			x.leaseUntil = max(x.leaseUntil, c.Until)
 			x.startRun(r.world, key, c)
@@ -318,7 +318,7 @@
 
 // startRun starts a run. It checks that the task does not already run, that its completion has not
 // been acknowledged, and that the worker has the capacity.
-func (x *simWorker) startRun(w *world, key runKey, c winch.StartCall) {
+func (x *simWorker) startRun(w *world, key runKey, c winch.StartRequest) {
 	for _, d := range w.completed[c.Task] {
 		d.restarted = true
 	}
@@ -394,14 +394,14 @@
 func (g *simGang) endDueRun(w *world, x *simWorker, key runKey, r *simRun, expired bool, now time.Time) {
 	switch {
 	case expired:
-		x.endRun(w, key, winch.EndLapsed)
+		x.endRun(w, key, winch.CompletionLeaseExpired)
 	case g.broken:
-		x.endRun(w, key, winch.EndBroken)
+		x.endRun(w, key, winch.CompletionGangBroken)
 	case g.end.IsZero() && now.After(r.end):
-		x.endRun(w, key, winch.EndAlone)
+		x.endRun(w, key, winch.CompletionGangIncomplete)
 		w.downtimeChecks.gangTimedOut(w, key)
 	case !g.end.IsZero() && now.After(g.end):
-		x.endRun(w, key, winch.EndDone)
+		x.endRun(w, key, winch.CompletionDone)
 	}
 }
 
@@ -412,13 +412,13 @@
 		}
 		x.highestRun[task] = max(x.highestRun[task], run)
 		if x.runs[runKey{task, run}] != nil {
-			x.endRun(r.world, runKey{task, run}, winch.EndStopped)
+			x.endRun(r.world, runKey{task, run}, winch.CompletionStopped)
 		}
 		return nil
 	})
 }
 
-func (r *simRunner) Pace(ctx context.Context, vm winch.WorkerVM, token uint64, _ winch.RunID, _ uint64, _ int) error {
+func (r *simRunner) Throttle(ctx context.Context, vm winch.WorkerVM, token uint64, _ winch.RunID, _ uint64, _ int) error {
 	return r.call(ctx, vm, func(x *simWorker) error { return x.fence(token) })
 }
 
@@ -440,4 +440,4 @@
 // servingTarget is the tail response time that lasting tasks must stay below in spite of filling tasks.
 const servingTarget = 200 * time.Millisecond
 
-func (r *simRunner) Drop(winch.WorkerVM) {}
+func (r *simRunner) Disconnect(winch.WorkerVM) {}
--- a/region/staleinfo_test.go
+++ b/region/staleinfo_test.go
@@ -208,7 +208,7 @@
 	planner := p.node.Name
 	polls := 0
 	w.setRequestLoss(func(from, to string, kind winch.Kind) bool {
-		if from != planner || to != name || kind != proto.KindKeepPoll {
+		if from != planner || to != name || kind != proto.KindKeeperPoll {
 			return false
 		}
 		polls++
@@ -377,7 +377,7 @@
 		planner, polls := p.node.Name, 0
 		w.mu.Lock()
 		w.requestDelay = func(from, to string, kind winch.Kind) time.Duration {
-			if from != planner || to != name || kind != proto.KindKeepPoll {
+			if from != planner || to != name || kind != proto.KindKeeperPoll {
 				return 0
 			}
 			if polls++; polls > 1 {
--- a/region/stall.go
+++ b/region/stall.go
@@ -108,7 +108,7 @@
 		}
 		monitor.report(snapshot, l.validity.Load().remaining())
 		l.node.updateStallGauges(snapshot)
-		duty.Pause(ctx, stallCheckInterval)
+		duty.Sleep(ctx, stallCheckInterval)
 	}
 }
 
--- a/region/takeover.go
+++ b/region/takeover.go
@@ -20,7 +20,7 @@
 			return true
 		}
 		l.node.Log.Info("reading the region's records failed; retrying", zap.Error(err))
-		duty.Pause(ctx, retryDelay)
+		duty.Sleep(ctx, retryDelay)
 	}
 	return false
 }
@@ -109,7 +109,7 @@
 // one whose lease the store has ended may believe for a whole lease more that it holds the office,
 // unless its process is known to have ended.
 func (l *leadership) runFresh(ctx context.Context) {
-	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Pause(ctx, processEndPollInterval) {
+	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Sleep(ctx, processEndPollInterval) {
 		if _, ended := l.node.cell.endedBy(l.lastHolder); ended && l.lastHolder != "" {
 			break
 		}
@@ -123,7 +123,7 @@
 			})
 			return
 		}
-		duty.Pause(ctx, retryDelay)
+		duty.Sleep(ctx, retryDelay)
 	}
 }
 
@@ -140,7 +140,7 @@
 			w.Settled, w.Runs = true, l.copiedRuns[id]
 		}
 		if w.Settled {
-			l.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventKnown, Worker: id, Running: w.Runs})
+			l.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventKnownRuns, Worker: id, Running: w.Runs})
 		}
 	}
 }
--- a/region/termbound.go
+++ b/region/termbound.go
@@ -117,8 +117,8 @@
 func (l *leadership) requestTerm(name string, term uint64) {
 	ctx, cancel := context.WithTimeout(l.ctx, termRequestTimeout)
 	defer cancel()
-	var resp proto.TermGive
-	if err := l.node.Peers.Ask(ctx, name, proto.KindTerm, proto.TermAsk{Term: term}, &resp); err != nil {
+	var resp proto.TermResponse
+	if err := l.node.Peers.Request(ctx, name, proto.KindTerm, proto.TermRequest{Term: term}, &resp); err != nil {
 		l.node.Log.Info("entry did not respond to the term request", zap.String("entry", name),
 			zap.Uint64("term", term), zap.Error(err))
 		return
@@ -145,12 +145,12 @@
 }
 
 // answerTerm returns for how long this entry has known that a term began.
-func (n *Node) answerTerm(req proto.TermAsk) proto.TermGive {
+func (n *Node) answerTerm(req proto.TermRequest) proto.TermResponse {
 	at, seen := n.cell.termSeen(req.Term)
 	if !seen {
-		return proto.TermGive{}
+		return proto.TermResponse{}
 	}
-	return proto.TermGive{Known: true, Age: time.Since(at)}
+	return proto.TermResponse{Known: true, Age: time.Since(at)}
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -376,7 +376,7 @@
 	w.dropsRequest = drops
 }
 
-func (p *simPeers) Ask(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
+func (p *simPeers) Request(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
 	data, err := proto.Encode(body)
 	if err != nil {
 		return err
@@ -415,7 +415,7 @@
 	return proto.Decode(data, reply)
 }
 
-func (p *simPeers) Tell(to string, kind winch.Kind, body any) error {
+func (p *simPeers) Notify(to string, kind winch.Kind, body any) error {
 	n := p.target(to)
 	if n == nil {
 		return winch.ErrNoPeer
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -28,7 +28,7 @@
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n := 0; calls.Err() == nil; n++ {
-		duty.Pause(calls, time.Duration(rnd.Int64N(int64(2*crashPause))))
+		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*crashPause))))
 		j := mimic.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x3000, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
 			Take: time.Second, Tasks: []int{1 + rnd.IntN(2)}, Crashes: true,
@@ -55,7 +55,7 @@
 			s.count(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.site.Judge.Crashed(j.ID) })
 			return
 		}
-		duty.Pause(ctx, 200*time.Millisecond)
+		duty.Sleep(ctx, 200*time.Millisecond)
 	}
 	s.problem("%s crashed %d workers and is not given up: last answer %d %q", j.ID, s.site.Judge.Crashed(j.ID), status, state)
 }
@@ -64,7 +64,7 @@
 func (s *Soak) shrinks(ctx, calls context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 5))
 	for {
-		duty.Pause(calls, time.Duration(rnd.Int64N(int64(2*shrinkPause))))
+		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*shrinkPause))))
 		if calls.Err() != nil {
 			return
 		}
@@ -73,7 +73,7 @@
 		s.note("worker %d has room for %d for %v", i, milli, long)
 		s.site.Shrink(i, milli)
 		s.group.Go(func() {
-			duty.Pause(ctx, long)
+			duty.Sleep(ctx, long)
 			s.site.Shrink(i, s.site.Milli)
 		})
 	}
--- a/soak/cut.go
+++ b/soak/cut.go
@@ -98,7 +98,7 @@
 func (s *Soak) cutting(calls context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 4))
 	for {
-		duty.Pause(calls, time.Duration(1000+rnd.IntN(5000))*time.Millisecond)
+		duty.Sleep(calls, time.Duration(1000+rnd.IntN(5000))*time.Millisecond)
 		if calls.Err() != nil {
 			return
 		}
@@ -126,7 +126,7 @@
 			s.site.Judge.Disturb(true)
 			defer s.site.Judge.Disturb(false)
 			s.cut(near, far, out, in, 1)
-			duty.Pause(calls, long)
+			duty.Sleep(calls, long)
 			s.cut(near, far, out, in, -1)
 		})
 	}
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -46,7 +46,7 @@
 			defer s.site.Judge.Disturb(false)
 		}
 		k.do()
-		duty.Pause(ctx, k.time)
+		duty.Sleep(ctx, k.time)
 		k.undo()
 	})
 }
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -42,7 +42,7 @@
 		cancels := rnd.IntN(6) == 0
 		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() { s.job(ctx, c, j, pick, cancels) })
-		duty.Pause(calls, time.Duration(rnd.Int64N(int64(2*gangPause))))
+		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*gangPause))))
 	}
 }
 
@@ -56,5 +56,5 @@
 	for i := range s.Callers {
 		callers.Go(func() { s.gangs(ctx, calls, i, 1) })
 	}
-	duty.Pause(ctx, gangsTime)
+	duty.Sleep(ctx, gangsTime)
 }
--- a/soak/lasting.go
+++ b/soak/lasting.go
@@ -40,10 +40,10 @@
 		}
 		s.site.Judge.Lasts(&j)
 		if last {
-			duty.Pause(planned, s.Time+healTime)
+			duty.Sleep(planned, s.Time+healTime)
 			s.awaitRunning(ctx, &j)
 		} else {
-			duty.Pause(calls, time.Duration(1000+rnd.IntN(9000))*time.Millisecond)
+			duty.Sleep(calls, time.Duration(1000+rnd.IntN(9000))*time.Millisecond)
 		}
 		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() {
@@ -76,7 +76,7 @@
 			s.count(func(r *Report) { r.Lasting += want })
 			return
 		}
-		duty.Pause(ctx, 200*time.Millisecond)
+		duty.Sleep(ctx, 200*time.Millisecond)
 	}
 	s.problem("%s has runs for %d of its %d lasting tasks", j.ID, got, want)
 }
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -30,7 +30,7 @@
 func (s *Soak) workers(ctx, calls context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 2))
 	for {
-		duty.Pause(calls, time.Duration(500+rnd.IntN(3000))*time.Millisecond)
+		duty.Sleep(calls, time.Duration(500+rnd.IntN(3000))*time.Millisecond)
 		if calls.Err() != nil {
 			return
 		}
@@ -63,14 +63,14 @@
 				p.end(syscall.SIGTERM)
 				s.restart(p)
 			})
-			duty.Pause(ctx, stopEvery)
+			duty.Sleep(ctx, stopEvery)
 		}
 	})
 	s.group.Go(func() {
 		for _, i := range at[:len(at)*2/3] {
 			after := leaveIn(rnd)
 			s.group.Go(func() { s.replace(ctx, i, after) })
-			duty.Pause(ctx, replaceEvery)
+			duty.Sleep(ctx, replaceEvery)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 		s.problem("the stand-in has no new worker: %v", err)
 		return
 	}
-	duty.Pause(ctx, after)
+	duty.Sleep(ctx, after)
 	s.note("worker %d leaves", i)
 	leave()
 }
@@ -102,6 +102,6 @@
 		s.problem("the stand-in has no new worker: %v", err)
 		return
 	}
-	duty.Pause(ctx, expireTime)
+	duty.Sleep(ctx, expireTime)
 	expire()
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -81,7 +81,7 @@
 	}
 	defer s.end()
 	s.started = time.Now()
-	duty.Pause(ctx, settleTime)
+	duty.Sleep(ctx, settleTime)
 	calls, stop := context.WithTimeout(ctx, s.Time)
 	defer stop()
 	var callers conc.WaitGroup
@@ -98,11 +98,11 @@
 	s.group.Go(func() { s.cutting(calls) })
 	for calls.Err() == nil {
 		s.fault(calls)
-		duty.Pause(calls, time.Duration(100+s.rnd.IntN(1500))*time.Millisecond)
+		duty.Sleep(calls, time.Duration(100+s.rnd.IntN(1500))*time.Millisecond)
 	}
 	s.planned(ctx)
 	s.group.Wait() // All faults undo themselves.
-	duty.Pause(ctx, settledTime-gangsTime)
+	duty.Sleep(ctx, settledTime-gangsTime)
 	s.quiet(ctx, &callers)
 	over()
 	callers.Wait()
@@ -186,7 +186,7 @@
 		cancels := rnd.IntN(8) == 0
 		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() { s.job(ctx, c, j, pick, cancels) })
-		duty.Pause(calls, time.Duration(rnd.Int64N(int64(2*jobPause))))
+		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*jobPause))))
 	}
 }
 
@@ -223,14 +223,14 @@
 		default:
 			unsure = true
 		}
-		duty.Pause(ctx, 300*time.Millisecond)
+		duty.Sleep(ctx, 300*time.Millisecond)
 	}
 	return false, unsure
 }
 
 // refused checks that a job whose every try was refused never runs.
 func (s *Soak) refused(ctx context.Context, j mimic.Job) {
-	duty.Pause(ctx, cancelTime)
+	duty.Sleep(ctx, cancelTime)
 	if starts, _, _ := s.site.Judge.Seen(j.ID); starts > 0 {
 		s.problem("%s was refused, and ran", j.ID)
 	}
@@ -243,13 +243,13 @@
 		if status := c.Cancel(ctx, at(), j); status == http.StatusOK || status == http.StatusNoContent {
 			s.count(func(r *Report) { r.Cancelled++ })
 			acked := time.Now()
-			duty.Pause(ctx, 2*cancelTime)
+			duty.Sleep(ctx, 2*cancelTime)
 			if _, last, _ := s.site.Judge.Seen(j.ID); last.After(acked.Add(cancelTime)) {
 				s.problem("%s was started %v after its cancel was acknowledged", j.ID, last.Sub(acked))
 			}
 			return
 		}
-		duty.Pause(ctx, 300*time.Millisecond)
+		duty.Sleep(ctx, 300*time.Millisecond)
 	}
 	s.problem("%s could not be cancelled", j.ID)
 }
@@ -277,7 +277,7 @@
 			s.problem("%s is shown as %s without cause", j.ID, state)
 			return
 		}
-		duty.Pause(ctx, 200*time.Millisecond)
+		duty.Sleep(ctx, 200*time.Millisecond)
 	}
 	s.problem("%s never ended: last answer %d %q", j.ID, status, state)
 }
--- a/stand/httpd.go
+++ b/stand/httpd.go
@@ -60,7 +60,7 @@
 	switch {
 	case errors.Is(err, winch.ErrUncertain):
 		panic(http.ErrAbortHandler) // The reply is lost: the connection breaks.
-	case errors.Is(err, winch.ErrMissing):
+	case errors.Is(err, winch.ErrNotFound):
 		out.Code = store.CodeMissing
 	case errors.Is(err, winch.ErrConflict):
 		out.Code = store.CodeConflict
@@ -94,7 +94,7 @@
 	case store.OpVMs:
 		out.VMs, out.Version, err = p.VMs(ctx, in.Version)
 	default:
-		err = winch.ErrMissing
+		err = winch.ErrNotFound
 	}
 	return out, err
 }
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -188,7 +188,7 @@
 	defer p.mu.Unlock()
 	it, ok := p.items[key]
 	if !ok {
-		return winch.Value{}, winch.ErrMissing
+		return winch.Value{}, winch.ErrNotFound
 	}
 	return it.value, nil
 }
@@ -204,7 +204,7 @@
 	}
 	if leaseID != "" && p.leases[leaseID] == nil {
 		p.mu.Unlock()
-		return 0, winch.ErrMissing
+		return 0, winch.ErrNotFound
 	}
 	v := p.record(key, false)
 	p.items[key] = item{value: winch.Value{Key: key, Data: slices.Clone(data), Version: v}, lease: leaseID}
@@ -261,7 +261,7 @@
 	l := p.leases[id]
 	if l == nil {
 		p.mu.Unlock()
-		return winch.ErrMissing
+		return winch.ErrNotFound
 	}
 	l.expires = time.Now().Add(l.ttl)
 	return p.end("Renew")
--- a/stand/wire_test.go
+++ b/stand/wire_test.go
@@ -32,7 +32,7 @@
 	p := &stand.Platform{WatchWait: 50 * time.Millisecond}
 	c := &store.Client{Address: serve(t, p.Handler())}
 	_, err := c.Get(ctx, "k")
-	is.True(errors.Is(err, winch.ErrMissing))
+	is.True(errors.Is(err, winch.ErrNotFound))
 	v, err := c.Put(ctx, "k", []byte("one"), 0, "")
 	is.NoErr(err)
 	_, err = c.Put(ctx, "k", []byte("two"), 0, "")
@@ -71,7 +71,7 @@
 	is.NoErr(err)
 	is.Equal(len(changes), 1)
 	is.True(changes[0].Deleted)
-	is.True(errors.Is(c.Renew(ctx, lease), winch.ErrMissing))
+	is.True(errors.Is(c.Renew(ctx, lease), winch.ErrNotFound))
 }
 
 // The client of the workers tells a start that was refused or fenced from one
--- a/state/ledger/calls.go
+++ b/state/ledger/calls.go
@@ -49,7 +49,7 @@
 	}
 	c, ok := p.Calls[id]
 	if !ok {
-		return c, winch.ErrMissing
+		return c, winch.ErrNotFound
 	}
 	return c, nil
 }
--- a/state/ledger/jobs.go
+++ b/state/ledger/jobs.go
@@ -53,7 +53,7 @@
 	}
 	j, ok := p.Jobs[id]
 	if !ok {
-		return winch.Job{}, winch.ErrMissing
+		return winch.Job{}, winch.ErrNotFound
 	}
 	return j, nil
 }
@@ -98,7 +98,7 @@
 	return l.Commit(ctx, id, func(p *Partition) error {
 		j, ok := p.Jobs[id]
 		if !ok {
-			return winch.ErrMissing
+			return winch.ErrNotFound
 		}
 		if j.State.Final() {
 			return ErrFinal
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -159,7 +159,7 @@
 		_, err = l.Accept(ctx, job(3))
 		is.NoErr(err)
 		_, err = l.Job(ctx, j.ID)
-		is.True(errors.Is(err, winch.ErrMissing))
+		is.True(errors.Is(err, winch.ErrNotFound))
 	})
 }
 
--- a/state/swap/swap.go
+++ b/state/swap/swap.go
@@ -46,7 +46,7 @@
 // Read gets and decodes a value; a key that does not exist gives the zero body.
 func Read[T any](ctx context.Context, store winch.Store, key string) (Value[T], error) {
 	raw, err := store.Get(ctx, key)
-	if errors.Is(err, winch.ErrMissing) {
+	if errors.Is(err, winch.ErrNotFound) {
 		return Value[T]{}, nil
 	}
 	if err != nil {
--- a/trans/exec/exec.go
+++ b/trans/exec/exec.go
@@ -45,7 +45,7 @@
 // Send implements winch.Executor. The transport gets no means to rewind the
 // body: were it to resend a request on a fresh connection by itself, the
 // executor could run it twice and only its own count would show it.
-func (c *Client) Send(ctx context.Context, vm winch.VM, req winch.Request) (*winch.Answer, bool, error) {
+func (c *Client) Send(ctx context.Context, vm winch.VM, req winch.Request) (*winch.Response, bool, error) {
 	var left atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { left.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
@@ -65,5 +65,5 @@
 	if err != nil {
 		return nil, left.Load(), merry.Wrap(err)
 	}
-	return &winch.Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, true, nil
+	return &winch.Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, true, nil
 }
--- a/trans/exec/exec_test.go
+++ b/trans/exec/exec_test.go
@@ -15,7 +15,7 @@
 	"plantainwinch/winch"
 )
 
-func send(c *Client, address, body string) (*winch.Answer, bool, error) {
+func send(c *Client, address, body string) (*winch.Response, bool, error) {
 	req := winch.Request{ID: "r1", Team: "choir", Path: "/x", Header: http.Header{}, Body: strings.NewReader(body), Length: int64(len(body))}
 	return c.Send(context.Background(), winch.VM{Address: address}, req)
 }
--- a/trans/front/phases.go
+++ b/trans/front/phases.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return p, errors.New("Need.Memory is " + err.Error())
 	}
-	p.Need = winch.Room{Milli: int64(milli * b.Need.Processors), Memory: memory, Accelerators: b.Need.Accelerators}
+	p.Need = winch.Capacity{Milli: int64(milli * b.Need.Processors), Memory: memory, Accelerators: b.Need.Accelerators}
 	if p.Estimate, err = duration("Estimate", b.Estimate); err != nil {
 		return p, err
 	}
--- a/trans/peer/peer.go
+++ b/trans/peer/peer.go
@@ -340,8 +340,8 @@
 	}
 }
 
-// Tell implements winch.Peers. A full ring refuses the message.
-func (m *Mesh) Tell(to string, kind winch.Kind, body any) error {
+// Notify implements winch.Peers. A full ring refuses the message.
+func (m *Mesh) Notify(to string, kind winch.Kind, body any) error {
 	l := m.link(to)
 	if l == nil {
 		return winch.ErrNoPeer
@@ -349,8 +349,8 @@
 	return l.put(proto.Frame{Kind: kind, Body: encode(body)})
 }
 
-// Ask implements winch.Peers.
-func (m *Mesh) Ask(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
+// Request implements winch.Peers.
+func (m *Mesh) Request(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
 	l := m.link(to)
 	if l == nil {
 		return winch.ErrNoPeer
--- a/trans/peer/peer_test.go
+++ b/trans/peer/peer_test.go
@@ -90,12 +90,12 @@
 		text := strings.Repeat("x", i)
 		group.Go(func() {
 			var got string
-			is.NoErr(ends[0].Ask(context.Background(), "b", proto.KindConfig, text, &got))
+			is.NoErr(ends[0].Request(context.Background(), "b", proto.KindConfig, text, &got))
 			is.Equal(got, text)
 		})
 	}
 	group.Wait()
-	is.True(errors.Is(ends[0].Ask(context.Background(), "c", proto.KindConfig, "x", new(string)), winch.ErrNoPeer))
+	is.True(errors.Is(ends[0].Request(context.Background(), "c", proto.KindConfig, "x", new(string)), winch.ErrNoPeer))
 }
 
 // The peer answers after its question was given up. The late answer reaches
@@ -115,14 +115,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() {
-		is.True(errors.Is(ends[0].Ask(ctx, "b", proto.KindConfig, "slow", new(string)), context.Canceled))
+		is.True(errors.Is(ends[0].Request(ctx, "b", proto.KindConfig, "slow", new(string)), context.Canceled))
 	})
 	var got string
-	is.NoErr(ends[0].Ask(context.Background(), "b", proto.KindConfig, "one", &got))
+	is.NoErr(ends[0].Request(context.Background(), "b", proto.KindConfig, "one", &got))
 	cancel()
 	group.Wait()
 	close(hold)
-	is.NoErr(ends[0].Ask(context.Background(), "b", proto.KindConfig, "two", &got))
+	is.NoErr(ends[0].Request(context.Background(), "b", proto.KindConfig, "two", &got))
 	is.Equal(got, "two")
 }
 
@@ -135,7 +135,7 @@
 	ends := pair(t, func(ctx context.Context, _ string, kind winch.Kind, decode func(any) error) any {
 		var s string
 		_ = decode(&s)
-		if kind == proto.KindSlotHeld {
+		if kind == proto.KindHeldSlots {
 			first <- s
 			return nil
 		}
@@ -143,12 +143,12 @@
 		<-ctx.Done()
 		return nil
 	}, func(_ int, m *Mesh) {
-		m.First = func(peer string) (winch.Kind, any) { return proto.KindSlotHeld, "hello " + peer }
+		m.First = func(peer string) (winch.Kind, any) { return proto.KindHeldSlots, "hello " + peer }
 	})
 	is.True(<-ends[0].up)
 	var group conc.WaitGroup
 	group.Go(func() {
-		err := ends[0].Ask(context.Background(), "b", proto.KindConfig, "x", new(string))
+		err := ends[0].Request(context.Background(), "b", proto.KindConfig, "x", new(string))
 		is.True(errors.Is(err, winch.ErrPeerLost))
 	})
 	<-asked
@@ -267,13 +267,13 @@
 	t.Cleanup(func() { _ = r.Close() })
 	is.True(<-ends[0].up)
 	var got string
-	is.NoErr(ends[0].Ask(t.Context(), "b", proto.KindConfig, "one", &got))
+	is.NoErr(ends[0].Request(t.Context(), "b", proto.KindConfig, "one", &got))
 	r.hush()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	is.True(errors.Is(ends[0].Ask(ctx, "b", proto.KindConfig, "two", &got), context.DeadlineExceeded))
+	is.True(errors.Is(ends[0].Request(ctx, "b", proto.KindConfig, "two", &got), context.DeadlineExceeded))
 	is.Equal(<-ends[0].up, false)
 	is.Equal(<-ends[0].up, true)
-	is.NoErr(ends[0].Ask(t.Context(), "b", proto.KindConfig, "three", &got))
+	is.NoErr(ends[0].Request(t.Context(), "b", proto.KindConfig, "three", &got))
 	is.Equal(got, "three")
 }
--- a/trans/store/client.go
+++ b/trans/store/client.go
@@ -93,7 +93,7 @@
 	case "":
 		return nil
 	case CodeMissing:
-		return fmt.Errorf("%s: %w", op, winch.ErrMissing)
+		return fmt.Errorf("%s: %w", op, winch.ErrNotFound)
 	case CodeConflict:
 		return fmt.Errorf("%s: %w", op, winch.ErrConflict)
 	default:
--- a/trial/faults.go
+++ b/trial/faults.go
@@ -58,7 +58,7 @@
 type boot struct {
 	vm   winch.WorkerVM
 	down bool
-	used winch.Room
+	used winch.Capacity
 	// shrunk is since when it has less room.
 	shrunk time.Time
 }
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (r *region) need(task winch.RunID) winch.Room {
+func (r *region) need(task winch.RunID) winch.Capacity {
 	return r.jobs[task.Job].job.Phases[task.Phase].Need
 }
 
@@ -155,7 +155,7 @@
 // crash ends a worker's process: its runs are gone, and it is back as another boot.
 func (r *region) crash(b *boot) {
 	id := b.vm.ID
-	b.down, b.used = true, winch.Room{}
+	b.down, b.used = true, winch.Capacity{}
 	for key, run := range r.runs {
 		if run.worker == id {
 			run.over = true
@@ -163,16 +163,16 @@
 		}
 	}
 	r.at(tripTime, func() {
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventSilent, Worker: id})
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: id})
 		r.wake()
 	})
 	r.at(rebootTime, func() {
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventLost, Worker: id, Result: winch.StartOtherBoot})
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: id, Result: winch.StartOtherBoot})
 		b.vm.Born++
 		b.down = false
 		delete(r.ends, id)
 		r.list()
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: id})
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: id})
 		r.wake()
 	})
 }
@@ -189,7 +189,7 @@
 // refused tells the planner that a start has not reached its worker.
 func (r *region) refused(o proto.Order) {
 	r.at(tripTime, func() {
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
 		r.wake()
 	})
 }
@@ -198,7 +198,7 @@
 func (r *region) shrink(b *boot) {
 	b.shrunk = r.now
 	whole := b.vm.Room
-	b.vm.Room = winch.Room{Milli: int64(shrinkPart * float64(whole.Milli)), Memory: winch.Bytes(shrinkPart * float64(whole.Memory)), Accelerators: whole.Accelerators}
+	b.vm.Room = winch.Capacity{Milli: int64(shrinkPart * float64(whole.Milli)), Memory: winch.Bytes(shrinkPart * float64(whole.Memory)), Accelerators: whole.Accelerators}
 	r.list()
 	r.at(shrinkTime, func() {
 		b.vm.Room, b.shrunk = whole, time.Time{}
--- a/trial/pattern.go
+++ b/trial/pattern.go
@@ -36,7 +36,7 @@
 type Service struct {
 	Name    string
 	Workers int
-	Room    winch.Room
+	Room    winch.Capacity
 }
 
 // Stream is jobs of one kind that a team hands in.
@@ -48,7 +48,7 @@
 	// around Width; each task takes about Work, and its estimate is off by Off.
 	Phases int
 	Width  float64
-	Need   winch.Room
+	Need   winch.Capacity
 	// Accelerators are drawn from these, if there are any.
 	Accelerators []int
 	Work         time.Duration
@@ -139,38 +139,38 @@
 		Name: "small", Service: "accelerated", Priority: 2, Attempts: 4, Target: 3 * time.Second, Stretch: 4,
 		Advice: &winch.AdviceCost{Call: 150 * time.Millisecond, Worker: 2200 * time.Microsecond, Valid: 2 * time.Second},
 	}
-	general     = Service{Name: "general", Workers: 35, Room: winch.Room{Milli: 64_000, Memory: 256 * gigabyte}}
-	accelerated = Service{Name: "accelerated", Workers: 13, Room: winch.Room{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}}
+	general     = Service{Name: "general", Workers: 35, Room: winch.Capacity{Milli: 64_000, Memory: 256 * gigabyte}}
+	accelerated = Service{Name: "accelerated", Workers: 13, Room: winch.Capacity{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}}
 	allowed     = map[string]float64{"lookup": 0.7, "batch": 0.45, "gang": 0.3, "small": 0.45}
-	wide        = Service{Name: "general", Workers: 220, Room: winch.Room{Milli: 16_000, Memory: 32 * gigabyte}}
+	wide        = Service{Name: "general", Workers: 220, Room: winch.Capacity{Milli: 16_000, Memory: 32 * gigabyte}}
 	teams       = []winch.RegionTeam{{Name: "north"}, {Name: "south"}}
 )
 
 func lookups(perSecond float64) Stream {
 	return Stream{
 		Queue: "lookup", Team: "north", PerSecond: perSecond, Phases: 1, Width: 6,
-		Need: winch.Room{Milli: 6100, Memory: 12 * gigabyte}, Work: 880 * time.Millisecond, Off: 0.9,
+		Need: winch.Capacity{Milli: 6100, Memory: 12 * gigabyte}, Work: 880 * time.Millisecond, Off: 0.9,
 	}
 }
 
 func batches(perSecond float64) Stream {
 	return Stream{
 		Queue: "batch", Team: "south", PerSecond: perSecond, Phases: 2, Width: 11,
-		Need: winch.Room{Milli: 13_000, Memory: 38 * gigabyte}, Work: 4500 * time.Millisecond, Off: 0.9, Saves: true,
+		Need: winch.Capacity{Milli: 13_000, Memory: 38 * gigabyte}, Work: 4500 * time.Millisecond, Off: 0.9, Saves: true,
 	}
 }
 
 func gangs(perSecond float64) Stream {
 	return Stream{
 		Queue: "gang", Team: "north", PerSecond: perSecond, Width: 1.5, Gang: true, Saves: true,
-		Need: winch.Room{Milli: 62_000, Memory: 120 * gigabyte}, Accelerators: []int{2, 4, 8, 8}, Work: 3600 * time.Millisecond, Off: 0.2,
+		Need: winch.Capacity{Milli: 62_000, Memory: 120 * gigabyte}, Accelerators: []int{2, 4, 8, 8}, Work: 3600 * time.Millisecond, Off: 0.2,
 	}
 }
 
 func smalls(perSecond float64) Stream {
 	return Stream{
 		Queue: "small", Team: "south", PerSecond: perSecond, Width: 8,
-		Need: winch.Room{Milli: 11_000, Memory: 28 * gigabyte, Accelerators: 1}, Work: 2400 * time.Millisecond, Off: 0.2, Saves: true,
+		Need: winch.Capacity{Milli: 11_000, Memory: 28 * gigabyte, Accelerators: 1}, Work: 2400 * time.Millisecond, Off: 0.2, Saves: true,
 	}
 }
 
@@ -178,14 +178,14 @@
 func previews(perSecond float64) Stream {
 	return Stream{
 		Queue: "lookup", Team: "north", PerSecond: perSecond, Phases: 2, Width: 13,
-		Need: winch.Room{Milli: 3500, Memory: 5 * gigabyte}, Work: 640 * time.Millisecond, Off: 0.5,
+		Need: winch.Capacity{Milli: 3500, Memory: 5 * gigabyte}, Work: 640 * time.Millisecond, Off: 0.5,
 	}
 }
 
 func renders(perSecond float64) Stream {
 	return Stream{
 		Queue: "batch", Team: "south", PerSecond: perSecond, Phases: 2, Width: 41,
-		Need: winch.Room{Milli: 4500, Memory: 4600 << 20}, Work: 3800 * time.Millisecond, Off: 0.5, Saves: true,
+		Need: winch.Capacity{Milli: 4500, Memory: 4600 << 20}, Work: 3800 * time.Millisecond, Off: 0.5, Saves: true,
 	}
 }
 
--- a/trial/region.go
+++ b/trial/region.go
@@ -155,7 +155,7 @@
 	r.planner.SetWorkers(list)
 	r.setUpFaults()
 	for _, vm := range list {
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventListed, Worker: vm.ID})
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: vm.ID})
 	}
 	var names []string
 	for i := range r.pattern.Lanes {
@@ -190,7 +190,7 @@
 
 func (r *region) decide() {
 	r.armed = false
-	urgent, usual := r.lanes.Openings(r.now)
+	urgent, usual := r.lanes.Available(r.now)
 	r.planner.Openings = fleet.RequestQuota{Urgent: urgent, Normal: usual}
 	before := r.planner.Counts().Examined
 	r.planner.Schedule()
@@ -204,7 +204,7 @@
 		}
 	}
 	for _, a := range r.planner.AdviceRequests() {
-		r.lanes.Add(lanes.Question[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
+		r.lanes.Add(lanes.Request[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
 	r.ask()
 	if r.planner.HasUnsaved() && !r.record {
@@ -292,7 +292,7 @@
 	}
 	if !job.job.Phases[o.Task.Phase].Gang && r.lost() {
 		r.at(lostTime, func() {
-			r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartUncertain})
+			r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartUncertain})
 			r.wake()
 		})
 		return
@@ -307,13 +307,13 @@
 	r.checkRoom(o)
 	r.crashAfter(job, key, run)
 	r.at(tripTime, func() {
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
 	})
-	r.at(left+tripTime, func() { r.end(key, run, winch.EndDone) })
+	r.at(left+tripTime, func() { r.end(key, run, winch.CompletionDone) })
 }
 
 // end lets a worker list an end, late if the list is lost.
-func (r *region) end(key taskRun, run *active, kind winch.EndKind) {
+func (r *region) end(key taskRun, run *active, kind winch.CompletionKind) {
 	if run.over {
 		return
 	}
@@ -324,13 +324,13 @@
 	if r.lost() {
 		late += unheardTime
 	}
-	if kind == winch.EndStopped && r.jobs[key.task.Job].job.Phases[key.task.Phase].Checkpoints {
+	if kind == winch.CompletionStopped && r.jobs[key.task.Job].job.Phases[key.task.Phase].Checkpoints {
 		r.saved[key.task] = max(0, run.left-r.now.Sub(run.begun))
 		checkpoint = "saved"
 	}
 	r.at(late, func() {
 		r.ends[run.worker]++
-		r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventEnded, Worker: run.worker, Ended: []winch.Ended{
+		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventEnded, Worker: run.worker, Ended: []winch.Completion{
 			{Number: r.ends[run.worker], Task: key.task, Run: key.run, Kind: kind, Checkpoint: checkpoint},
 		}})
 		r.wake()
@@ -340,7 +340,7 @@
 func (r *region) stop(o proto.Order) {
 	key := taskRun{o.Task, o.Run}
 	if run := r.runs[key]; run != nil {
-		r.at(stopTime, func() { r.end(key, run, winch.EndStopped) })
+		r.at(stopTime, func() { r.end(key, run, winch.CompletionStopped) })
 	}
 }
 
@@ -348,7 +348,7 @@
 func (r *region) report() {
 	r.at(reportEvery, func() {
 		running := make(map[string][]winch.Running)
-		used := make(map[string]winch.Room)
+		used := make(map[string]winch.Capacity)
 		for key, run := range r.runs {
 			phase := r.jobs[key.task.Job].job.Phases[key.task.Phase]
 			used[r.service(run.worker).Name] = used[r.service(run.worker).Name].Add(phase.Need)
@@ -360,7 +360,7 @@
 			if r.boots[id].down {
 				continue
 			}
-			r.planner.HandleEvent(proto.KeepEvent{Kind: proto.EventStatus, Worker: id, Running: running[id]})
+			r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStatus, Worker: id, Running: running[id]})
 		}
 		if r.now.Sub(r.begin) <= r.pattern.Length {
 			for _, s := range r.pattern.Services {
@@ -381,7 +381,7 @@
 }
 
 // part is the largest part that is used of a service's processors or accelerators.
-func (s Service) part(used winch.Room) float64 {
+func (s Service) part(used winch.Capacity) float64 {
 	part := float64(used.Milli) / float64(s.Room.Milli*int64(s.Workers))
 	if all := s.Room.Accelerators * s.Workers; all > 0 {
 		part = max(part, float64(used.Accelerators)/float64(all))
--- a/winch/check.go
+++ b/winch/check.go
@@ -5,24 +5,24 @@
 const (
 	// maxTasks bounds the tasks of one job over all its repetitions, so that a single
 	// caller can't exhaust an entry's memory.
-	mostTasks = 100_000
+	maxTasks = 100_000
 	// maxPhases bounds the phases of one job.
-	mostPhases = 1000
+	maxPhases = 1000
 	// maxCommand bounds the size of a command in bytes, because it is stored together with
 	// the phases of its job.
-	mostCommand = 64 << 10
+	maxCommand = 64 << 10
 )
 
 // Check returns an error for the first invalid value of a submitted job.
 func (j *PhasedJob) Check() error {
-	if len(j.Phases) == 0 || len(j.Phases) > mostPhases {
-		return merry.Errorf("give 1 to %d phases", mostPhases)
+	if len(j.Phases) == 0 || len(j.Phases) > maxPhases {
+		return merry.Errorf("give 1 to %d phases", maxPhases)
 	}
-	if len(j.Command) > mostCommand {
-		return merry.Errorf("the command has %d bytes, at most %d are allowed", len(j.Command), mostCommand)
+	if len(j.Command) > maxCommand {
+		return merry.Errorf("the command has %d bytes, at most %d are allowed", len(j.Command), maxCommand)
 	}
-	if j.Times < 0 || j.Times > mostTasks || j.Every < 0 {
-		return merry.Errorf("a job is repeated 0 to %d times, with a pause that is not negative", mostTasks)
+	if j.Times < 0 || j.Times > maxTasks || j.Every < 0 {
+		return merry.Errorf("a job is repeated 0 to %d times, with a pause that is not negative", maxTasks)
 	}
 	total := 0
 	for i := range j.Phases {
@@ -30,16 +30,16 @@
 			return err
 		}
 		total += j.Phases[i].Count * max(1, j.Times)
-		if total > mostTasks {
-			return merry.Errorf("more than %d tasks in all", mostTasks)
+		if total > maxTasks {
+			return merry.Errorf("more than %d tasks in all", maxTasks)
 		}
 	}
 	return nil
 }
 
 func (p *Phase) check(i int) error {
-	if p.Count < 1 || p.Count > mostTasks {
-		return merry.Errorf("phase %d: the count must be from 1 to %d", i, mostTasks)
+	if p.Count < 1 || p.Count > maxTasks {
+		return merry.Errorf("phase %d: the count must be from 1 to %d", i, maxTasks)
 	}
 	need := p.Need
 	if need.Milli < 0 || need.Memory < 0 || need.Accelerators < 0 || p.Estimate < 0 || p.MostPerVM < 0 || p.MayMiss < 0 || p.Target < 0 {
--- a/winch/iface.go
+++ b/winch/iface.go
@@ -11,7 +11,7 @@
 // Errors returned by every Store, possibly wrapped.
 var (
 	// ErrNotFound means that the key or lease does not exist.
-	ErrMissing = errors.New("key does not exist")
+	ErrNotFound = errors.New("key does not exist")
 	// ErrConflict means that the given version is not the current one; nothing was written.
 	ErrConflict = errors.New("version conflict")
 	// ErrUnavailable means that the call is guaranteed to have had no effect.
@@ -108,7 +108,7 @@
 }
 
 // Response is an executor's response whose body is still to be read.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -117,7 +117,7 @@
 // Executor sends one request to one executor. The bool reports whether any byte of the
 // request may have been sent; false guarantees that the request did not run.
 type Executor interface {
-	Send(ctx context.Context, vm VM, req Request) (*Answer, bool, error)
+	Send(ctx context.Context, vm VM, req Request) (*Response, bool, error)
 }
 
 // ErrNoPeer is returned when there is no link to a peer; nothing was sent.
@@ -133,9 +133,9 @@
 // Peers carries messages between entries.
 type Peers interface {
 	// Request sends a request and decodes the response into reply.
-	Ask(ctx context.Context, to string, kind Kind, body, reply any) error
+	Request(ctx context.Context, to string, kind Kind, body, reply any) error
 	// Notify sends a notification, which has no response and may be lost.
-	Tell(to string, kind Kind, body any) error
+	Notify(to string, kind Kind, body any) error
 	// Names returns the entries with an established link.
 	Names() []string
 }
--- a/winch/phase.go
+++ b/winch/phase.go
@@ -4,42 +4,42 @@
 
 // Capacity is an amount of processors, memory and accelerators: the need of a task of a phased
 // job, the size of a worker VM, or the limit on what a team may have running at once.
-type Room struct {
+type Capacity struct {
 	Milli        int64 `cbor:"1,keyasint,omitempty"` // Milli is in thousandths of a processor.
 	Memory       Bytes `cbor:"2,keyasint,omitempty"`
 	Accelerators int   `cbor:"3,keyasint,omitempty"`
 }
 
 // Add returns r plus o.
-func (r Room) Add(o Room) Room {
-	return Room{r.Milli + o.Milli, r.Memory + o.Memory, r.Accelerators + o.Accelerators}
+func (r Capacity) Add(o Capacity) Capacity {
+	return Capacity{r.Milli + o.Milli, r.Memory + o.Memory, r.Accelerators + o.Accelerators}
 }
 
 // Sub returns r minus o.
-func (r Room) Sub(o Room) Room {
-	return Room{r.Milli - o.Milli, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
+func (r Capacity) Sub(o Capacity) Capacity {
+	return Capacity{r.Milli - o.Milli, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
 }
 
 // Times returns r multiplied by n.
-func (r Room) Times(n int) Room {
-	return Room{r.Milli * int64(n), r.Memory * Bytes(n), r.Accelerators * n}
+func (r Capacity) Times(n int) Capacity {
+	return Capacity{r.Milli * int64(n), r.Memory * Bytes(n), r.Accelerators * n}
 }
 
 // Positive returns r with its negative values replaced by zero.
-func (r Room) Positive() Room {
-	return Room{max(0, r.Milli), max(0, r.Memory), max(0, r.Accelerators)}
+func (r Capacity) Positive() Capacity {
+	return Capacity{max(0, r.Milli), max(0, r.Memory), max(0, r.Accelerators)}
 }
 
 // Fits reports whether r is within o in every dimension.
-func (r Room) Fits(o Room) bool {
+func (r Capacity) Fits(o Capacity) bool {
 	return r.Milli <= o.Milli && r.Memory <= o.Memory && r.Accelerators <= o.Accelerators
 }
 
 // Phase is a step of a phased job: Count identical tasks that may start once all tasks of
 // the phases in After have succeeded.
 type Phase struct {
-	Count int  `cbor:"1,keyasint,omitempty"`
-	Need  Room `cbor:"2,keyasint,omitzero"`
+	Count int      `cbor:"1,keyasint,omitempty"`
+	Need  Capacity `cbor:"2,keyasint,omitzero"`
 	// Estimate is the caller's estimate of a task's run time, which is often wrong.
 	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
 	After    []int         `cbor:"4,keyasint,omitempty"`
@@ -69,7 +69,7 @@
 }
 
 // Charge returns the capacity that a task of the phase occupies at a worker VM.
-func (p *Phase) Charge() Room {
+func (p *Phase) Charge() Capacity {
 	need := p.Need
 	if p.Fills {
 		need.Milli = 0
@@ -185,7 +185,7 @@
 	Keys   []string
 	Weight float64
 	// Cap is the limit on what the team may have running; a zero field means no limit.
-	Cap Room
+	Cap Capacity
 }
 
 // RegionConfig is one version of the configuration of a region.
@@ -206,7 +206,7 @@
 	Domain   string
 	Rack     string
 	Labels   []string
-	Room     Room
+	Room     Capacity
 	Draining bool
 	// Born is the start of the boot in Unix milliseconds; it distinguishes boots with the
 	// same ID.
--- a/winch/region.go
+++ b/winch/region.go
@@ -42,7 +42,7 @@
 
 // MaxTxnItems is the maximum total number of items in Expect, Writes and Remove of a
 // transaction.
-const TxnEntries = 32
+const MaxTxnItems = 32
 
 // Event is one change of a watched key.
 type Event struct {
@@ -58,28 +58,28 @@
 	Read(ctx context.Context, prefix string) ([]Value, uint64, error)
 	// Watch waits at most for the duration wait for changes under a prefix after a revision,
 	// and returns them with the revision to continue from.
-	Follow(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error)
+	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error)
 	// Commit applies a transaction and returns its revision.
 	Commit(ctx context.Context, txn Txn) (uint64, error)
 	// GrantLease grants a lease.
-	Lease(ctx context.Context, ttl time.Duration) (uint64, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	// RenewLease renews a lease; ErrNotFound means that it has expired.
-	Keep(ctx context.Context, lease uint64) error
+	RenewLease(ctx context.Context, lease uint64) error
 	// RevokeLease ends a lease and removes its keys.
-	End(ctx context.Context, lease uint64) error
+	RevokeLease(ctx context.Context, lease uint64) error
 }
 
 // CompletionKind is how a run of a task ended at a worker.
-type EndKind string
+type CompletionKind string
 
 // Kinds of completions. Only CompletionFailed counts as an attempt.
 const (
-	EndDone    EndKind = "Done"
-	EndFailed  EndKind = "Failed"
-	EndStopped EndKind = "Stopped"
-	EndLapsed  EndKind = "Lapsed"
-	EndBroken  EndKind = "Broken" // CompletionGangBroken: another member of the gang ended.
-	EndAlone   EndKind = "Alone"  // CompletionGangIncomplete: the gang was not complete in time.
+	CompletionDone           CompletionKind = "Done"
+	CompletionFailed         CompletionKind = "Failed"
+	CompletionStopped        CompletionKind = "Stopped"
+	CompletionLeaseExpired   CompletionKind = "Lapsed"
+	CompletionGangBroken     CompletionKind = "Broken" // CompletionGangBroken: another member of the gang ended.
+	CompletionGangIncomplete CompletionKind = "Alone"  // CompletionGangIncomplete: the gang was not complete in time.
 )
 
 // Running is a run that a worker lists.
@@ -96,24 +96,24 @@
 }
 
 // Completion is the completion of a run. A worker lists it until a hold's Forget covers it.
-type Ended struct {
+type Completion struct {
 	_          struct{} `cbor:",toarray"`
 	Number     uint64
 	Task       RunID
 	Run        uint64
-	Kind       EndKind
+	Kind       CompletionKind
 	Checkpoint string
 }
 
 // HoldResponse is a worker's response to a hold.
-type Holding struct {
+type HoldResponse struct {
 	Clock   time.Duration // Clock is the worker's own monotonic clock.
 	Running []Running
-	Ended   []Ended
+	Ended   []Completion
 }
 
 // HoldRequest renews the lease on everything that runs at a worker.
-type HoldCall struct {
+type HoldRequest struct {
 	Token uint64
 	// Until is the new lease expiry on the worker's clock; zero doesn't change the lease.
 	Until time.Duration
@@ -124,7 +124,7 @@
 }
 
 // StartRequest starts one run of a task.
-type StartCall struct {
+type StartRequest struct {
 	Token      uint64
 	Task       RunID
 	Run        uint64
@@ -143,10 +143,10 @@
 const (
 	StartOK StartResult = iota
 	StartFenced
-	StartOld    // StartOutdated: the run's number is too low for this worker.
-	StartLate   // StartLate: the call arrived after its Until.
-	StartNoRoom // StartNoCapacity: the worker has no free capacity.
-	StartTicket // StartBadTicket: the ticket is invalid or has expired.
+	StartOutdated   // StartOutdated: the run's number is too low for this worker.
+	StartLate       // StartLate: the call arrived after its Until.
+	StartNoCapacity // StartNoCapacity: the worker has no free capacity.
+	StartBadTicket  // StartBadTicket: the ticket is invalid or has expired.
 	StartRefused
 	StartOtherBoot // StartOtherBoot: another boot responded; all runs on the intended boot have ended.
 	StartUncertain // StartUncertain: no response; the run may still begin later.
@@ -162,15 +162,15 @@
 var ErrOtherBoot = errors.New("another boot of the worker answered")
 
 // WorkerClient sends orders to the worker VMs of a region.
-type Runner interface {
-	Hold(ctx context.Context, vm WorkerVM, call HoldCall) (Holding, error)
-	Start(ctx context.Context, vm WorkerVM, call StartCall) (StartResult, time.Duration)
+type WorkerClient interface {
+	Hold(ctx context.Context, vm WorkerVM, call HoldRequest) (HoldResponse, error)
+	Start(ctx context.Context, vm WorkerVM, call StartRequest) (StartResult, time.Duration)
 	// Stop stops a run. After an error other than ErrFenced and ErrOtherBoot the worker may
 	// not have received the call.
 	Stop(ctx context.Context, vm WorkerVM, token uint64, task RunID, run uint64) error
-	Pace(ctx context.Context, vm WorkerVM, token uint64, task RunID, run uint64, percent int) error
+	Throttle(ctx context.Context, vm WorkerVM, token uint64, task RunID, run uint64, percent int) error
 	// Disconnect closes the connections to a boot that is lost.
-	Drop(vm WorkerVM)
+	Disconnect(vm WorkerVM)
 }
 
 // Ticket is the advice service's permission for a worker to run the tasks of a phase.
