--- a/entry/admit.go
+++ b/entry/admit.go
@@ -8,14 +8,14 @@
 	"plantainwinch/winch"
 )
 
-// caller is who makes a request and under what class.
+// caller is the key and team that make a request, and the class of the request.
 type caller struct {
 	key   winch.Key
 	team  winch.Team
 	class winch.Class
 }
 
-// document returns the configuration, or a refusal while there is none.
+// document returns the configuration, or refuses until this entry has received one.
 func (e *Entry) document() (*winch.Document, winch.Result) {
 	doc := e.held.Get()
 	if doc == nil {
@@ -24,9 +24,8 @@
 	return doc, winch.Result{}
 }
 
-// identify finds the team of a presented key. In a domain that reaches neither
-// the store nor another domain a key may have been withdrawn without this entry
-// knowing, so it goes on working for the team's CutOffTrust only.
+// identify returns the key record and the team of a presented key. In a partitioned domain a key may have been
+// withdrawn without this entry knowing, so keys remain valid there for the team's CutOffTrust only.
 func (e *Entry) identify(doc *winch.Document, presented string) (winch.Key, winch.Team, winch.Result) {
 	key, ok := config.FindKey(doc, presented)
 	if !ok || key.Role != winch.KeyTeam {
@@ -36,44 +35,45 @@
 	if !ok {
 		return key, team, winch.Refuse(winch.UnknownKey, "the key's team "+key.Holder+" does not exist")
 	}
-	if off := e.cutOff(); off > 0 && off > team.CutOffTrust {
+	if partitioned := e.cutOff(); partitioned > 0 && partitioned > team.CutOffTrust {
 		return key, team, winch.RefuseFor(winch.StoreUnavailable, "this failure domain is cut off, so that a withdrawal of the key could not be known", time.Second)
 	}
 	return key, team, winch.Result{}
 }
 
-// noteReach notes whether this entry would learn of a withdrawn key: it or a
-// peer reaches the store, or all other domains are within reach, so that there
-// is no other side on which an operator could have withdrawn one.
+// updateKeysCurrent records whether this entry would learn of a withdrawn key now: either it or a peer reaches the
+// store, or it reaches entries of all other domains, so that no operator can have withdrawn a key on the other side of
+// a network partition.
 func (e *Entry) noteReach() {
 	view := e.members.View()
 	domains := map[string]bool{e.Domain(): true}
-	reached := e.alive.within(memberLease)
+	storeReached := e.alive.within(memberLease)
 	for _, p := range view.Peers {
 		domains[p.Beat.Domain] = true
-		reached = reached || p.Beat.Store
+		storeReached = storeReached || p.Beat.Store
 	}
 	for _, vm := range view.VMs {
-		if !reached && !domains[vm.Domain] {
+		if !storeReached && !domains[vm.Domain] {
 			return
 		}
 	}
 	e.reached.confirm(time.Now())
 }
 
-// cutOff returns for how long this entry may have missed a withdrawal.
+// partitionedFor returns for how long this entry may have missed a withdrawn key, zero if it is not partitioned.
 func (e *Entry) cutOff() time.Duration {
-	if off := e.reached.since(); off > cutOffAfter {
-		return off
+	if age := e.reached.since(); age > cutOffAfter {
+		return age
 	}
 	return 0
 }
 
-// cutOffAfter is how long that must last before the domain counts as cut off;
-// shorter silences are ordinary.
+// minPartitionTime is how long an entry must be out of contact before its domain counts as partitioned. Shorter
+// interruptions occur in normal operation.
 const cutOffAfter = 10 * time.Second
 
-// admit checks who calls and whether the class exists.
+// admit returns the caller that a presented key belongs to. It refuses if the class does not exist or the entry is
+// stopping.
 func (e *Entry) admit(presented, class string) (caller, winch.Result) {
 	if e.stopping.Load() {
 		return caller{}, winch.RefuseFor(winch.Stopping, "this entry is stopping; ask again, another one will answer", time.Second)
@@ -95,7 +95,7 @@
 
 func quote(s string) string { return "\"" + s + "\"" }
 
-// approved checks that the service exists and that its owner lets the team call.
+// approved returns a service, provided that it exists and its owner has approved the team.
 func (e *Entry) approved(name string, team winch.Team) (winch.Service, winch.Result) {
 	doc, r := e.document()
 	if !r.OK() {
@@ -111,8 +111,8 @@
 	return service, winch.Result{}
 }
 
-// valid reports whether a key still stands; it is asked again right before work
-// starts, since a request may have waited since it was admitted.
+// keyValid reports whether a key is still in the configuration. It is checked again right before work starts, since the
+// key may have been withdrawn while the request waited.
 func (e *Entry) valid(keyID string) bool {
 	doc := e.held.Get()
 	if doc == nil {
--- a/entry/alive.go
+++ b/entry/alive.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// memberPrefix comes before the names of live entries in the store.
+	// memberPrefix is the key prefix under which the live entries have a record in the store.
 	memberPrefix = "Member/"
-	// memberLease is the lease on an entry's own key.
+	// memberLease is the lease on an entry's member record.
 	memberLease = 10 * time.Second
-	// memberRetry is the pause after a try that failed, as when an entry starts
-	// before the store can be reached.
+	// memberRetryDelay is the delay after a failed renewal, for example when an entry starts before the store can be
+	// reached.
 	memberRetry = 500 * time.Millisecond
-	// reclaimEvery is how often rows of holders that are gone are looked for.
+	// reclaimInterval is the interval at which the planner looks for units of holders that have ended.
 	reclaimEvery = 10 * time.Second
-	// clockMargin covers clocks that run at different rates.
+	// clockMargin allows for clocks that run at different rates.
 	clockMargin = 2 * time.Second
-	storeCall   = 2 * time.Second
+	// storeTimeout bounds one operation on the store.
+	storeCall = 2 * time.Second
 )
 
-// alive tracks when this entry last surely reached the store.
+// contactTime records the time of the last contact.
 type alive struct {
-	last atomic.Pointer[time.Time] // last is when the last confirmed call was sent.
+	last atomic.Pointer[time.Time] // last is when the request of the last contact was sent; nil if there was none.
 }
 
 func (a *alive) confirm(sent time.Time) {
 	a.last.Store(&sent)
 }
 
-// within reports whether the last confirmed call was sent less than d ago.
+// within reports whether the last contact was less than d ago.
 func (a *alive) within(d time.Duration) bool {
 	last := a.last.Load()
 	return last != nil && time.Since(*last) < d
 }
 
-// since returns how long ago the last confirmed call was sent, zero if there was none.
+// age returns how long ago the last contact was, zero if there was none.
 func (a *alive) since() time.Duration {
 	if last := a.last.Load(); last != nil {
 		return time.Since(*last)
@@ -55,33 +56,32 @@
 	return 0
 }
 
-// memberRecord is the value of an entry's own key.
+// memberRecord is the value of an entry's member record in the store.
 type memberRecord struct {
 	Holder  string
 	Address string
 }
 
-// runAlive keeps the entry's own key in the store, by which others know that
-// its units are in use.
+// runMembership keeps the entry's member record in the store; while it exists, nobody reclaims the entry's units.
 func (e *Entry) runAlive(ctx context.Context) {
 	lease := ""
 	for {
 		sent := time.Now()
 		var err error
-		pause := memberRetry
+		delay := memberRetry
 		if lease, err = e.keepMember(ctx, lease); err == nil {
 			e.alive.confirm(sent)
-			pause = memberLease / 3
+			delay = memberLease / 3
 		}
-		if !wait(ctx, pause) {
+		if !wait(ctx, delay) {
 			return
 		}
 	}
 }
 
-// keepMember renews the lease, or takes a new one where it has lapsed. A key
-// left by an earlier process under this name is replaced: that process listened
-// on the same address, so it is gone.
+// renewMember renews the lease of the member record, or writes the record under a new lease if the old one has
+// expired. It replaces a record left by an earlier process of this entry: that process listened on the same address,
+// so it must have ended.
 func (e *Entry) keepMember(ctx context.Context, lease string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeCall)
 	defer cancel()
@@ -109,8 +109,8 @@
 	return lease, nil
 }
 
-// runBalance tells both holders of units what other entries want, and, on the
-// placer, gives the units of holders that are gone back to the pool.
+// runBalance passes the demand of other entries to both holders of units, the entry's own and the office's. On the
+// planner it also returns the units of ended holders to the pool.
 func (e *Entry) runBalance(ctx context.Context) {
 	missing := make(map[string]time.Time)
 	last := time.Now()
@@ -127,22 +127,24 @@
 	}
 }
 
+// reportDemand passes to each holder of units the demand of all others.
 func (e *Entry) tellWants(ctx context.Context) {
-	wants := make(map[string]int)
+	demand := make(map[string]int)
 	for _, p := range e.members.View().Peers {
 		for _, use := range p.Beat.Teams {
-			wants[use.Team] += use.Want
+			demand[use.Team] += use.Want
 		}
 	}
 	own, _ := e.units.Usage(ctx)
 	jobs, _ := e.office.Quota.Usage(ctx)
-	e.units.SetOtherDemand(ctx, addWants(wants, jobs))
-	e.office.Quota.SetOtherDemand(ctx, addWants(wants, own))
+	e.units.SetOtherDemand(ctx, addWants(demand, jobs))
+	e.office.Quota.SetOtherDemand(ctx, addWants(demand, own))
 }
 
-func addWants(wants map[string]int, use map[string][2]int) map[string]int {
-	out := make(map[string]int, len(wants)+len(use))
-	for team, n := range wants {
+// addDemand returns the demand by team, increased by what the teams of one holder want.
+func addWants(demand map[string]int, use map[string][2]int) map[string]int {
+	out := make(map[string]int, len(demand)+len(use))
+	for team, n := range demand {
 		out[team] = n
 	}
 	for team, n := range use {
@@ -151,9 +153,8 @@
 	return out
 }
 
-// reclaim returns the rows of entries whose own key has been missing for longer
-// than they may use their units without the store, and longer than any work
-// started with them can run.
+// reclaim returns units to the pool: those of entries whose member record has been missing for the time that they may
+// use their units without the store plus the longest run time of work started with them.
 func (e *Entry) reclaim(ctx context.Context, missing map[string]time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeCall)
 	defer cancel()
@@ -172,16 +173,18 @@
 			live[strings.TrimPrefix(v.Key, memberPrefix)] = rec.Holder
 		}
 	}
-	gone := e.goneHolders(units.Body, live, missing)
-	if len(gone) == 0 {
+	ended := e.goneHolders(units.Body, live, missing)
+	if len(ended) == 0 {
 		return nil
 	}
-	e.Log.Info("units of gone holders return to the pool", zap.Strings("Holders", gone))
-	return quota.Reclaim(ctx, e.Store, gone)
+	e.Log.Info("reclaiming units of ended holders", zap.Strings("Holders", ended))
+	return quota.Reclaim(ctx, e.Store, ended)
 }
 
+// endedHolders returns the holders whose units can be reclaimed. It keeps in missing since when the member record of a
+// holder has been missing.
 func (e *Entry) goneHolders(u quota.Units, live map[string]string, missing map[string]time.Time) []string {
-	var gone []string
+	var ended []string
 	for holder := range u.Holders() {
 		name, _, isEntry := strings.Cut(holder, "/")
 		if !isEntry || strings.HasPrefix(holder, office.LeasePrefix) || live[name] == holder {
@@ -195,18 +198,18 @@
 		}
 		term := e.Settings.Timing.UnitTerm
 		if _, replaced := live[name]; replaced || e.listedGone(name) {
-			term = 0 // The process surely ended, so only its work in executors may go on.
+			term = 0 // The process is guaranteed to have ended, so only its work at executors may still be running.
 		}
 		if time.Since(since) > term+u.Longest[holder]+clockMargin {
-			gone = append(gone, holder)
+			ended = append(ended, holder)
 			delete(missing, holder)
 		}
 	}
-	return gone
+	return ended
 }
 
-// listedGone reports whether the platform's list has been read and does not
-// name the entry's VM any more. Entries that were never listed do not count.
+// removedFromList reports whether the platform's list has been read, names entries and does not name this one.
+// A list without any entry says nothing about them.
 func (e *Entry) listedGone(name string) bool {
 	view := e.members.View()
 	entries := view.WithRole(winch.RoleEntry)
--- a/entry/background.go
+++ b/entry/background.go
@@ -6,14 +6,13 @@
 	"github.com/sourcegraph/conc"
 )
 
-// backgroundRing bounds the work that waits to be done in the background.
+// backgroundQueueSize is the capacity of the queue of background work.
 const backgroundRing = 4096
 
-// backgroundWorkers is how many pieces of it are done at once.
+// backgroundWorkers is the number of goroutines that run background work.
 const backgroundWorkers = 32
 
-// background does work that outlives the request it came from, such as giving
-// back a unit once the work behind it has surely ended.
+// background runs work that outlives the request that caused it, such as recording the result of a call.
 type background struct {
 	ring chan func(context.Context)
 }
@@ -35,8 +34,8 @@
 	group.Wait()
 }
 
-// do hands work over. With the ring full the caller does it itself: such work
-// gives something back, and dropping it would lose it for good.
+// submit queues work. If the queue is full, it runs the work itself: dropping it would lose, for example, the result of
+// a call.
 func (b *background) do(f func(context.Context)) {
 	select {
 	case b.ring <- f:
--- a/entry/call.go
+++ b/entry/call.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// attemptsMost bounds how often one repeatable request is sent.
+	// maxAttempts bounds how often one repeatable request is sent.
 	attemptsMost = 3
-	// answerKept is the largest answer to a non-repeatable request that the
-	// ledger keeps for a resubmission.
+	// maxStoredResponse is the size of the largest response to a non-repeatable request that the ledger stores
+	// to answer a resubmission.
 	answerKept = 4 << 10
-	// defaultMaxRun stands in where a class has no longest run time.
+	// defaultMaxRunTime applies to classes that set no maximum run time.
 	defaultMaxRun = time.Minute
 )
 
@@ -34,49 +34,50 @@
 	Service   string
 	Class     string
 	RequestID string
-	// Deadline is when the caller wants no answer any more; zero for the class's own.
+	// Deadline is when the caller stops waiting for a response; if it is zero, the class sets the deadline.
 	Deadline time.Time
 	Path     string
 	Header   http.Header
 	Body     io.Reader
-	Length   int64 // Length is -1 if it is not known.
+	Length   int64 // Length is the size of Body in bytes, or -1 if it is unknown.
 }
 
-// Reply is the answer to a Call. With an answer, the caller of Call must read
-// Body to its end and then call Finish.
+// Reply is the outcome of a Call. If it has a Body, the caller of Call must read it to its end and then call
+// Finish.
 type Reply struct {
 	Result winch.Result
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Held says that Body is complete in memory, so that it cannot break off.
+	// Buffered says that Body is complete in memory, so that reading it cannot fail.
 	Held   bool
-	finish func(whole bool)
+	finish func(complete bool)
 }
 
-// Finish ends the use of the answer. Whole says that the body was read to its
-// end; if not, the executor may still be running the request.
-func (r *Reply) Finish(whole bool) {
+// Finish releases what the reply holds. The argument says whether the body was read to its end; if not, the
+// executor may still be running the request.
+func (r *Reply) Finish(complete bool) {
 	if r.finish != nil {
-		r.finish(whole)
+		r.finish(complete)
 		r.finish = nil
 	}
 }
 
-// flight is one call on its way.
+// pendingCall is one call that has not been answered yet.
 type flight struct {
 	entry    *Entry
 	call     Call
 	who      caller
 	deadline time.Time
 	maxRun   time.Duration
-	// body is the request's body if it is small enough to be sent again.
+	// body is the request's body if it is small enough to be buffered; resendable says that it is, or that there
+	// is no body, so that the request can be sent again.
 	body   []byte
 	replay bool
 	tried  []string
 }
 
-// Call serves a caller's request.
+// Call serves a caller's request: it admits the call, acquires a slot and sends the request to an executor.
 func (e *Entry) Call(ctx context.Context, call Call) *Reply {
 	e.running.Add(1)
 	ctx, cancel := context.WithCancel(ctx)
@@ -84,9 +85,9 @@
 	reply := e.serveCall(ctx, call)
 	e.countCall(reply.Result)
 	finish := reply.finish
-	reply.finish = func(whole bool) {
+	reply.finish = func(complete bool) {
 		if finish != nil {
-			finish(whole)
+			finish(complete)
 		}
 		release()
 		cancel()
@@ -106,6 +107,7 @@
 	}
 }
 
+// replyWith returns a reply that has a result and no response.
 func refused(r winch.Result) *Reply { return &Reply{Result: r} }
 
 func (e *Entry) serveCall(ctx context.Context, call Call) *Reply {
@@ -117,74 +119,74 @@
 	if !r.OK() {
 		return refused(r)
 	}
-	f := &flight{entry: e, call: call, who: who}
-	if r := f.check(service); !r.OK() {
+	p := &flight{entry: e, call: call, who: who}
+	if r := p.check(service); !r.OK() {
 		return refused(r)
 	}
-	if r := f.keepBody(); !r.OK() {
+	if r := p.keepBody(); !r.OK() {
 		return refused(r)
 	}
-	if r := e.units.RecordRunTime(ctx, f.maxRun); !r.OK() {
+	if r := e.units.RecordRunTime(ctx, p.maxRun); !r.OK() {
 		return refused(r)
 	}
-	if r := e.units.Take(ctx, who.team.Name, time.Until(f.startBy())); !r.OK() {
+	if r := e.units.Take(ctx, who.team.Name, time.Until(p.startBy())); !r.OK() {
 		return refused(r)
 	}
-	return f.run(ctx)
+	return p.run(ctx)
 }
 
-// check validates the request and sets its times.
-func (f *flight) check(service winch.Service) winch.Result {
-	c := f.who.class
-	if !c.Repeatable && f.call.RequestID == "" {
+// check validates the request and sets its deadline and maximum run time.
+func (p *flight) check(service winch.Service) winch.Result {
+	c := p.who.class
+	if !c.Repeatable && p.call.RequestID == "" {
 		return winch.Refuse(winch.BadRequest, "class "+c.Name+" is not repeatable: name the request in the header Winch-Request-Id, so that a resubmission can be told from a new request")
 	}
-	if service.MaxBody > 0 && f.call.Length > int64(service.MaxBody) {
+	if service.MaxBody > 0 && p.call.Length > int64(service.MaxBody) {
 		return winch.Refuse(winch.TooLarge, "the body is larger than the service takes")
 	}
-	if service.MaxBody > 0 && f.call.Body != nil {
-		f.call.Body = &limitReader{r: f.call.Body, left: int64(service.MaxBody)}
+	if service.MaxBody > 0 && p.call.Body != nil {
+		p.call.Body = &limitReader{r: p.call.Body, left: int64(service.MaxBody)}
 	}
-	f.maxRun = c.MaxRun
-	if f.maxRun == 0 {
-		f.maxRun = defaultMaxRun
+	p.maxRun = c.MaxRun
+	if p.maxRun == 0 {
+		p.maxRun = defaultMaxRun
 	}
-	f.deadline = f.call.Deadline
-	if f.deadline.IsZero() {
-		f.deadline = time.Now().Add(c.Wait + f.maxRun)
+	p.deadline = p.call.Deadline
+	if p.deadline.IsZero() {
+		p.deadline = time.Now().Add(c.Wait + p.maxRun)
 	}
-	if !f.deadline.After(time.Now()) {
+	if !p.deadline.After(time.Now()) {
 		return winch.Refuse(winch.DeadlinePassed, "the deadline in the header Winch-Deadline has passed")
 	}
 	return winch.Result{}
 }
 
-// startBy is until when the request may wait: its class's target or its own deadline.
-func (f *flight) startBy() time.Time {
-	if wait := f.who.class.Wait; wait > 0 && f.call.Deadline.IsZero() {
-		return f.deadline.Add(-f.maxRun)
+// latestStart returns until when the request may wait for a slot: the class's target, or the request's own deadline.
+func (p *flight) startBy() time.Time {
+	if wait := p.who.class.Wait; wait > 0 && p.call.Deadline.IsZero() {
+		return p.deadline.Add(-p.maxRun)
 	}
-	return f.deadline
+	return p.deadline
 }
 
-// keepBody reads a small body, so that it can be sent again and is known to be
-// whole before any executor sees it.
-func (f *flight) keepBody() winch.Result {
-	limit := int64(f.entry.Settings.Limits.ReplayBody)
-	if f.call.Body == nil {
-		f.replay = true
+// bufferBody reads a small body into memory, so that it can be sent again and is known to be complete before any
+// executor receives it.
+func (p *flight) keepBody() winch.Result {
+	limit := int64(p.entry.Settings.Limits.ReplayBody)
+	if p.call.Body == nil {
+		p.replay = true
 		return winch.Result{}
 	}
-	head, err := io.ReadAll(io.LimitReader(f.call.Body, limit+1))
+	head, err := io.ReadAll(io.LimitReader(p.call.Body, limit+1))
 	if err != nil {
 		return bodyResult(err)
 	}
 	if int64(len(head)) <= limit {
-		f.body, f.replay = head, true
-		f.call.Length = int64(len(head))
+		p.body, p.replay = head, true
+		p.call.Length = int64(len(head))
 		return winch.Result{}
 	}
-	f.call.Body = io.MultiReader(bytes.NewReader(head), f.call.Body)
+	p.call.Body = io.MultiReader(bytes.NewReader(head), p.call.Body)
 	return winch.Result{}
 }
 
@@ -195,32 +197,31 @@
 	return winch.Refuse(winch.CallerGone, "the body broke off")
 }
 
-// run sends the request until there is an answer or nothing more may be tried.
-// It holds a unit of the team's limit, which it gives back when the work has
-// surely ended.
-func (f *flight) run(ctx context.Context) *Reply {
-	e := f.entry
-	budget := retry.Key{Team: f.who.team.Name, Class: f.who.class.Name}
+// execute sends the request until it gets a response or no further attempt is allowed. Each attempt holds a unit
+// of the team's limit, which is returned once its work is guaranteed to have ended.
+func (p *flight) run(ctx context.Context) *Reply {
+	e := p.entry
+	budget := retry.Key{Team: p.who.team.Name, Class: p.who.class.Name}
 	e.budgets.Earn(budget)
 	for {
-		g, r := e.seekSlot(ctx, f)
+		g, r := e.seekSlot(ctx, p)
 		if !r.OK() {
-			e.units.Release(f.who.team.Name)
+			e.units.Release(p.who.team.Name)
 			return refused(r)
 		}
-		reply, again := f.attempt(ctx, g)
-		if !again || len(f.tried) >= attemptsMost || !e.budgets.Spend(budget) {
+		reply, retryable := p.attempt(ctx, g)
+		if !retryable || len(p.tried) >= attemptsMost || !e.budgets.Spend(budget) {
 			return reply
 		}
-		reply.Finish(true) // The answer was an error and ended whole.
+		reply.Finish(true) // The response was an error and is complete.
 		metrics.GetOrRegisterCounter("Calls.Retries", e.Metrics).Inc(1)
-		if r := e.units.Take(ctx, f.who.team.Name, time.Until(f.startBy())); !r.OK() {
+		if r := e.units.Take(ctx, p.who.team.Name, time.Until(p.startBy())); !r.OK() {
 			return refused(r)
 		}
 	}
 }
 
-// grant is a slot that was granted to a call, and its unit.
+// grant is a slot that was granted to a call, together with a unit of the team's limit.
 type grant struct {
 	id    string
 	home  string
@@ -228,70 +229,69 @@
 	began time.Time
 }
 
-// attempt sends the request once. The second result says that it surely ended
-// without a useful answer and may be sent again.
-func (f *flight) attempt(ctx context.Context, g *grant) (*Reply, bool) {
-	e := f.entry
-	f.tried = append(f.tried, g.vm.ID)
-	if !e.valid(f.who.key.ID) {
-		f.release(g, proto.Unused, 0)
+// attempt sends the request once. The second result says that the attempt is guaranteed to have ended without a
+// usable response, so that the request may be sent again.
+func (p *flight) attempt(ctx context.Context, g *grant) (*Reply, bool) {
+	e := p.entry
+	p.tried = append(p.tried, g.vm.ID)
+	if !e.valid(p.who.key.ID) {
+		p.release(g, proto.Unused, 0)
 		return refused(winch.Refuse(winch.KeyWithdrawn, "the key was withdrawn while the request waited")), false
 	}
-	if !f.who.class.Repeatable {
-		return f.attemptOnce(ctx, g), false
+	if !p.who.class.Repeatable {
+		return p.attemptOnce(ctx, g), false
 	}
-	reply, left := f.send(ctx, g)
+	reply, sent := p.send(ctx, g)
 	switch {
-	case !left:
-		return reply, f.replay || reply.Result.Reason == winch.ExecutorFailed && !f.replay && f.call.Body == nil
-	case reply.Result.OK() && reply.Status == http.StatusServiceUnavailable && f.replay:
+	case !sent:
+		return reply, p.replay || reply.Result.Reason == winch.ExecutorFailed && !p.replay && p.call.Body == nil
+	case reply.Result.OK() && reply.Status == http.StatusServiceUnavailable && p.replay:
 		return reply, true
 	default:
 		return reply, false
 	}
 }
 
-// attemptOnce sends a non-repeatable request: its record is committed first, so
-// that no entry sends it again whatever happens after.
-func (f *flight) attemptOnce(ctx context.Context, g *grant) *Reply {
-	e := f.entry
+// attemptOnce sends a non-repeatable request. Its record is committed first, so that no entry sends the request
+// again, whatever happens afterwards.
+func (p *flight) attemptOnce(ctx context.Context, g *grant) *Reply {
+	e := p.entry
 	rec := winch.CallRecord{
-		ID: ledger.ID("C", f.who.team.Name, f.call.RequestID), Team: f.who.team.Name, RequestID: f.call.RequestID,
-		Digest: ledger.Digest(append([]byte(f.call.Service+"\x00"+f.call.Path+"\x00"), f.body...)),
-		Owner:  g.id, Committed: time.Now().UTC(), MaxRun: f.maxRun,
+		ID: ledger.ID("C", p.who.team.Name, p.call.RequestID), Team: p.who.team.Name, RequestID: p.call.RequestID,
+		Digest: ledger.Digest(append([]byte(p.call.Service+"\x00"+p.call.Path+"\x00"), p.body...)),
+		Owner:  g.id, Committed: time.Now().UTC(), MaxRun: p.maxRun,
 	}
-	if !f.replay {
-		f.release(g, proto.Unused, 0)
+	if !p.replay {
+		p.release(g, proto.Unused, 0)
 		return refused(winch.Refuse(winch.TooLarge, "the body of a non-repeatable request must be within the entry's ReplayBody"))
 	}
-	old, mine, err := e.calls.Begin(ctx, rec)
-	if err != nil || !mine {
-		f.release(g, proto.Unused, 0)
-		return f.notMine(ctx, old, rec, err)
+	old, recorded, err := e.calls.Begin(ctx, rec)
+	if err != nil || !recorded {
+		p.release(g, proto.Unused, 0)
+		return p.notMine(ctx, old, rec, err)
 	}
-	reply, left := f.send(ctx, g)
-	if !left {
+	reply, sent := p.send(ctx, g)
+	if !sent {
 		reply.Result.Outcome = winch.NotRun
 	}
-	f.recordEnd(rec, reply)
+	p.recordEnd(rec, reply)
 	return reply
 }
 
-// notMine answers a request that another attempt has recorded, or that could
-// not be recorded. In the last case this attempt has sent nothing and never
-// will; its record, if it came to be, is marked so.
-func (f *flight) notMine(ctx context.Context, old, rec winch.CallRecord, err error) *Reply {
+// answerUnsent answers a request that an earlier attempt has recorded, or that could not be recorded. In the
+// second case this attempt sends nothing; if its record was written nevertheless, it is marked as not run.
+func (p *flight) notMine(ctx context.Context, old, rec winch.CallRecord, err error) *Reply {
 	switch {
 	case errors.Is(err, ledger.ErrDuplicate):
 		return refused(winch.Refuse(winch.DuplicateRequest, "the request id was used for a different request of the team"))
 	case err != nil:
 		rec.Result = winch.Refuse(winch.StoreUnavailable, "the request could not be recorded")
 		if errors.Is(err, winch.ErrUncertain) {
-			f.entry.background.do(func(ctx context.Context) { f.entry.recordUntil(ctx, rec) })
+			p.entry.background.do(func(ctx context.Context) { p.entry.recordUntil(ctx, rec) })
 		}
 		return refused(winch.RefuseFor(winch.StoreUnavailable, "the request could not be recorded, so it was not sent", time.Second))
 	}
-	old = f.awaitEnd(ctx, old)
+	old = p.awaitEnd(ctx, old)
 	r := ledger.Judge(old, time.Now())
 	if !r.OK() {
 		return refused(r)
@@ -306,35 +306,35 @@
 	return reply
 }
 
-// awaitEnd waits for the end of an earlier attempt that may still be running,
-// as when a caller lost its connection and asks again.
-func (f *flight) awaitEnd(ctx context.Context, rec winch.CallRecord) winch.CallRecord {
-	for rec.Finished.IsZero() && ledger.Judge(rec, time.Now()).RetryAfter > 0 && time.Now().Before(f.startBy()) {
+// awaitCompletion waits for an earlier attempt that may still be running, for example when a caller lost its
+// connection and sent the request again.
+func (p *flight) awaitEnd(ctx context.Context, rec winch.CallRecord) winch.CallRecord {
+	for rec.Finished.IsZero() && ledger.Judge(rec, time.Now()).RetryAfter > 0 && time.Now().Before(p.startBy()) {
 		if !wait(ctx, statusPoll/4) {
 			break
 		}
-		if now, err := f.entry.calls.Call(ctx, rec.ID); err == nil {
-			rec = now
+		if current, err := p.entry.calls.Call(ctx, rec.ID); err == nil {
+			rec = current
 		}
 	}
 	return rec
 }
 
-// recordEnd writes what became of a non-repeatable request. A held answer is
-// kept for a resubmission; that of a streamed one is not known here.
-func (f *flight) recordEnd(rec winch.CallRecord, reply *Reply) {
+// recordResult records the result of a non-repeatable request. A small buffered response is stored with it to answer
+// a resubmission; a streamed one is not available here.
+func (p *flight) recordEnd(rec winch.CallRecord, reply *Reply) {
 	rec.Result, rec.Status = reply.Result, reply.Status
 	if rec.Result.OK() {
 		rec.Result.Outcome = winch.Done
 	}
-	if held, ok := reply.Body.(*bytes.Reader); ok && held.Len() <= answerKept {
-		rec.Answer = make([]byte, held.Len())
-		_, _ = held.ReadAt(rec.Answer, 0)
+	if body, ok := reply.Body.(*bytes.Reader); ok && body.Len() <= answerKept {
+		rec.Answer = make([]byte, body.Len())
+		_, _ = body.ReadAt(rec.Answer, 0)
 	}
-	f.entry.background.do(func(ctx context.Context) { f.entry.recordUntil(ctx, rec) })
+	p.entry.background.do(func(ctx context.Context) { p.entry.recordUntil(ctx, rec) })
 }
 
-// recordTries bounds how often the end of a call is written.
+// maxRecordAttempts bounds how often the entry tries to record the result of a call.
 const recordTries = 120
 
 func (e *Entry) recordUntil(ctx context.Context, rec winch.CallRecord) {
@@ -346,101 +346,100 @@
 	}
 }
 
-// send sends the request to the executor of a grant. The second result is false
-// if no byte of it left, so that it surely did not run.
-func (f *flight) send(ctx context.Context, g *grant) (*Reply, bool) {
-	e := f.entry
+// send sends the request to the executor of a grant. The second result is false if no byte of it was sent, so that
+// it cannot have run.
+func (p *flight) send(ctx context.Context, g *grant) (*Reply, bool) {
+	e := p.entry
 	g.began = time.Now()
-	end := g.began.Add(f.maxRun)
-	if f.deadline.Before(end) {
-		end = f.deadline
+	end := g.began.Add(p.maxRun)
+	if p.deadline.Before(end) {
+		end = p.deadline
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
-	req := winch.Request{ID: rand.Text(), Team: f.who.team.Name, Path: f.call.Path, Header: f.call.Header, Length: f.call.Length}
-	if f.replay {
-		req.Body = bytes.NewReader(f.body)
+	req := winch.Request{ID: rand.Text(), Team: p.who.team.Name, Path: p.call.Path, Header: p.call.Header, Length: p.call.Length}
+	if p.replay {
+		req.Body = bytes.NewReader(p.body)
 	} else {
-		req.Body = f.call.Body
+		req.Body = p.call.Body
 	}
-	answer, left, err := e.Executor.Send(ctx, g.vm, req)
+	response, sent, err := e.Executor.Send(ctx, g.vm, req)
 	if err != nil {
 		defer cancel()
-		return f.sendFailed(ctx, g, left, err), left
+		return p.sendFailed(ctx, g, sent, err), sent
 	}
-	if echo := answer.Header.Get(exec.RequestIDHeader); echo != "" && echo != req.ID {
+	if echo := response.Header.Get(exec.RequestIDHeader); echo != "" && echo != req.ID {
 		cancel()
-		_ = answer.Body.Close()
-		f.release(g, proto.Failed, f.maxRun)
+		_ = response.Body.Close()
+		p.release(g, proto.Failed, p.maxRun)
 		metrics.GetOrRegisterCounter("Calls.CrossedAnswers", e.Metrics).Inc(1)
 		return refused(winch.Uncertain(winch.WrongAnswer, "the executor answered another request")), true
 	}
-	return f.receive(ctx, cancel, g, answer), true
+	return p.receive(ctx, cancel, g, response), true
 }
 
-func (f *flight) sendFailed(ctx context.Context, g *grant, left bool, err error) *Reply {
+func (p *flight) sendFailed(ctx context.Context, g *grant, sent bool, err error) *Reply {
 	switch {
-	case !left:
-		f.release(g, proto.Rejected, 0)
+	case !sent:
+		p.release(g, proto.Rejected, 0)
 		return refused(winch.RefuseFor(winch.ExecutorFailed, "the executor could not be reached", time.Second))
 	case errors.Is(err, errTooLarge):
-		f.release(g, proto.Failed, f.maxRun)
+		p.release(g, proto.Failed, p.maxRun)
 		return refused(winch.Uncertain(winch.TooLarge, "the body turned out larger than the service takes"))
-	case f.entry.drained.Err() != nil:
-		f.release(g, proto.Failed, f.maxRun)
-		return refused(f.mayRun(winch.Stopping, "the entry stopped before the executor answered"))
+	case p.entry.drained.Err() != nil:
+		p.release(g, proto.Failed, p.maxRun)
+		return refused(p.mayRun(winch.Stopping, "the entry stopped before the executor answered"))
 	case ctx.Err() != nil:
-		f.release(g, proto.Failed, f.maxRun)
-		return refused(f.mayRun(winch.ExecutorTimeout, "the executor did not answer in time"))
+		p.release(g, proto.Failed, p.maxRun)
+		return refused(p.mayRun(winch.ExecutorTimeout, "the executor did not answer in time"))
 	default:
-		f.release(g, proto.Failed, f.maxRun)
-		return refused(f.mayRun(winch.ExecutorFailed, "the executor broke the connection"))
+		p.release(g, proto.Failed, p.maxRun)
+		return refused(p.mayRun(winch.ExecutorFailed, "the executor broke the connection"))
 	}
 }
 
-// mayRun is the result of a request that may still be running. A repeatable one
-// may be asked again once it has surely ended, and not before, since it would
-// run in two places.
-func (f *flight) mayRun(reason winch.Reason, detail string) winch.Result {
+// uncertainResult returns the result of a request that may still be running. A repeatable one may be sent again only
+// once it is guaranteed to have ended, since it could run in two places before.
+func (p *flight) mayRun(reason winch.Reason, detail string) winch.Result {
 	r := winch.Uncertain(reason, detail)
-	if f.who.class.Repeatable {
-		r.RetryAfter = f.maxRun
+	if p.who.class.Repeatable {
+		r.RetryAfter = p.maxRun
 	}
 	return r
 }
 
-// receive takes the answer. A small one is read whole first, so that a break is
-// told as an outcome; a large one is streamed, and a break ends the connection
-// to the caller, so that it cannot be taken for whole.
-func (f *flight) receive(ctx context.Context, cancel context.CancelFunc, g *grant, answer *winch.Response) *Reply {
-	limit := int64(f.entry.Settings.Limits.HoldAnswer)
-	head, err := io.ReadAll(io.LimitReader(answer.Body, limit+1))
+// receive returns the executor's response. A small one is read to its end first, so that a broken connection is
+// reported as an outcome. A large one is streamed: a broken connection ends the connection to the caller too, so
+// that the caller does not take a truncated response for a complete one.
+func (p *flight) receive(ctx context.Context, cancel context.CancelFunc, g *grant, response *winch.Response) *Reply {
+	limit := int64(p.entry.Settings.Limits.HoldAnswer)
+	head, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
 		timeout := ctx.Err() != nil
 		cancel()
-		_ = answer.Body.Close()
-		f.release(g, proto.Failed, f.maxRun)
+		_ = response.Body.Close()
+		p.release(g, proto.Failed, p.maxRun)
 		if timeout {
-			return refused(f.mayRun(winch.ExecutorTimeout, "the executor did not finish its answer in time"))
+			return refused(p.mayRun(winch.ExecutorTimeout, "the executor did not finish its answer in time"))
 		}
-		return refused(f.mayRun(winch.AnswerCut, "the executor's answer broke off"))
+		return refused(p.mayRun(winch.AnswerCut, "the executor's answer broke off"))
 	}
-	reply := &Reply{Status: answer.Status, Header: answer.Header}
+	reply := &Reply{Status: response.Status, Header: response.Header}
 	if int64(len(head)) <= limit {
 		cancel()
-		_ = answer.Body.Close()
-		f.release(g, verdict(answer.Status), 0)
+		_ = response.Body.Close()
+		p.release(g, verdict(response.Status), 0)
 		reply.Body, reply.Held = bytes.NewReader(head), true
 		return reply
 	}
-	reply.Body = io.MultiReader(bytes.NewReader(head), answer.Body)
-	reply.finish = func(whole bool) {
+	reply.Body = io.MultiReader(bytes.NewReader(head), response.Body)
+	reply.finish = func(complete bool) {
 		cancel()
-		_ = answer.Body.Close()
-		if whole {
-			f.release(g, verdict(answer.Status), 0)
+		_ = response.Body.Close()
+		if complete {
+			p.release(g, verdict(response.Status), 0)
 			return
 		}
-		f.release(g, proto.Failed, f.maxRun)
+		p.release(g, proto.Failed, p.maxRun)
 	}
 	return reply
 }
@@ -456,17 +455,17 @@
 	}
 }
 
-// release gives back the slot and the unit: now if the work has surely ended,
-// or once its longest run time has passed since it began.
-func (f *flight) release(g *grant, v proto.Verdict, maxRun time.Duration) {
-	e := f.entry
+// release returns the slot and the unit: at once if maxRun is zero because the work is guaranteed to have ended,
+// otherwise once maxRun has passed since the work started.
+func (p *flight) release(g *grant, v proto.Verdict, maxRun time.Duration) {
+	e := p.entry
 	took := time.Since(g.began)
 	after := max(0, maxRun-took)
 	if g.began.IsZero() {
 		took, after = 0, 0
 	}
 	e.giveBack(g, proto.SlotRelease{Grant: g.id, Verdict: v, After: after, Took: took})
-	team := f.who.team.Name
+	team := p.who.team.Name
 	if after == 0 {
 		e.units.Release(team)
 		return
@@ -476,8 +475,8 @@
 
 var errTooLarge = errors.New("body too large")
 
-// limitReader fails once more than left bytes were read, where io.LimitReader
-// would end as if the body were whole.
+// limitReader fails once more than the remaining bytes were read, where io.LimitReader would end as if the body
+// were complete.
 type limitReader struct {
 	r    io.Reader
 	left int64
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry joins the parts of one entry: it takes callers' requests and
-// operators' changes, hands out the slots of its executors, and competes for
-// the office of its failure domain's placer.
+// Package entry combines the parts of one entry. It serves the requests of callers and the changes of operators, hands
+// out the slots of the executors whose home it is, and competes for the office of its failure domain: the leadership
+// lease in the store whose holder is the domain's planner.
 package entry
 
 import (
@@ -28,7 +28,7 @@
 	"plantainwinch/winch"
 )
 
-// Entry is one entry. Set the exported fields, call Prepare, then Run.
+// Entry is one process that serves callers on an entry VM. Set the exported fields, call Prepare, then Run.
 type Entry struct {
 	Settings conf.Settings
 	Store    winch.Store
@@ -38,7 +38,7 @@
 	Peers    winch.Peers
 	Log      *zap.Logger
 	Metrics  metrics.Registry
-	// Seed makes the random choices repeatable in tests; zero for a random one.
+	// Seed makes random choices reproducible in tests; if it is zero, a random seed is used.
 	Seed uint64
 
 	incarnation string
@@ -53,8 +53,8 @@
 	planner     *place.Planner
 	budgets     retry.Budgets
 	grants      grantBook
-	// alive notes when the store was reached, reached when a withdrawn key would
-	// have become known.
+	// storeContact records when this entry last reached the store, keysCurrent when it would last have learned of
+	// a withdrawn key.
 	alive, reached alive
 	rehome         chan struct{}
 	rewatch        chan struct{}
@@ -64,16 +64,18 @@
 	rndMu sync.Mutex
 	rnd   *mrand.Rand
 
-	// running counts calls and submissions that are not answered yet.
-	running  atomic.Int64
+	// inProgress counts calls and submissions that are not answered yet.
+	running atomic.Int64
+	// stopping makes the entry refuse calls and submissions; a planned stop sets it after draining.
 	stopping atomic.Bool
+	// draining is set when a planned stop begins: the entry gives up its executors and is no longer ready.
 	draining atomic.Bool
-	// drained ends when a planned stop has waited as long as it may.
+	// drainCtx is cancelled by endDrain when a planned stop reaches its drain timeout.
 	drained context.Context
 	expire  context.CancelFunc
 }
 
-// Prepare builds the parts; it must come before Run and before requests.
+// Prepare creates the parts of the entry. It must be called before Run and before the first request.
 func (e *Entry) Prepare() {
 	if e.Metrics == nil {
 		e.Metrics = metrics.NewRegistry()
@@ -104,8 +106,8 @@
 // Domain returns the entry's failure domain.
 func (e *Entry) Domain() string { return e.Settings.Entry.Domain }
 
-// holderName names this process as a holder of units. A new process under the
-// same name is another holder: it cannot know what the old one has running.
+// holderName returns the name of this process as a holder of units of the teams' limits. A new process of the same
+// entry is another holder, since it cannot know what the earlier one has running.
 func (e *Entry) holderName() string { return e.Name() + "/" + e.incarnation }
 
 func (e *Entry) prepareMembers() {
@@ -138,9 +140,9 @@
 }
 
 func (e *Entry) prepareOffice() {
-	own := duty.New("Office", 0, e.Metrics)
+	officeDuty := duty.New("Office", 0, e.Metrics)
 	officeUnits := &quota.Holder{
-		Name: "Office/" + e.Domain(), Office: true, Store: e.Store, Duty: own,
+		Name: "Office/" + e.Domain(), Office: true, Store: e.Store, Duty: officeDuty,
 		Document: e.held.Get, Metrics: e.Metrics,
 	}
 	officeUnits.Prepare()
@@ -148,7 +150,7 @@
 	e.planner.Prefer = place.Preference(e.Settings.Cell.Prefer)
 	e.office = &office.Office{
 		Self: e.Name(), Domain: e.Domain(), Store: e.Store, Worker: e.Worker, Ledger: e.jobs,
-		Planner: e.planner, Quota: officeUnits, Duty: own, Log: e.Log, Metrics: e.Metrics,
+		Planner: e.planner, Quota: officeUnits, Duty: officeDuty, Log: e.Log, Metrics: e.Metrics,
 		Lease: e.Settings.Timing.Office, TaskLease: e.Settings.Timing.Tasks,
 		FenceAtVM: e.Settings.Cell.FenceAtVM, Document: e.held.Get,
 		Workers: e.workers, OtherEntries: e.rivals, OnAcquired: func() { poke(e.rewatch) },
@@ -166,6 +168,7 @@
 
 func (e *Entry) share(name string) int { return e.team(name).Share }
 
+// workers returns the listed workers of this failure domain, and whether the platform's list has been read.
 func (e *Entry) workers() ([]winch.VM, bool) {
 	view := e.members.View()
 	var out []winch.VM
@@ -177,6 +180,7 @@
 	return out, view.Listed
 }
 
+// domainPeers returns the names of the other live entries of this failure domain.
 func (e *Entry) rivals() []string {
 	var out []string
 	for _, name := range e.members.View().InDomain(e.Domain()) {
@@ -187,28 +191,29 @@
 	return out
 }
 
-// Run does the entry's duties until ctx ends. A planned stop calls Stop first.
+// Run runs the entry's goroutines until ctx is cancelled. A planned stop calls Stop first.
 func (e *Entry) Run(ctx context.Context) {
 	var group conc.WaitGroup
-	duties := []func(context.Context){
+	loops := []func(context.Context){
 		e.members.Run, e.members.RunHeartbeats, e.members.RunList,
 		e.table.Run, e.units.Duty.Run, e.units.Run,
 		e.jobs.Run, e.calls.Run,
 		e.office.Duty.Run, e.office.Quota.Run, e.office.Run,
 		e.runWatch, e.runRehome, e.runFetch, e.runAlive, e.runBalance, e.background.run,
 	}
-	for _, run := range duties {
+	for _, run := range loops {
 		group.Go(func() { run(ctx) })
 	}
 	group.Wait()
 }
 
-// random returns a random source that the caller holds until it calls release.
+// lockRandom returns the random source, locked until the caller calls release.
 func (e *Entry) random() (r *mrand.Rand, release func()) {
 	e.rndMu.Lock()
 	return e.rnd, e.rndMu.Unlock
 }
 
+// signal wakes the receiver of ch; a signal that is already pending is not repeated.
 func poke(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -216,7 +221,7 @@
 	}
 }
 
-// wait pauses and reports whether ctx is still live.
+// sleep waits for d and reports whether ctx is still active.
 func wait(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/entry/grants.go
+++ b/entry/grants.go
@@ -7,12 +7,13 @@
 	"plantainwinch/proto"
 )
 
-// grantBook lists the slots that this entry uses, its own and others'.
+// grantTable holds the slots that this entry uses, including those of executors whose home is another entry.
 type grantBook struct {
 	mu   sync.Mutex
 	held map[string]*heldGrant
 }
 
+// heldGrant is a slot that this entry uses.
 type heldGrant struct {
 	home     string
 	executor string
@@ -20,33 +21,33 @@
 	until    time.Time
 }
 
-func (b *grantBook) add(id string, g heldGrant) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.held == nil {
-		b.held = make(map[string]*heldGrant)
+func (t *grantBook) add(id string, g heldGrant) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.held == nil {
+		t.held = make(map[string]*heldGrant)
 	}
-	b.held[id] = &g
+	t.held[id] = &g
 }
 
-// remove drops a grant and returns its present home.
-func (b *grantBook) remove(id string) string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	g := b.held[id]
+// remove removes a grant and returns its home, or an empty string if there is no such grant.
+func (t *grantBook) remove(id string) string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	g := t.held[id]
 	if g == nil {
 		return ""
 	}
-	delete(b.held, id)
+	delete(t.held, id)
 	return g.home
 }
 
-// of lists the grants of one home.
-func (b *grantBook) of(home string) []proto.HeldSlot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// grantsOf returns the grants of one home.
+func (t *grantBook) of(home string) []proto.HeldSlot {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []proto.HeldSlot
-	for id, g := range b.held {
+	for id, g := range t.held {
 		if g.home == home {
 			out = append(out, g.message(id))
 		}
@@ -58,19 +59,18 @@
 	return proto.HeldSlot{Grant: id, Executor: g.executor, Team: g.team, Left: time.Until(g.until)}
 }
 
-// moved changes the home of grants whose executor has a new one and returns
-// them by that home.
-func (b *grantBook) moved(home func(executor string) string) map[string][]proto.HeldSlot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// rehome sets the home of grants whose executor has a new one and returns these grants by home.
+func (t *grantBook) moved(home func(executor string) string) map[string][]proto.HeldSlot {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	out := make(map[string][]proto.HeldSlot)
-	for id, g := range b.held {
-		now := home(g.executor)
-		if now == "" || now == g.home {
+	for id, g := range t.held {
+		present := home(g.executor)
+		if present == "" || present == g.home {
 			continue
 		}
-		g.home = now
-		out[now] = append(out[now], g.message(id))
+		g.home = present
+		out[present] = append(out[present], g.message(id))
 	}
 	return out
 }
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -8,14 +8,14 @@
 	"plantainwinch/winch"
 )
 
-// firstSlots is how many slots of an executor a new home hands out at first,
-// where no earlier home has told it which are in use.
+// initialSlots is how many slots of an executor a new home hands out at first if no earlier home has reported which of
+// them are in use.
 const firstSlots = 1
 
-// rehomeEvery is how often the homes are worked out without a known change.
+// homesInterval is the interval at which the homes are computed even if no change is known.
 const rehomeEvery = time.Second
 
-// runRehome gives each executor of this failure domain its home.
+// runHomes keeps the executors whose home this entry is up to date.
 func (e *Entry) runRehome(ctx context.Context) {
 	for {
 		e.settleHomes(ctx)
@@ -28,38 +28,39 @@
 	}
 }
 
+// updateHomes takes over the executors whose home this entry is now, and hands those over that have another home.
 func (e *Entry) settleHomes(ctx context.Context) {
 	view := e.members.View()
-	var mine []winch.VM
+	var own []winch.VM
 	for _, vm := range view.WithRole(winch.RoleExecutor) {
 		if view.Home(vm) == e.Name() {
-			mine = append(mine, vm)
+			own = append(own, vm)
 		}
 	}
-	hands, err := e.table.SetExecutors(ctx, mine, func(winch.VM) int { return firstSlots })
+	handoffs, err := e.table.SetExecutors(ctx, own, func(winch.VM) int { return firstSlots })
 	if err != nil {
 		return
 	}
-	for _, hand := range hands {
-		e.handOver(hand)
+	for _, handoff := range handoffs {
+		e.handOver(handoff)
 	}
 	e.reportHeld()
 }
 
-// handOver tells an executor's new home which of its slots are in use.
-func (e *Entry) handOver(hand proto.Handoff) {
+// sendHandoff reports to an executor's new home which of its slots are in use.
+func (e *Entry) handOver(handoff proto.Handoff) {
 	view := e.members.View()
 	for _, vm := range view.VMs {
-		if vm.ID != hand.Executor {
+		if vm.ID != handoff.Executor {
 			continue
 		}
 		if home := view.Home(vm); home != "" && home != e.Name() {
-			_ = e.Peers.Notify(home, proto.KindHandoff, hand)
+			_ = e.Peers.Notify(home, proto.KindHandoff, handoff)
 		}
 	}
 }
 
-// reportHeld tells new homes of executors which slots this entry uses.
+// reportGrants reports to the new homes of executors which of their slots this entry uses.
 func (e *Entry) reportHeld() {
 	view := e.members.View()
 	home := func(executor string) string {
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -16,8 +16,8 @@
 	"plantainwinch/winch"
 )
 
-// tasksMost bounds the tasks of one job, and commandMost its command, so that a
-// partition of the ledger stays far below the store's largest value.
+// maxTasks bounds the tasks of one job and maxCommandSize the bytes of its command, so that a partition of the ledger
+// stays far below the largest value that the store accepts.
 const (
 	tasksMost   = 2000
 	commandMost = 4 << 10
@@ -34,14 +34,14 @@
 // JobView is a job as its caller sees it.
 type JobView struct {
 	winch.Job
-	// Why says why tasks wait, if some do.
+	// Why says why tasks wait; it is empty if none does.
 	Why     string `json:",omitempty"`
 	Running int
-	// Forecast is when the job is expected to start, if it waits for room.
+	// Forecast is the expected time until the job starts, if it waits for capacity.
 	Forecast time.Duration `json:",omitempty"`
 }
 
-// Submit accepts a job: once it returns without a result, the job is recorded.
+// Submit accepts a job. If the returned result is OK, the job is recorded.
 func (e *Entry) Submit(ctx context.Context, s Submission) (winch.Job, winch.Result) {
 	e.running.Add(1)
 	defer e.running.Add(-1)
@@ -98,12 +98,12 @@
 		RequestID: s.RequestID, Digest: ledger.Digest(data), Spec: s.Spec, Domain: domain, State: winch.JobQueued,
 		Submitted: time.Now().UTC(), Epoch: e.epochOf(domain),
 	}
-	out, err := e.jobs.Accept(ctx, job)
+	recorded, err := e.jobs.Accept(ctx, job)
 	switch {
 	case err == nil:
-		return out, winch.Result{}
+		return recorded, winch.Result{}
 	case errors.Is(err, ledger.ErrDuplicate):
-		return out, winch.Refuse(winch.DuplicateRequest, "the request id was used for a different job of the team")
+		return recorded, winch.Refuse(winch.DuplicateRequest, "the request id was used for a different job of the team")
 	case errors.Is(err, winch.ErrUncertain):
 		return job, winch.Uncertain(winch.StoreUnavailable, "the job may have been recorded: submit it again under the same id")
 	default:
@@ -111,13 +111,14 @@
 	}
 }
 
-// epochOf returns the epoch of a domain's placer as far as this entry knows. A
-// placer takes a job for fresh only if its epoch is not older than its own.
+// epochOf returns the latest epoch of a domain's planner that this entry knows. A planner considers a job new only if
+// the job's epoch is not older than its own.
 func (e *Entry) epochOf(domain string) uint64 {
 	_, epoch := e.placerOf(domain)
 	return epoch
 }
 
+// plannerOf returns the name and epoch of a domain's planner as far as this entry knows them.
 func (e *Entry) placerOf(domain string) (string, uint64) {
 	name, epoch := e.members.View().Placer(domain)
 	if domain == e.Domain() {
@@ -128,9 +129,8 @@
 	return name, epoch
 }
 
-// chooseDomain returns the failure domain that runs a job: the one whose workers
-// are least full, counting what waits, among those that could ever run it. A job
-// that none could run is refused now instead of waiting for ever.
+// chooseDomain returns the failure domain that runs a job: of those whose workers could ever run it, the one with the
+// lowest load, waiting work included. A job that no domain could run is refused at once instead of waiting forever.
 func (e *Entry) chooseDomain(spec winch.JobSpec, team winch.Team) (string, winch.Result) {
 	if spec.Kind == winch.Gang && spec.Tasks > team.Limit {
 		return "", winch.Refuse(winch.NeverFits, fmt.Sprintf("a gang of %d tasks can never start within the team's upper limit of %d", spec.Tasks, team.Limit))
@@ -155,20 +155,21 @@
 	return best, winch.Result{}
 }
 
+// couldRun reports whether the empty workers of a domain could run a job.
 func couldRun(view *member.View, domain string, spec winch.JobSpec) bool {
-	room := 0
+	capacity := 0
 	for _, vm := range view.VMs {
 		if vm.Role == winch.RoleWorker && vm.Domain == domain && !vm.Leaving {
-			room += fits(vm.Size, spec.Need)
+			capacity += fits(vm.Size, spec.Need)
 		}
 	}
 	if spec.Kind == winch.Gang {
-		return room >= spec.Tasks
+		return capacity >= spec.Tasks
 	}
-	return room > 0
+	return capacity > 0
 }
 
-// fits returns how many tasks a worker of this size holds.
+// tasksPerWorker returns how many tasks with this need fit on an empty worker of this size.
 func fits(size, need winch.Resources) int {
 	n := size.Processors / need.Processors
 	n = min(n, int(size.Memory/need.Memory))
@@ -178,6 +179,7 @@
 	return n
 }
 
+// domainLoad returns the used and requested processors of a domain relative to its size.
 func (e *Entry) domainLoad(view *member.View, domain string) float64 {
 	load := func(l *proto.OfficeLoad) float64 {
 		if l == nil || l.Size.Processors == 0 {
@@ -194,11 +196,11 @@
 			return load(p.Beat.Office)
 		}
 	}
-	return 1 // No placer is known: the others come first.
+	return 1 // Without a known planner the domain counts as fully used, so that the others are preferred.
 }
 
-// hint tells the domain's placer that a job has changed. If the hint is lost,
-// the placer's watch of the ledger brings the change.
+// notifyPlanner notifies the domain's planner that a job has changed. If the message is lost, the planner learns of the
+// change from its watch of the ledger.
 func (e *Entry) hint(ctx context.Context, domain, id string) {
 	name, _ := e.placerOf(domain)
 	if name == e.Name() {
@@ -212,11 +214,10 @@
 	e.background.do(func(ctx context.Context) { e.office.JobChanged(ctx, id) })
 }
 
-// statusPoll is the pause between two looks at a job that a caller waits for.
+// statusPollInterval is the interval at which the status of a job that a caller waits for is read.
 const statusPoll = 200 * time.Millisecond
 
-// Job returns a job of the caller's team. With a wait it returns once the job
-// has ended or the time is over.
+// Job returns a job of the caller's team. It returns once the job has ended or waitFor has passed.
 func (e *Entry) Job(ctx context.Context, key, id string, waitFor time.Duration) (JobView, winch.Result) {
 	team, r := e.teamOf(key)
 	if !r.OK() {
@@ -260,31 +261,30 @@
 	return view, winch.Result{}
 }
 
-// addStatus adds what the placer knows beyond the ledger.
+// addStatus adds what the domain's planner knows beyond the ledger.
 func (e *Entry) addStatus(ctx context.Context, view *JobView) {
 	name, _ := e.placerOf(view.Domain)
-	var st proto.JobStatus
+	var status proto.JobStatus
 	if name == e.Name() {
-		st = e.office.Status(ctx, view.ID)
-	} else if e.Peers.Request(ctx, name, proto.KindJobStatus, proto.JobStatusRequest{ID: view.ID}, &st) != nil {
+		status = e.office.Status(ctx, view.ID)
+	} else if e.Peers.Request(ctx, name, proto.KindJobStatus, proto.JobStatusRequest{ID: view.ID}, &status) != nil {
 		view.Why = "the placer of domain " + view.Domain + " cannot be reached"
 		return
 	}
-	if !st.Known {
+	if !status.Known {
 		view.Why = "the placer of domain " + view.Domain + " has not taken the job up yet"
 		return
 	}
-	view.Why, view.Running, view.Forecast = st.Why, st.Running, st.Forecast
-	if st.Running > 0 {
+	view.Why, view.Running, view.Forecast = status.Why, status.Running, status.Forecast
+	if status.Running > 0 {
 		view.State = winch.JobRunning
 	}
 	if view.Started.IsZero() {
-		view.Started = st.Started
+		view.Started = status.Started
 	}
 }
 
-// CancelJob cancels a job of the caller's team. If the job's end came first, it
-// returns the job as it ended.
+// CancelJob cancels a job of the caller's team. If the job ended first, it returns the ended job.
 func (e *Entry) CancelJob(ctx context.Context, key, id string) (JobView, winch.Result) {
 	team, r := e.teamOf(key)
 	if !r.OK() {
--- a/entry/links.go
+++ b/entry/links.go
@@ -12,12 +12,12 @@
 	"plantainwinch/winch"
 )
 
-// First returns the first message on a new link to a peer.
+// First returns the first message on a new connection to a peer: which slots of the peer's executors this entry uses.
 func (e *Entry) First(peer string) (winch.Kind, any) {
 	return proto.KindHeldSlots, proto.HeldSlots{Held: e.grants.of(peer), Complete: true}
 }
 
-// beat makes the heartbeat.
+// heartbeat returns the entry's heartbeat.
 func (e *Entry) beat(ctx context.Context) proto.Heartbeat {
 	b := proto.Heartbeat{Config: e.held.Version(), Loads: e.table.Loads(), Store: e.alive.within(memberLease)}
 	b.Placer, b.Epoch = e.office.Holder()
@@ -36,7 +36,7 @@
 	return b
 }
 
-// heard fetches a newer configuration that a peer has.
+// onHeartbeat schedules a fetch of the configuration if the peer has a newer one.
 func (e *Entry) heard(name string, beat proto.Heartbeat) {
 	if beat.Config > e.held.Version() {
 		select {
@@ -46,8 +46,8 @@
 	}
 }
 
-// runFetch gets configurations from peers, so that an entry that reaches either
-// the store or a peer is current.
+// runConfigFetch fetches newer configurations from peers, so that an entry stays current as long as it reaches the
+// store or a peer that is current.
 func (e *Entry) runFetch(ctx context.Context) {
 	for {
 		select {
@@ -62,17 +62,17 @@
 func (e *Entry) fetchFrom(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, storeCall)
 	defer cancel()
-	var give proto.ConfigResponse
-	if e.Peers.Request(ctx, name, proto.KindConfig, proto.ConfigRequest{Have: e.held.Version()}, &give) != nil || len(give.Document) == 0 {
+	var response proto.ConfigResponse
+	if e.Peers.Request(ctx, name, proto.KindConfig, proto.ConfigRequest{Have: e.held.Version()}, &response) != nil || len(response.Document) == 0 {
 		return
 	}
 	doc := new(winch.Document)
-	if json.Unmarshal(give.Document, doc) == nil {
+	if json.Unmarshal(response.Document, doc) == nil {
 		e.offer(ctx, doc)
 	}
 }
 
-// Handle answers the messages of other entries.
+// Handle processes a message of another entry and returns the response, if the kind of message has one.
 func (e *Entry) Handle(ctx context.Context, from string, kind winch.Kind, decode func(any) error) any {
 	switch kind {
 	case proto.KindHeartbeat:
@@ -97,8 +97,8 @@
 	}
 }
 
-// handle decodes a message and counts nothing more than its loss: a peer of the
-// same version sends no message that cannot be decoded.
+// decodeAndHandle decodes a message and passes it to f. A message that cannot be decoded is dropped: a peer of the same
+// version sends none.
 func handle[T any](decode func(any) error, f func(T) any) any {
 	var msg T
 	if decode(&msg) != nil {
@@ -107,26 +107,28 @@
 	return f(msg)
 }
 
-func (e *Entry) giveConfig(ask proto.ConfigRequest) proto.ConfigResponse {
+// configResponse returns the configuration if it is newer than the requester's.
+func (e *Entry) giveConfig(request proto.ConfigRequest) proto.ConfigResponse {
 	doc := e.held.Get()
-	if doc == nil || doc.Version <= ask.Have {
+	if doc == nil || doc.Version <= request.Have {
 		return proto.ConfigResponse{}
 	}
-	copied, err := config.Clone(doc)
+	clone, err := config.Clone(doc)
 	if err != nil {
 		return proto.ConfigResponse{}
 	}
-	copied.Trail = nil // The trail is read from the store.
-	data, err := json.Marshal(copied)
+	clone.Trail = nil // The audit trail is read from the store only.
+	data, err := json.Marshal(clone)
 	if err != nil {
 		return proto.ConfigResponse{}
 	}
 	return proto.ConfigResponse{Document: data}
 }
 
-func (e *Entry) giveSlot(ctx context.Context, from string, ask proto.SlotRequest) proto.SlotResponse {
+// slotResponse grants a slot of an executor whose home this entry is, or refuses.
+func (e *Entry) giveSlot(ctx context.Context, from string, request proto.SlotRequest) proto.SlotResponse {
 	if e.draining.Load() {
 		return proto.SlotResponse{Refused: winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second)}
 	}
-	return e.table.Acquire(ctx, from, ask)
+	return e.table.Acquire(ctx, from, request)
 }
--- a/entry/oper.go
+++ b/entry/oper.go
@@ -12,38 +12,37 @@
 	"plantainwinch/winch"
 )
 
-// changeTime bounds a change of the configuration. Where the answer to its write
-// was lost, the store is asked whether it took effect; if the store stays away the
-// operator is told that it may have, and does not wait for ever.
+// changeTimeout bounds a change of the configuration. If the response to the write is lost, the store is read to find
+// out whether the write took effect. If the store stays unreachable, the operator gets the result that the change may
+// have been written, instead of waiting forever.
 const changeTime = 20 * time.Second
 
-// Applied is the answer to a change of the configuration.
+// Applied is the response to a change of the configuration.
 type Applied struct {
 	Version   uint64
 	Unchanged bool `json:",omitempty"`
-	// Confirmed lists the entries in which the version is in force, Missing the
-	// live ones from which that is not known yet.
+	// Confirmed lists the entries that have applied the version, Missing those that have not confirmed it yet.
 	Confirmed []string
 	Missing   []string `json:",omitempty"`
-	InForce   bool
+	InForce   bool     // InForce says that no entry is missing.
 }
 
-// confirmWait bounds how long a change waits for all entries to confirm it.
+// confirmTimeout bounds how long a change waits until all entries have confirmed it.
 const confirmWait = 5 * time.Second
 
-// confirmPoll is the pause between two looks at what they confirmed.
+// confirmPollInterval is the interval at which their confirmations are checked.
 const confirmPoll = 20 * time.Millisecond
 
 // Actor is who makes a change.
 type Actor struct {
 	Name string
 	Role winch.KeyRole
-	// Service is the one whose owner the actor is.
+	// Service is the service that the actor owns; it is empty for operators.
 	Service string
 }
 
-// Operator checks a presented key for operators' and owners' actions. The first
-// operator's key is in the settings, so that a new cell can be set up.
+// Operator returns the operator or service owner that a presented key belongs to. The hash of the first operator's key
+// is in the settings, so that a new cell can be set up.
 func (e *Entry) Operator(presented string) (Actor, winch.Result) {
 	hash := config.HashKey(presented)
 	if subtle.ConstantTimeCompare([]byte(hash), []byte(e.Settings.Cell.OperatorKeyHash)) == 1 {
@@ -61,13 +60,13 @@
 	return Actor{}, winch.Refuse(winch.UnknownKey, "the key is no operator's or owner's key")
 }
 
-// Document returns the configuration as this entry has it in force.
+// Document returns the configuration that this entry applies.
 func (e *Entry) Document() (*winch.Document, winch.Result) {
 	return e.document()
 }
 
-// Change writes a change of the configuration and waits until it is in force in
-// all live entries, or reports which have not confirmed it.
+// Change writes a change of the configuration and waits until all entries have applied it, or reports which have not
+// confirmed it in time.
 func (e *Entry) Change(ctx context.Context, actor Actor, base uint64, change config.Change) (Applied, winch.Result) {
 	ctx, cancel := context.WithTimeout(ctx, changeTime)
 	defer cancel()
@@ -89,7 +88,7 @@
 	return e.confirm(ctx, doc.Version), winch.Result{}
 }
 
-// confirm waits until all live entries have a version in force.
+// awaitConfirmation waits until all entries have applied a version, at most for confirmTimeout.
 func (e *Entry) confirm(ctx context.Context, version uint64) Applied {
 	until := time.Now().Add(confirmWait)
 	for {
@@ -100,6 +99,7 @@
 	}
 }
 
+// confirmations returns which entries have applied a version.
 func (e *Entry) confirmed(version uint64) Applied {
 	out := Applied{Version: version, Confirmed: []string{e.Name()}}
 	view := e.members.View()
@@ -121,8 +121,8 @@
 	return out
 }
 
-// IssueKey makes a key for a team, an owner or an operator. The key itself is
-// in this answer only.
+// IssueKey creates a key for a team, an owner or an operator. Only this response contains the key itself; the
+// configuration stores its hash.
 func (e *Entry) IssueKey(ctx context.Context, actor Actor, role winch.KeyRole, holder string) (string, Applied, winch.Result) {
 	secret, key := config.NewKey()
 	key.Role, key.Holder, key.Issued = role, holder, time.Now().UTC()
@@ -133,20 +133,20 @@
 	return secret, applied, r
 }
 
-// Plan returns what a declaration would change, without changing it.
+// Plan returns the version of the configuration and the changes that a declaration would make, without making them.
 func (e *Entry) Plan(ctx context.Context, d config.Declared) (uint64, []winch.Audit, winch.Result) {
-	cur, err := swap.Read[winch.Document](ctx, e.Store, config.Key)
+	current, err := swap.Read[winch.Document](ctx, e.Store, config.Key)
 	if err != nil {
 		return 0, nil, winch.RefuseFor(winch.StoreUnavailable, "the configuration cannot be read", time.Second)
 	}
-	lines, err := d.Plan(&cur.Body)
+	lines, err := d.Plan(&current.Body)
 	if err != nil {
 		return 0, nil, winch.Refuse(winch.BadRequest, err.Error())
 	}
-	return cur.Body.Version, lines, winch.Result{}
+	return current.Body.Version, lines, winch.Result{}
 }
 
-// Trail returns the audit trail.
+// Trail returns the audit trail of the configuration.
 func (e *Entry) Trail(ctx context.Context) ([]winch.Audit, winch.Result) {
 	trail, err := e.editor.Trail(ctx)
 	if err != nil {
--- a/entry/slot.go
+++ b/entry/slot.go
@@ -14,49 +14,49 @@
 	"plantainwinch/winch"
 )
 
-// homesTried bounds how many homes one call asks. Only a home that surely gave
-// no slot is followed by another.
+// maxHomes bounds how many homes one call asks for a slot. The home of an executor is the entry that hands out its
+// slots. Another home is asked only if the one before is guaranteed to have granted no slot.
 const homesTried = 3
 
-// homeRounds and homePause bound how long a call waits for executors that are
-// between two homes, as while their home is being replaced.
+// maxHomeRetries and homeRetryDelay bound how long a call waits while no executor of its service has a home, for
+// example while the home is being replaced.
 const (
 	homeRounds = 20
 	homePause  = 50 * time.Millisecond
 )
 
-// seekSlot gets a slot for a call. Only while the platform lists executors of the
-// service, none of which has a home at the moment, is it tried again.
-func (e *Entry) seekSlot(ctx context.Context, f *flight) (*grant, winch.Result) {
-	for round := 0; ; round++ {
-		g, r := e.trySlot(ctx, f)
-		between := r.Reason == winch.NoExecutor || r.Reason == winch.Stopping
-		if !between || round == homeRounds || len(f.tried) > 0 || !e.listed(f.call.Service) {
+// acquireSlot acquires a slot for a call. It retries only while the platform lists executors of the service but none of
+// them has a home that hands out slots.
+func (e *Entry) seekSlot(ctx context.Context, p *flight) (*grant, winch.Result) {
+	for retries := 0; ; retries++ {
+		g, r := e.trySlot(ctx, p)
+		noHome := r.Reason == winch.NoExecutor || r.Reason == winch.Stopping
+		if !noHome || retries == homeRounds || len(p.tried) > 0 || !e.listed(p.call.Service) {
 			return g, r
 		}
-		if time.Until(f.startBy()) < homePause || !wait(ctx, homePause) {
+		if time.Until(p.startBy()) < homePause || !wait(ctx, homePause) {
 			return g, r
 		}
 	}
 }
 
-// listed reports whether the platform lists an executor of the service that stays.
+// executorListed reports whether the platform lists an executor of the service that is not leaving.
 func (e *Entry) listed(service string) bool {
 	return slices.ContainsFunc(e.members.View().VMs, func(vm winch.VM) bool {
 		return vm.Service == service && vm.Role == winch.RoleExecutor && !vm.Leaving
 	})
 }
 
-// trySlot asks the homes of executors, each one hop away at most.
-func (e *Entry) trySlot(ctx context.Context, f *flight) (*grant, winch.Result) {
+// tryHomes requests a slot from one home of the service's executors after the other; none is more than one hop away.
+func (e *Entry) trySlot(ctx context.Context, p *flight) (*grant, winch.Result) {
 	skip := make(map[string]bool)
 	last := winch.RefuseFor(winch.NoExecutor, "no live entry has an executor of the service", time.Second)
 	for range homesTried {
-		home := e.pickHome(f.call.Service, skip)
+		home := e.pickHome(p.call.Service, skip)
 		if home == "" {
 			return nil, last
 		}
-		g, r := e.askSlot(ctx, f, home)
+		g, r := e.askSlot(ctx, p, home)
 		if r.OK() {
 			return g, r
 		}
@@ -69,51 +69,54 @@
 	return nil, last
 }
 
+// pickHome returns the home to ask next, or an empty string if there is none.
 func (e *Entry) pickHome(service string, skip map[string]bool) string {
 	rnd, release := e.random()
 	defer release()
 	return route.Pick(e.members.View(), service, e.table.Loads(), skip, rnd)
 }
 
-func (e *Entry) askSlot(ctx context.Context, f *flight, home string) (*grant, winch.Result) {
+// requestSlot requests a slot from a home.
+func (e *Entry) askSlot(ctx context.Context, p *flight, home string) (*grant, winch.Result) {
 	g := &grant{id: rand.Text(), home: home}
-	ask := proto.SlotRequest{
-		Grant: g.id, Service: f.call.Service, Class: f.who.class.Name, Team: f.who.team.Name, KeyID: f.who.key.ID,
-		Remaining: time.Until(f.startBy()), MaxRun: f.maxRun, Avoid: f.tried,
+	request := proto.SlotRequest{
+		Grant: g.id, Service: p.call.Service, Class: p.who.class.Name, Team: p.who.team.Name, KeyID: p.who.key.ID,
+		Remaining: time.Until(p.startBy()), MaxRun: p.maxRun, Avoid: p.tried,
 	}
-	if ask.Remaining <= 0 {
+	if request.Remaining <= 0 {
 		return nil, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", time.Second)
 	}
-	give, err := e.ask(ctx, home, ask)
+	response, err := e.ask(ctx, home, request)
 	if err != nil {
 		return nil, e.askFailed(ctx, g, err)
 	}
-	if !give.Refused.OK() {
-		return nil, give.Refused
+	if !response.Refused.OK() {
+		return nil, response.Refused
 	}
 	if ctx.Err() != nil {
 		e.giveBack(g, proto.SlotRelease{Grant: g.id})
 		return nil, winch.Refuse(winch.CallerGone, "the caller went away")
 	}
-	g.vm = give.Executor
-	e.grants.add(g.id, heldGrant{home: home, executor: g.vm.ID, team: f.who.team.Name, until: time.Now().Add(f.maxRun)})
+	g.vm = response.Executor
+	e.grants.add(g.id, heldGrant{home: home, executor: g.vm.ID, team: p.who.team.Name, until: time.Now().Add(p.maxRun)})
 	return g, winch.Result{}
 }
 
-func (e *Entry) ask(ctx context.Context, home string, ask proto.SlotRequest) (give proto.SlotResponse, err error) {
+// sendSlotRequest sends a slot request to a home, which may be this entry.
+func (e *Entry) ask(ctx context.Context, home string, request proto.SlotRequest) (response proto.SlotResponse, err error) {
 	if home == e.Name() {
-		return e.table.Acquire(ctx, home, ask), nil
+		return e.table.Acquire(ctx, home, request), nil
 	}
 	metrics.GetOrRegisterCounter("Calls.Hops", e.Metrics).Inc(1)
-	ctx, cancel := context.WithTimeout(ctx, ask.Remaining+storeCall)
+	ctx, cancel := context.WithTimeout(ctx, request.Remaining+storeCall)
 	defer cancel()
-	err = e.Peers.Request(ctx, home, proto.KindSlot, ask, &give)
-	return give, err
+	err = e.Peers.Request(ctx, home, proto.KindSlot, request, &response)
+	return response, err
 }
 
-// askFailed handles a question without an answer. The home may have granted the
-// slot, so it is told that nobody uses it; where the link broke, the list that
-// goes first over the next link tells it the same.
+// handleSlotError handles a slot request without a response. The home may have granted the slot, so the entry notifies
+// it that the slot is not used. If the connection broke, the list of used slots that is sent first over the next
+// connection has the same effect.
 func (e *Entry) askFailed(ctx context.Context, g *grant, err error) winch.Result {
 	if !errors.Is(err, winch.ErrNoPeer) {
 		_ = e.Peers.Notify(g.home, proto.KindSlotRelease, proto.SlotRelease{Grant: g.id})
@@ -124,10 +127,9 @@
 	return winch.RefuseFor(winch.NoExecutor, "the executor's home entry could not be reached", time.Second)
 }
 
-// giveBack returns a slot to the home that the grant is known by, and to the
-// executor's present one: while an executor changes its home, the old one may
-// have handed the grant on already, and the new one would keep the slot taken
-// for the longest run time.
+// returnSlot returns a slot to the home that granted it and to the executor's present home. While an executor changes
+// its home, the old one may already have handed the grant over, and the new one would keep the slot in use for the
+// maximum run time.
 func (e *Entry) giveBack(g *grant, done proto.SlotRelease) {
 	home := e.grants.remove(g.id)
 	if home == "" {
@@ -137,8 +139,8 @@
 	if g.vm.ID == "" {
 		return
 	}
-	if now := e.members.View().Home(g.vm); now != home && now != "" {
-		e.tellDone(now, done)
+	if present := e.members.View().Home(g.vm); present != home && present != "" {
+		e.tellDone(present, done)
 	}
 }
 
--- a/entry/status.go
+++ b/entry/status.go
@@ -9,17 +9,17 @@
 	"plantainwinch/winch"
 )
 
-// CellStatus is the cell as one entry sees it.
+// CellStatus is the status of the cell as one entry knows it.
 type CellStatus struct {
 	Entry   string
 	Config  uint64
-	Store   bool // Store says that this entry reaches the store.
+	Store   bool // Store says that this entry has reached the store within the member lease.
 	Entries []MemberStatus
 	Domains []DomainStatus
 	Teams   []TeamStatus
 }
 
-// MemberStatus is one live entry.
+// MemberStatus is the status of a live entry.
 type MemberStatus struct {
 	Name    string
 	Domain  string
@@ -28,7 +28,7 @@
 	Loads   []LoadStatus
 }
 
-// LoadStatus is how full the executors at one home are.
+// LoadStatus is the load of a service's executors that have the same home entry.
 type LoadStatus struct {
 	Service string
 	Slots   int
@@ -36,7 +36,7 @@
 	Queued  int
 }
 
-// DomainStatus is one failure domain.
+// DomainStatus is the status of a failure domain.
 type DomainStatus struct {
 	Name    string
 	Placer  string
@@ -46,7 +46,7 @@
 	Waiting int
 }
 
-// TeamStatus is one team over the whole fleet.
+// TeamStatus is the status of a team over the whole cell.
 type TeamStatus struct {
 	Name    string
 	Running int
@@ -55,7 +55,7 @@
 	Share   int
 }
 
-// Status returns the cell's status.
+// Status returns the status of the cell, combined from this entry's heartbeat and the last ones of its peers.
 func (e *Entry) Status(ctx context.Context) CellStatus {
 	view := e.members.View()
 	own := e.beat(ctx)
@@ -90,14 +90,15 @@
 	return out
 }
 
+// teamRows returns an empty row for each team of the configuration.
 func (e *Entry) teamRows() map[string]*TeamStatus {
-	out := make(map[string]*TeamStatus)
+	rows := make(map[string]*TeamStatus)
 	if doc := e.held.Get(); doc != nil {
 		for name, t := range doc.Teams {
-			out[name] = &TeamStatus{Name: name, Limit: t.Limit, Share: t.Share}
+			rows[name] = &TeamStatus{Name: name, Limit: t.Limit, Share: t.Share}
 		}
 	}
-	return out
+	return rows
 }
 
 func memberStatus(name string, b proto.Heartbeat) MemberStatus {
@@ -108,7 +109,7 @@
 	return s
 }
 
-// addDomain takes the newest epoch that any entry tells.
+// addDomain adds what a heartbeat reports about its domain. The heartbeat with the latest epoch names the planner.
 func addDomain(domains map[string]*DomainStatus, name string, b proto.Heartbeat) {
 	d := domains[b.Domain]
 	if d == nil {
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -10,22 +10,21 @@
 	"plantainwinch/winch"
 )
 
-// stopPoll is the pause between two looks at what still runs.
+// stopPollInterval is the interval at which Stop checks whether calls are still in progress.
 const stopPoll = 20 * time.Millisecond
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this entry.
 func (e *Entry) Ready() bool {
 	return !e.stopping.Load() && !e.draining.Load() && e.held.Get() != nil
 }
 
-// Stop ends the entry as planned, without cutting a request short: it stops
-// being ready, hands its executors and its office over, lets what runs end and
-// gives its units back. Calls that still run after the drain time are answered
-// as unknown.
+// Stop performs a planned stop that interrupts no request: the entry is no longer ready, hands over its executors and
+// its office, waits until all calls have ended and returns its units. Calls that are still in progress at the drain
+// timeout are answered with an unknown outcome.
 func (e *Entry) Stop(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, e.Settings.Timing.Drain)
 	defer cancel()
-	e.Log.Info("stopping", zap.String("Entry", e.Name()))
+	e.Log.Info("entry stopping", zap.String("Entry", e.Name()))
 	e.draining.Store(true)
 	e.members.Leave(ctx)
 	e.settleHomes(ctx)
@@ -35,16 +34,16 @@
 	e.stopping.Store(true)
 	for e.running.Load() > 0 {
 		if !wait(ctx, stopPoll) {
-			e.Log.Warn("drain time is over", zap.Int64("Running", e.running.Load()))
+			e.Log.Warn("drain timeout reached; calls still in progress are answered with an unknown outcome", zap.Int64("Running", e.running.Load()))
 			e.expire()
 			return
 		}
 	}
 	e.leaveUnits(ctx)
-	e.Log.Info("stopped", zap.String("Entry", e.Name()))
+	e.Log.Info("entry stopped", zap.String("Entry", e.Name()))
 }
 
-// leaveUnits gives the units back unless work started with them may still run.
+// returnUnits returns the units to the pool unless work started with them may still be running.
 func (e *Entry) leaveUnits(ctx context.Context) {
 	use, err := e.units.Usage(ctx)
 	if err != nil {
@@ -52,7 +51,7 @@
 	}
 	for _, n := range use {
 		if n[0] > 0 {
-			return // The placer reclaims the row once the longest run time has passed.
+			return // The planner reclaims the units once the maximum run time has passed.
 		}
 	}
 	_ = quota.Reclaim(ctx, e.Store, []string{e.holderName()})
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -17,40 +17,41 @@
 )
 
 const (
-	// watchPause lets changes gather, so that a busy ledger does not turn one
-	// watch into many calls.
+	// watchBatchDelay is the delay between two watch calls. It collects changes into batches, so that a busy ledger
+	// does not cause a call for each change.
 	watchPause = 100 * time.Millisecond
-	// watchRetry is the pause after a watch failed.
+	// watchRetryDelay is the delay after a watch failed.
 	watchRetry = 500 * time.Millisecond
 )
 
-// runWatch keeps one watch on the store open and hands changes on.
+// runWatch watches the store and dispatches the changes. It watches the ledger's jobs only while this entry holds the
+// office.
 func (e *Entry) runWatch(ctx context.Context) {
-	after, fresh, jobs := uint64(0), true, false
+	after, reread, watchesJobs := uint64(0), true, false
 	for ctx.Err() == nil {
-		if fresh {
-			fresh = !e.readConfig(ctx)
+		if reread {
+			reread = !e.readConfig(ctx)
 		}
 		prefixes := []string{config.Key, office.RecordPrefix + e.Domain(), office.LeasePrefix + e.Domain()}
-		began := e.office.IsHolder() && !jobs
-		if jobs = e.office.IsHolder(); jobs {
+		jobsAdded := e.office.IsHolder() && !watchesJobs
+		if watchesJobs = e.office.IsHolder(); watchesJobs {
 			prefixes = append(prefixes, ledger.JobsPrefix)
 		}
-		if began {
-			e.office.Reload() // Changes of jobs up to here were not watched.
+		if jobsAdded {
+			e.office.Reload() // Earlier changes of jobs were not watched.
 		}
 		changes, next, err := e.watchOnce(ctx, prefixes, after)
 		if errors.Is(err, errWatchAnew) {
 			continue
 		}
 		if err != nil {
-			fresh = true
+			reread = true
 			wait(ctx, watchRetry)
 			continue
 		}
 		if next < after {
-			e.Log.Warn("the store has gone back to an older state", zap.Uint64("Was", after), zap.Uint64("Is", next))
-			fresh = true
+			e.Log.Warn("the store's revision went backwards; reading the configuration again", zap.Uint64("Was", after), zap.Uint64("Is", next))
+			reread = true
 		}
 		after = next
 		e.dispatch(ctx, changes)
@@ -58,22 +59,22 @@
 	}
 }
 
-// errWatchAnew says that the watch was ended since the office was taken or lost.
-var errWatchAnew = errors.New("the office has changed")
+// errWatchRestarted says that the watch was cancelled because this entry acquired the office.
+var errWatchAnew = errors.New("watch restarted: this entry acquired the office")
 
-// watchOnce waits for changes. It ends early when this entry takes the office:
-// the watch does not cover the jobs then, and what is accepted by an entry that
-// dies before it can tell would not be taken up.
+// watchOnce waits for changes. It returns early when this entry acquires the office, because the watch does not cover
+// the jobs yet: a job accepted by an entry that ends before it notifies the planner would not be found.
 func (e *Entry) watchOnce(ctx context.Context, prefixes []string, after uint64) (changes []winch.Change, next uint64, err error) {
-	anew := duty.RunUntil(ctx, e.rewatch, func(ctx context.Context) {
+	restarted := duty.RunUntil(ctx, e.rewatch, func(ctx context.Context) {
 		changes, next, err = e.Store.Watch(ctx, prefixes, after)
 	})
-	if err != nil && anew {
+	if err != nil && restarted {
 		return nil, after, errWatchAnew
 	}
 	return changes, next, err
 }
 
+// dispatch passes changes in the store to the parts that they concern.
 func (e *Entry) dispatch(ctx context.Context, changes []winch.Change) {
 	for _, c := range changes {
 		switch {
@@ -87,7 +88,7 @@
 	}
 }
 
-// readConfig reads the configuration and reports whether that went well.
+// readConfig reads the configuration from the store, applies it and reports whether the store could be read.
 func (e *Entry) readConfig(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeCall)
 	defer cancel()
@@ -99,13 +100,13 @@
 	return true
 }
 
-// offer takes a document over if it is newer, and ends the waiting work of
-// keys that it withdraws.
+// applyConfig applies a configuration if it is newer than the present one, and cancels the waiting work of keys that it
+// withdraws.
 func (e *Entry) offer(ctx context.Context, doc *winch.Document) {
 	if doc.Version == 0 || !e.held.Offer(doc) {
 		return
 	}
-	e.Log.Info("configuration in force", zap.Uint64("Version", doc.Version))
+	e.Log.Info("configuration applied", zap.Uint64("Version", doc.Version))
 	_ = e.table.RefuseWithdrawnKeys(ctx, func(id string) bool {
 		_, ok := doc.Keys[id]
 		return ok
