--- a/entry/alive.go
+++ b/entry/alive.go
@@ -38,19 +38,19 @@
 	last atomic.Pointer[time.Time] // last is when the request of the last contact was sent; nil if there was none.
 }
 
-func (a *alive) confirm(sent time.Time) {
-	a.last.Store(&sent)
+func (c *alive) confirm(sent time.Time) {
+	c.last.Store(&sent)
 }
 
 // within reports whether the last contact was less than d ago.
-func (a *alive) within(d time.Duration) bool {
-	last := a.last.Load()
+func (c *alive) within(d time.Duration) bool {
+	last := c.last.Load()
 	return last != nil && time.Since(*last) < d
 }
 
 // age returns how long ago the last contact was, zero if there was none.
-func (a *alive) since() time.Duration {
-	if last := a.last.Load(); last != nil {
+func (c *alive) since() time.Duration {
+	if last := c.last.Load(); last != nil {
 		return time.Since(*last)
 	}
 	return 0
--- a/entry/call.go
+++ b/entry/call.go
@@ -42,8 +42,7 @@
 	Length   int64 // Length is the size of Body in bytes, or -1 if it is unknown.
 }
 
-// Reply is the outcome of a Call. If it has a Body, the caller of Call must read it to its end and then call
-// Finish.
+// Reply is the outcome of a Call. The caller of Call must read Body, if there is one, to its end and then call Finish.
 type Reply struct {
 	Result winch.Result
 	Status int
@@ -398,7 +397,7 @@
 }
 
 // uncertainResult returns the result of a request that may still be running. A repeatable one may be sent again only
-// once it is guaranteed to have ended, since it could run in two places before.
+// once it is guaranteed to have ended; before that, it could run at two executors at once.
 func (p *flight) mayRun(reason winch.Reason, detail string) winch.Result {
 	r := winch.Uncertain(reason, detail)
 	if p.who.class.Repeatable {
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -17,8 +17,8 @@
 	"plantainwinch/winch"
 )
 
-// A caller gets each part of a request wrong. It is told which one, and nothing
-// reaches an executor.
+// Guards against a call with bad input that reaches an executor. Each part of a request is wrong once; the caller must
+// get the matching reason and a detail.
 func TestCallBadInput(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -56,14 +56,14 @@
 			if got.Outcome != winch.NotRun || got.Reason != c.want {
 				w.t.Errorf("%s: got %s %s, want NotRun %s", c.name, got.Outcome, got.Reason, c.want)
 			}
-			is.True(got.Detail != "") // the caller is told what to mend
+			is.True(got.Detail != "") // the detail says what to correct
 		}
 		is.Equal(w.execs.total(), 0) // nothing reached an executor
 	})
 }
 
-// A body is longer than its service takes but does not say so. Executors must
-// not be sent half of it as if it were whole.
+// Guards against a truncated body that an executor takes for a complete one: the body has no declared length and turns
+// out larger than the service accepts.
 func TestCallBodyGrowsTooLarge(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -74,9 +74,8 @@
 	})
 }
 
-// An executor's VM dies while it runs a preview. The caller is told at once that
-// the outcome is unknown and when it may ask again, and nothing runs a second
-// time behind its back while the first run may still go on.
+// Guards against a second run of a request while the first may still be running: the executor's VM dies during a
+// preview. The caller must get at once an unknown outcome and the time after which it may send the request again.
 func TestExecutorDiesInCall(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -90,13 +89,13 @@
 		group.Wait()
 		is.Equal(got.Outcome, winch.Unknown)
 		is.Equal(got.Reason, winch.ExecutorFailed)
-		is.Equal(got.RetryAfter, 30*time.Second) // the class's longest run
+		is.Equal(got.RetryAfter, 30*time.Second) // the class's maximum run time
 		is.Equal(w.execs.count("x"), 1)
 	})
 }
 
-// An executor is already dead when a call is sent to it. No byte left, so the
-// call goes to another executor, an invoice too, and the caller notices nothing.
+// Guards against calls that fail although another executor is available: one executor is dead before the call is sent.
+// No byte was sent to it, so the call goes to the other executor and succeeds.
 func TestExecutorDeadBeforeCall(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -109,9 +108,9 @@
 	})
 }
 
-// An executor hangs for longer than the caller waits. The caller is told in
-// time; the slot and the team's unit stay taken until the longest run time is
-// over, since the work may still be running.
+// Guards against a slot or unit that is returned while its work may still be running: an executor hangs for longer than
+// the caller waits. The caller must get an outcome at its deadline, and the slot and the team's unit must stay in use
+// until the maximum run time has passed.
 func TestExecutorHangs(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -120,8 +119,8 @@
 		w.settle()
 		w.configure(a, 2, "choir")
 		w.settle()
-		w.call(a, "choir", "preview", "warm", "x") // a second slot opens
-		thaw := w.execs.freeze("e1")
+		w.call(a, "choir", "preview", "warm", "x") // a second slot becomes available
+		unblock := w.execs.freeze("e1")
 		short := func(c *Call) { c.Deadline = time.Now().Add(3 * time.Second) }
 		var group conc.WaitGroup
 		var got [2]result
@@ -136,16 +135,16 @@
 		}
 		time.Sleep(20 * time.Second)
 		again := w.call(a, "choir", "preview", "again", "x", short)
-		is.Equal(again.Outcome, winch.NotRun) // both units are still taken
+		is.Equal(again.Outcome, winch.NotRun) // both units are still in use
 		is.Equal(again.Reason, winch.OverLimit)
-		thaw()
+		unblock()
 		time.Sleep(20 * time.Second)
 		is.Equal(w.call(a, "choir", "preview", "late", "x").Outcome, winch.Done)
 	})
 }
 
-// An executor answers a request with the answer to another one. The caller must
-// not get somebody else's answer.
+// Guards against a caller that gets the response to somebody else's request: an executor responds with the id of another
+// request.
 func TestCrossedAnswer(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -160,9 +159,9 @@
 	})
 }
 
-// An answer breaks off half-way. A short one is reported as unknown; a long one
-// was partly passed on already, so the caller's reader must fail instead of
-// ending as if it were whole.
+// Guards against a truncated response that a caller takes for a complete one: the executor's connection breaks during
+// the response. A short response must be reported as unknown. A long one was already passed on in part, so the caller's
+// reader must fail.
 func TestAnswerBreaksOff(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -182,9 +181,8 @@
 	})
 }
 
-// A caller loses its connection after its invoice was sent and sends it again,
-// through another entry. The invoice runs once, and the second request gets the
-// first one's answer.
+// Guards against an invoice that runs twice: its caller loses the connection while it runs and sends it again through
+// another entry. The second request must get the response to the first.
 func TestInvoiceSentAgain(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -205,8 +203,8 @@
 	})
 }
 
-// The entry that sent an invoice dies before the answer. Whoever asks again is
-// told that the outcome is not known, now and later; it is never sent again.
+// Guards against an invoice that runs twice: the entry that sent it dies before the response. A caller that sends it
+// again must get an unknown outcome, at once and later, and no entry may send it to an executor again.
 func TestEntryDiesInInvoice(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -217,7 +215,7 @@
 		a.kill()
 		now := w.call(b, "choir", "invoice", "i1", "take=10s")
 		is.Equal(now.Outcome, winch.Unknown)
-		is.True(now.RetryAfter > 0) // it may still end
+		is.True(now.RetryAfter > 0) // it may still be running
 		time.Sleep(40 * time.Second)
 		later := w.call(b, "choir", "invoice", "i1", "take=10s")
 		is.Equal(later.Outcome, winch.Unknown)
@@ -227,9 +225,8 @@
 	})
 }
 
-// The store is down or loses its replies while invoices are recorded. An invoice
-// that is answered as not run was not sent; one whose record took effect though
-// the reply was lost goes on and runs once.
+// Guards against a wrong outcome when the store fails while invoices are recorded. If the store is down, the invoice
+// must be reported as not run and not be sent. If only the response to the write of its record is lost, it must run once.
 func TestInvoiceStoreTrouble(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -244,12 +241,12 @@
 		is.True(got.RetryAfter > 0)
 		is.Equal(w.execs.count("down"), 0)
 		a.cutStore(false)
-		is.Equal(w.call(a, "choir", "invoice", "down", "x").Outcome, winch.Done) // asking again helps
+		is.Equal(w.call(a, "choir", "invoice", "down", "x").Outcome, winch.Done) // a later attempt succeeds
 	})
 }
 
-// The store goes away for a minute. Waiting, repeatable calls have nothing to
-// ask of it and go on as before.
+// Guards against repeatable calls that depend on the store: it is down for a minute, and the calls must succeed without
+// delay.
 func TestStoreDownCallsGoOn(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -268,8 +265,8 @@
 	})
 }
 
-// A key is withdrawn while calls under it wait for a slot. They are answered at
-// once as not run, those that run end well, and no new one is let in.
+// Guards against calls that start after their key was withdrawn. The key is withdrawn while one call runs and others
+// wait for a slot: the waiting ones must be refused at once, the running one must succeed, and new ones must be refused.
 func TestKeyWithdrawnUnderLoad(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -279,7 +276,7 @@
 		w.configure(a, 50, "choir", "guild")
 		w.settle()
 		var mu sync.Mutex
-		var ends []result
+		var results []result
 		var group conc.WaitGroup
 		for i := range 10 {
 			n := []*node{a, b}[i%2]
@@ -287,7 +284,7 @@
 				r := w.call(n, "choir", "preview", fmt.Sprint("c", i), "take=3s")
 				mu.Lock()
 				defer mu.Unlock()
-				ends = append(ends, r)
+				results = append(results, r)
 			})
 		}
 		time.Sleep(time.Second)
@@ -298,8 +295,8 @@
 		is.True(time.Since(begin) < 2*time.Second)
 		time.Sleep(100 * time.Millisecond)
 		mu.Lock()
-		is.Equal(len(ends), 9) // all but the running one are answered
-		for _, r := range ends {
+		is.Equal(len(results), 9) // all but the running one are answered
+		for _, r := range results {
 			is.Equal(r.Outcome, winch.NotRun)
 			is.Equal(r.Reason, winch.KeyWithdrawn)
 		}
@@ -308,13 +305,13 @@
 			is.Equal(w.call(n, "choir", "preview", "new", "x").Reason, winch.UnknownKey)
 		}
 		group.Wait()
-		is.Equal(ends[9].Outcome, winch.Done)
+		is.Equal(results[9].Outcome, winch.Done)
 		is.Equal(w.execs.total(), 1)
 	})
 }
 
-// A team sends far more than its limit at once through all entries. At no
-// instant are more running than the limit; the harness checks at every start.
+// Guards against a team that exceeds its limit: it sends far more calls at once than its limit through all entries. The
+// harness checks the limit at every start.
 func TestFloodStaysInLimit(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -338,7 +335,7 @@
 			})
 		}
 		time.Sleep(time.Second)
-		is.Equal(w.call(a, "guild", "preview", "g", "x").Outcome, winch.Done) // another team is not hindered
+		is.Equal(w.call(a, "guild", "preview", "g", "x").Outcome, winch.Done) // another team is not affected
 		group.Wait()
 		is.Equal(count[winch.Unknown], 0)
 		is.True(count[winch.Done] >= 40) // 7 at once, 500 ms each, for 4 s: 56 at best
@@ -346,8 +343,8 @@
 	})
 }
 
-// An executor is marked as leaving on the platform's list. After a few seconds
-// it gets no new work, and what it runs ends well.
+// Guards against new calls on a leaving executor: two executors are marked as leaving on the platform's list. After a
+// few seconds they must get no new calls, and the call that they run must succeed.
 func TestExecutorLeaves(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -374,7 +371,7 @@
 	})
 }
 
-// openSlots counts the slots that the entries hand out.
+// openSlots returns how many slots the entries hand out.
 func openSlots(entries ...*node) (open int) {
 	for _, n := range entries {
 		for _, l := range n.table.Loads() {
@@ -384,19 +381,19 @@
 	return open
 }
 
-// An entry is stopped as planned while calls run and wait at it and at its
-// peer. No call is cut; those that wait are served by the other entry.
+// Guards against calls that a planned stop interrupts: an entry is stopped while calls run and wait at it and at its
+// peer. All of them must succeed; the other entry serves those that wait.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a, b := pair(w)
-		for openSlots(a, b) < 8 { // with fewer, forty calls take longer than they may wait
+		for openSlots(a, b) < 8 { // with fewer slots, forty calls would exceed their class's maximum wait
 			w.call(a, "choir", "preview", "warm", "x")
 			w.call(b, "choir", "preview", "warm", "x")
 		}
 		var group conc.WaitGroup
 		var mu sync.Mutex
-		var bad []result
+		var failed []result
 		done := 0
 		for i := range 40 {
 			n := []*node{a, b}[i%2]
@@ -405,7 +402,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if r.Outcome != winch.Done {
-					bad = append(bad, r)
+					failed = append(failed, r)
 				} else {
 					done++
 				}
@@ -417,17 +414,17 @@
 		is.True(time.Since(begin) < 10*time.Second)
 		a.kill()
 		group.Wait()
-		for _, r := range bad {
-			is.Equal(r.Outcome, winch.NotRun) // refused whole, never cut
+		for _, r := range failed {
+			is.Equal(r.Outcome, winch.NotRun) // refused before the start, never interrupted
 		}
-		is.Equal(len(bad), 0)
+		is.Equal(len(failed), 0)
 		is.Equal(done, 40)
 		is.Equal(w.call(b, "choir", "preview", "after", "x").Outcome, winch.Done)
 	})
 }
 
-// A call still runs when the time for a planned stop is over. Its caller is told
-// that the outcome is unknown instead of losing its connection.
+// Guards against a caller that loses its connection at the drain timeout of a planned stop: a call runs for longer than
+// that. Its caller must get an unknown outcome.
 func TestPlannedStopRunsOut(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -445,9 +442,8 @@
 	})
 }
 
-// The link to the entry that holds the free slots breaks while it is being
-// asked. The slot that it may have granted is not lost: once the link is back
-// all slots can be used again.
+// Guards against a slot that stays in use without a call: the connection to the home entry breaks after it granted a
+// slot and before the response arrives. Once the connection is restored, all slots must be free again.
 func TestLinkBreaksInAsk(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -465,7 +461,7 @@
 		}
 		var group conc.WaitGroup
 		group.Go(func() { w.call(other, "choir", "preview", "x", "y") })
-		time.Sleep(hopTime + hopTime/2) // granted, the answer on its way
+		time.Sleep(hopTime + hopTime/2) // the slot is granted, the response is under way
 		w.cut(true, []string{"a"}, []string{"b"})
 		group.Wait()
 		w.cut(false, []string{"a"}, []string{"b"})
@@ -477,8 +473,8 @@
 	})
 }
 
-// An entry starts a moment before the store can be reached. It serves as soon as
-// the store is there, not seconds later.
+// Guards against an entry that serves only seconds after the store became available: the entry starts shortly before
+// the store can be reached.
 func TestStartBeforeStore(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
--- a/entry/chaos_test.go
+++ b/entry/chaos_test.go
@@ -18,13 +18,13 @@
 	"plantainwinch/winch"
 )
 
-// Flags of the randomised runs: how many schedules to run, and from which seed.
+// Flags of the randomised schedules: how many to run, and the seed of the first.
 var (
 	schedules = flag.Int("schedules", 200, "randomised schedules to run")
 	firstSeed = flag.Uint64("first", 1, "seed of the first schedule")
 )
 
-// chaos is one randomised run: callers, operators and faults on two failure
+// randomSchedule is one randomised schedule of calls, jobs, changes by operators and faults in a cell of two failure
 // domains with two entries each.
 type chaos struct {
 	*world
@@ -40,16 +40,16 @@
 	jobs  map[string]winch.Job
 }
 
+// callResult is the result of one call.
 type chaosCall struct {
 	id, class string
 	got       result
 }
 
-// Entries die, restart, pause past their leases and lose the store; domains are
-// cut from each other; the store goes down, is slow and loses replies; workers
-// vanish and lose replies; executors hang; operators change limits and keys.
-// All of it at once, in an order that a seed decides. Callers never see a broken
-// promise, and once the faults are over all accepted work comes to its end.
+// Guards against combinations of faults that break what callers rely on. Entries die, restart, are paused past their
+// leases and lose the store; domains are partitioned; the store goes down, is slow and loses responses; workers go down
+// and lose responses; executors hang; operators change limits. A seed determines the order. Outcomes must match
+// what ran, and once the faults are over all accepted jobs must end.
 func TestChaos(t *testing.T) {
 	for i := range *schedules {
 		seed := *firstSeed + uint64(i)
@@ -100,7 +100,7 @@
 	c.verdict()
 }
 
-// pick returns a live entry.
+// randomEntry returns a random live entry, or nil if it finds none.
 func (c *chaos) pick(rnd *rand.Rand) *node {
 	c.amu.Lock()
 	defer c.amu.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-// caller makes calls and submits jobs, and sends some of them again elsewhere.
+// runCaller makes calls and submits jobs, and sends some of them again through other entries.
 func (c *chaos) caller(i int) {
 	rnd := rand.New(rand.NewPCG(c.seed, uint64(100+i)))
 	team := []string{"choir", "guild"}[i%2]
@@ -138,8 +138,8 @@
 		}
 		class := []string{"preview", "invoice"}[rnd.IntN(2)]
 		body := fmt.Sprintf("take=%dms %s", rnd.IntN(3000), id)
-		again := 1 + rnd.IntN(2)
-		for range again {
+		attempts := 1 + rnd.IntN(2)
+		for range attempts {
 			got := c.call(at, team, class, id, body)
 			c.rmu.Lock()
 			c.calls = append(c.calls, chaosCall{id, class, got})
@@ -154,6 +154,7 @@
 	}
 }
 
+// submitJob submits a random job, sometimes twice, and sometimes cancels it.
 func (c *chaos) submitOne(rnd *rand.Rand, at *node, team, id string) {
 	class := []string{"mix", "billed"}[rnd.IntN(2)]
 	kind := []winch.JobKind{winch.Batch, winch.Gang}[rnd.IntN(2)]
@@ -178,8 +179,8 @@
 	}
 }
 
-// operators change a limit now and then. The harness checks against the larger
-// of the old and the new one, since a lowered limit takes effect as work ends.
+// runOperator changes a limit from time to time. The harness checks against the largest limit so far, since a lowered
+// limit takes effect only as work ends.
 func (c *chaos) operators() {
 	rnd := rand.New(rand.NewPCG(c.seed, 77))
 	for !c.stopped() {
@@ -197,7 +198,7 @@
 	}
 }
 
-// faults brings faults about, one after the other and on top of each other.
+// injectFaults injects random faults, which may overlap.
 func (c *chaos) faults() {
 	for range 25 {
 		time.Sleep(time.Duration(500+c.rnd.IntN(4000)) * time.Millisecond)
@@ -245,20 +246,21 @@
 	}
 }
 
+// randomWorker returns a random worker.
 func (c *chaos) anyWorker() *stand.Worker {
 	return c.fleet()[fmt.Sprintf("w%d-d%d", c.rnd.IntN(3), 1+c.rnd.IntN(2))]
 }
 
-// later undoes a fault after up to that many seconds.
-func (c *chaos) later(seconds int, undo func()) {
-	d := time.Duration(1+c.rnd.IntN(seconds)) * time.Second
+// undoLater undoes a fault after a random time of at most maxSeconds.
+func (c *chaos) later(maxSeconds int, undo func()) {
+	d := time.Duration(1+c.rnd.IntN(maxSeconds)) * time.Second
 	c.group.Go(func() {
 		time.Sleep(d)
 		undo()
 	})
 }
 
-// restart kills an entry and starts a new process under its name.
+// restartEntry kills an entry and later starts a new process under its name.
 func (c *chaos) restart(name string) {
 	c.amu.Lock()
 	n := c.alive[name]
@@ -271,7 +273,7 @@
 	c.later(8, func() { c.startAgain(name) })
 }
 
-// stopOne stops an entry as planned and starts a new one in its place.
+// stopEntry performs a planned stop of an entry and starts a new process under its name.
 func (c *chaos) stopOne(name string) {
 	c.amu.Lock()
 	n := c.alive[name]
@@ -287,6 +289,7 @@
 	})
 }
 
+// startEntry starts a new process of an entry.
 func (c *chaos) startAgain(name string) {
 	n := c.entry(name, name[:2])
 	c.amu.Lock()
@@ -295,7 +298,7 @@
 	c.relink()
 }
 
-// relink sends the first messages of new links between all that reach each other.
+// reconnect sends the first messages of new connections between all entries that reach each other.
 func (c *chaos) relink() {
 	for _, a := range c.names {
 		for _, b := range c.names {
@@ -307,6 +310,7 @@
 	}
 }
 
+// endFaults ends all faults and waits until the cell has recovered.
 func (c *chaos) heal() {
 	c.platform.Set(stand.Faults{})
 	c.cut(false, c.names[:2], c.names[2:])
@@ -323,27 +327,27 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// verdict checks what the callers were told against what really happened.
+// checkResults compares the outcomes that callers got with what ran.
 func (c *chaos) verdict() {
-	told := make(map[string][]result)
+	results := make(map[string][]result)
 	for _, call := range c.calls {
-		told[call.id] = append(told[call.id], call.got)
+		results[call.id] = append(results[call.id], call.got)
 		if call.class == "invoice" && c.execs.count(call.id) > 1 {
 			c.t.Errorf("invoice %s ran %d times", call.id, c.execs.count(call.id))
 		}
 	}
-	for id, results := range told {
+	for id, attempts := range results {
 		done, unknown := false, false
-		for _, r := range results {
+		for _, r := range attempts {
 			done = done || r.Outcome == winch.Done
 			unknown = unknown || r.Outcome == winch.Unknown
 		}
 		runs := c.execs.count(id)
 		if runs > 0 && !done && !unknown {
-			c.t.Errorf("request %s ran %d times, its callers were told it was not run", id, runs)
+			c.t.Errorf("request %s ran %d times, but its callers got the outcome NotRun only", id, runs)
 		}
 		if runs == 0 && done {
-			c.t.Errorf("request %s was answered but did not run", id)
+			c.t.Errorf("request %s has the outcome Done but did not run", id)
 		}
 	}
 	at := c.alive["d1-0"]
@@ -353,7 +357,7 @@
 			if n := c.placer(job.Domain); n != nil {
 				_ = n.office.Duty.Do(context.Background(), func() { c.t.Log(n.planner.Dump(id)) })
 			}
-			c.t.Errorf("job %s (%s %s) of %s never ended: state %s, %s", id, job.Class, job.Spec.Kind, job.Domain, v.State, v.Why)
+			c.t.Errorf("job %s (%s %s) of domain %s did not end: state %s, reason for waiting: %s", id, job.Class, job.Spec.Kind, job.Domain, v.State, v.Why)
 		}
 		if v.State == winch.JobUnknown && job.Class == "mix" {
 			c.t.Errorf("repeatable job %s ended as unknown", id)
@@ -361,7 +365,7 @@
 	}
 	for _, team := range []string{"choir", "guild"} {
 		if n := c.execs.running(team); n != 0 {
-			c.t.Errorf("%d requests of %s are still running", n, team)
+			c.t.Errorf("%d requests of team %s are still running", n, team)
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -56,10 +56,12 @@
 	// storeContact records when this entry last reached the store, keysCurrent when it would last have learned of
 	// a withdrawn key.
 	alive, reached alive
-	rehome         chan struct{}
-	rewatch        chan struct{}
-	fetch          chan string
-	background     background
+	// homesChanged wakes runHomes, restartWatch makes runWatch start anew, and newerPeer passes the name of a peer
+	// with a newer configuration to runConfigFetch.
+	rehome     chan struct{}
+	rewatch    chan struct{}
+	fetch      chan string
+	background background
 
 	rndMu sync.Mutex
 	rnd   *mrand.Rand
--- a/entry/fakes_test.go
+++ b/entry/fakes_test.go
@@ -17,7 +17,7 @@
 	"plantainwinch/winch"
 )
 
-// fakePeers implements winch.Peers by calls to the other entries' handlers.
+// fakePeers implements winch.Peers by calling the handlers of the other entries.
 type fakePeers struct{ n *node }
 
 func (p fakePeers) Names() (out []string) {
@@ -62,16 +62,16 @@
 	time.Sleep(hopTime)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answer := make(chan any, 1)
+	response := make(chan any, 1)
 	var group conc.WaitGroup
 	defer group.Wait()
 	target := other
 	group.Go(func() {
-		answer <- target.Handle(ctx, p.n.Name(), kind, func(into any) error { return cbor.Unmarshal(data, into) })
+		response <- target.Handle(ctx, p.n.Name(), kind, func(into any) error { return cbor.Unmarshal(data, into) })
 	})
 	for {
 		select {
-		case out := <-answer:
+		case out := <-response:
 			time.Sleep(hopTime)
 			data, err := cbor.Marshal(out)
 			if err != nil {
@@ -89,9 +89,10 @@
 	}
 }
 
-// fakeStore passes calls to the platform unless the entry is cut from it.
+// fakeStore passes calls to the platform unless the entry is paused, killed or disconnected from the store.
 type fakeStore struct{ n *node }
 
+// check fails if the entry cannot reach the store.
 func (s fakeStore) begin() error {
 	if s.n.pass() != nil {
 		return winch.ErrUnavailable
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// lost reports whether the reply to a write that took effect is lost.
+// loseResponse returns the error of a write, or winch.ErrUncertain if the response to a successful one is to be lost.
 func (s fakeStore) lost(err error) error {
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
@@ -195,9 +196,10 @@
 	return s.n.w.platform.VMs(ctx, known)
 }
 
-// fakeWorkers passes calls to the workers and checks what must always hold.
+// fakeWorkers passes calls to the workers and checks the invariants.
 type fakeWorkers struct{ n *node }
 
+// connect returns a worker that the entry can reach.
 func (f fakeWorkers) at(vm winch.VM) (*stand.Worker, error) {
 	f.n.mu.Lock()
 	paused := f.n.gate != nil
@@ -206,9 +208,8 @@
 		return nil, err
 	}
 	if paused && f.n.w.noFence {
-		// Where workers compare no epochs, nothing can hold up a command that was
-		// sent before the pause and arrives after it; the program's own check
-		// covers pauses up to the send, which is what these runs try.
+		// Workers that do not compare epochs cannot reject a command that was sent before the pause and arrives after
+		// it. The entry's own check covers pauses up to the send; only those are tested here.
 		return nil, errReset
 	}
 	time.Sleep(hopTime)
@@ -273,19 +274,18 @@
 	return s.Stop(ctx, epoch, task)
 }
 
-// fakeExecutors runs requests. The body says what happens, as words of the form
-// name=value: take=5s is the run time.
+// fakeExecutors runs requests. A body that begins with take=5s makes the request run for 5 s.
 type fakeExecutors struct {
 	w     *world
 	mu    sync.Mutex
-	runs  map[string]int // runs counts how often each caller's request ran.
+	runs  map[string]int // runs counts the runs of each request by its id.
 	busy  map[string]int
 	peak  int
 	teams map[string]int
-	hold  map[string]chan struct{} // hold keeps executors from answering.
-	dead  map[string]chan struct{} // dead holds a closed channel for each dead executor.
-	cross bool
-	cutAt int
+	hold  map[string]chan struct{} // blocked holds a channel for each executor that must not respond until it is closed.
+	dead  map[string]chan struct{} // deaths holds a channel for each executor; it is closed once the executor is dead.
+	cross bool                     // wrongID makes executors respond with the id of another request.
+	cutAt int                      // truncateAt is the length at which responses break off, if it is not zero.
 	calls int
 	group conc.WaitGroup
 }
@@ -309,7 +309,7 @@
 	return f.runs[id]
 }
 
-// life returns the channel that closes when an executor dies.
+// died returns the channel that is closed when an executor dies. The caller must hold f.mu.
 func (f *fakeExecutors) life(id string) chan struct{} {
 	if f.dead == nil {
 		f.dead = make(map[string]chan struct{})
@@ -320,6 +320,7 @@
 	return f.dead[id]
 }
 
+// unblockAll lets all executors respond again.
 func (f *fakeExecutors) thawAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -329,8 +330,8 @@
 	}
 }
 
-// freeze keeps an executor from answering until the function returned is called.
-func (f *fakeExecutors) freeze(id string) (thaw func()) {
+// block keeps an executor from responding until the returned function is called.
+func (f *fakeExecutors) freeze(id string) (unblock func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.hold[id] != nil {
@@ -356,10 +357,10 @@
 	}
 	f := x.f
 	f.mu.Lock()
-	life := f.life(vm.ID)
+	died := f.life(vm.ID)
 	f.mu.Unlock()
 	select {
-	case <-life:
+	case <-died:
 		return nil, false, errReset
 	default:
 	}
@@ -369,14 +370,14 @@
 	}
 	done := make(chan struct{})
 	f.enter(vm.ID, req)
-	f.group.Go(func() { // The work goes on even if the caller goes away.
+	f.group.Go(func() { // The request runs on even if its caller goes away.
 		defer close(done)
 		f.work(vm.ID, string(body))
 		f.leave(vm.ID, req)
 	})
 	select {
 	case <-done:
-	case <-life:
+	case <-died:
 		return nil, true, errReset
 	case <-ctx.Done():
 		return nil, true, ctx.Err()
@@ -420,7 +421,7 @@
 	f.teams[req.Team]--
 }
 
-// total counts all requests that reached an executor.
+// totalRuns returns how many requests reached an executor.
 func (f *fakeExecutors) total() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -435,9 +436,9 @@
 		}
 	}
 	f.mu.Lock()
-	hold := f.hold[id]
+	blocked := f.hold[id]
 	f.mu.Unlock()
-	if hold != nil {
-		<-hold
+	if blocked != nil {
+		<-blocked
 	}
 }
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -21,8 +21,7 @@
 	"plantainwinch/winch"
 )
 
-// world is a cell of entries over fakes at their interfaces, in a bubble whose
-// clock the test advances.
+// world is a cell of entries with fakes behind their interfaces. It runs in a synctest bubble with a fake clock.
 type world struct {
 	t         *testing.T
 	platform  *stand.Platform
@@ -35,13 +34,13 @@
 	cutSignal chan struct{}
 	broken    []string
 	starts    map[winch.TaskID]int
-	once      map[string]bool // once names the classes whose tasks start at most once.
+	once      map[string]bool // onceClasses names the classes whose tasks may start at most once.
 	limits    map[string]int
 	tune      func(*conf.Settings)
-	// lateStarts is how many starts are still to be delivered only seconds after
-	// their sender was told that the connection broke.
+	// delayedStarts is how many start calls still reach their worker only seconds after the sender got the error
+	// that the connection broke.
 	lateStarts int
-	noFence    bool // noFence makes workers that do not compare epochs.
+	noFence    bool // noFencing creates workers that do not compare epochs.
 }
 
 // node is one entry with its links to the world.
@@ -51,13 +50,14 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 	mu     sync.Mutex
-	gate   chan struct{} // gate holds outward calls while the entry is paused.
-	dead   bool          // dead is set once the process is killed: what it was about to send never leaves.
-	noSt   bool          // noSt cuts the entry from the store.
-	cutSt  chan struct{}
-	lose   int // lose is how many writes to the store still lose their reply.
+	gate   chan struct{} // gate blocks outgoing calls while the entry is paused.
+	dead   bool          // dead is set once the process is killed: it sends nothing any more.
+	noSt   bool          // storeDown says that the entry does not reach the store.
+	cutSt  chan struct{} // storeChanged is closed when storeDown changes.
+	lose   int           // lostResponses is how many writes to the store still lose their response.
 }
 
+// hopDelay is the time that a message between two processes takes.
 const hopTime = 500 * time.Microsecond
 
 func newWorld(t *testing.T) *world {
@@ -71,7 +71,7 @@
 	return w
 }
 
-// bubble runs a test in a bubble with fake time and stops the world at its end.
+// bubble runs a test in a synctest bubble with a fake clock and stops all entries at its end.
 func bubble(t *testing.T, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -81,18 +81,19 @@
 	})
 }
 
-// end stops what runs and reports broken promises.
+// finish stops all entries and executors and reports the invariants that were violated.
 func (w *world) end() {
 	for _, n := range w.entries {
 		n.kill()
 	}
 	w.execs.thawAll()
 	w.execs.group.Wait()
-	for _, b := range w.broken {
-		w.t.Error("broken: " + b)
+	for _, v := range w.broken {
+		w.t.Error("invariant violated: " + v)
 	}
 }
 
+// recordViolation records that an invariant was violated.
 func (w *world) breach(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,7 +151,7 @@
 	return n
 }
 
-// kill ends an entry as SIGKILL would: nothing is handed over.
+// kill ends an entry as SIGKILL does: nothing is handed over.
 func (n *node) kill() {
 	n.mu.Lock()
 	n.dead = true
@@ -164,8 +165,7 @@
 	n.w.signalCut()
 }
 
-// pause holds every outward call of the entry until resume; they then go on
-// with what the entry knew before.
+// pause blocks every outgoing call of the entry until resume. The calls are then sent with what the entry knew before.
 func (n *node) pause() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -183,9 +183,9 @@
 	}
 }
 
-var errDead = errors.New("the process is dead")
+var errDead = errors.New("the process was killed")
 
-// pass waits while the entry is paused, and fails once it is dead.
+// awaitGate waits while the entry is paused and fails once it was killed.
 func (n *node) pass() error {
 	n.mu.Lock()
 	gate := n.gate
@@ -201,29 +201,29 @@
 	return nil
 }
 
-// cutStore cuts the entry from the store, or joins it again.
-func (n *node) cutStore(off bool) {
+// partitionStore disconnects the entry from the store, or connects it again.
+func (n *node) cutStore(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.noSt = off
+	n.noSt = on
 	close(n.cutSt)
 	n.cutSt = make(chan struct{})
 }
 
-// loseReplies makes the next writes of the entry lose their reply.
+// loseResponses makes the next writes of the entry to the store lose their response.
 func (n *node) loseReplies(count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lose = count
 }
 
-// cut cuts the links between two groups of entries, or joins them again.
-func (w *world) cut(off bool, a, b []string) {
+// partition disconnects two groups of entries and workers from each other, or connects them again.
+func (w *world) cut(on bool, a, b []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range a {
 		for _, y := range b {
-			w.cuts[[2]string{x, y}], w.cuts[[2]string{y, x}] = off, off
+			w.cuts[[2]string{x, y}], w.cuts[[2]string{y, x}] = on, on
 		}
 	}
 	w.signalCut()
@@ -234,6 +234,7 @@
 	w.cutSignal = make(chan struct{})
 }
 
+// reach returns an entry that can be reached, or nil, and the channel that is closed at the next change of partitions.
 func (w *world) reach(from, to string) (*node, chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -243,7 +244,7 @@
 	return w.entries[to], w.cutSignal
 }
 
-// started checks the promises right after a task was started.
+// checkStart checks the invariants right after a task was started.
 func (w *world) started(at *stand.Worker, task winch.Task) {
 	w.mu.Lock()
 	w.starts[task.ID]++
@@ -263,13 +264,14 @@
 	w.checkLimit(task.Team)
 }
 
-// startMap returns how often each task was started.
+// startCounts returns how often each task was started.
 func (w *world) startMap() map[winch.TaskID]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.starts)
 }
 
+// checkLimit checks that a team has no more requests and tasks running than its limit.
 func (w *world) checkLimit(team string) {
 	running := w.execs.running(team)
 	for _, s := range w.fleet() {
@@ -279,22 +281,22 @@
 	limit := w.limits[team]
 	w.mu.Unlock()
 	if running > limit {
-		w.breach("team %s has %d running, its limit is %d", team, running, limit)
+		w.breach("team %s has %d requests and tasks running; its limit is %d", team, running, limit)
 	}
 }
 
-// kill makes an executor refuse connections and break those it has.
+// kill makes an executor refuse connections and breaks its open ones.
 func (f *fakeExecutors) kill(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	close(f.life(id))
 }
 
-// operator is the actor of the tests' changes.
+// operator is the actor that makes the changes of the tests.
 var operator = Actor{Name: "operator", Role: winch.KeyOperator}
 
-// configure declares teams with one limit, the classes and the service, with a
-// key for each team and its approval.
+// configure declares teams with the same limit, the classes and the service, and gives each team a key and the approval
+// to call the service.
 func (w *world) configure(n *node, limit int, teams ...string) {
 	w.t.Helper()
 	d := config.Declared{
@@ -324,6 +326,7 @@
 	}
 }
 
+// change makes a change of the configuration through an entry.
 func (w *world) change(n *node, c config.Change) Applied {
 	w.t.Helper()
 	applied, r := n.Change(w.t.Context(), operator, 0, c)
@@ -333,10 +336,10 @@
 	return applied
 }
 
-// standDown takes the platform down for everyone.
+// platformDown makes the platform unavailable to all entries.
 var standDown = stand.Faults{Down: true}
 
-// vm returns a VM of the platform's list.
+// listedVM returns a VM of the platform's list.
 func (w *world) vm(id string) winch.VM {
 	list, _, err := w.platform.VMs(context.Background(), 0)
 	if err != nil {
@@ -351,7 +354,7 @@
 	return winch.VM{}
 }
 
-// link delivers the first messages of new links between two entries.
+// sendFirst delivers the first messages of new connections between two entries.
 func (w *world) link(a, b string) {
 	for _, p := range [][2]string{{a, b}, {b, a}} {
 		from, _ := w.reach(p[1], p[0])
@@ -362,12 +365,12 @@
 	}
 }
 
-// settle waits until the entries know each other and each domain has a placer.
+// settle waits until the entries know each other and each domain has a planner.
 func (w *world) settle() {
 	time.Sleep(8 * time.Second)
 }
 
-// result is what a caller got.
+// result is what a caller got; complete says that it read the response to its end.
 type result struct {
 	winch.Result
 	body  string
@@ -375,9 +378,9 @@
 	took  time.Duration
 }
 
-// call makes a call through an entry and reads its answer.
+// call makes a call through an entry and reads the response.
 func (w *world) call(n *node, team, class, id, body string, change ...func(*Call)) result {
-	begin := time.Now()
+	start := time.Now()
 	c := Call{
 		Key: w.keys[team], Service: "render", Class: class, RequestID: id, Path: "/",
 		Header: http.Header{"Stand-Caller": {id}}, Body: strings.NewReader(body), Length: int64(len(body)),
@@ -393,7 +396,7 @@
 		out.Outcome = winch.Done
 	}
 	reply.Finish(out.whole)
-	out.took = time.Since(begin)
+	out.took = time.Since(start)
 	return out
 }
 
@@ -405,13 +408,13 @@
 	})
 }
 
-// await waits for a job's end.
-func (w *world) await(n *node, team, id string, most time.Duration) JobView {
-	v, _ := n.Job(context.Background(), w.keys[team], id, most)
+// await waits until a job has ended or the timeout has passed.
+func (w *world) await(n *node, team, id string, timeout time.Duration) JobView {
+	v, _ := n.Job(context.Background(), w.keys[team], id, timeout)
 	return v
 }
 
-// placer returns the entry that holds a domain's office.
+// planner returns the entry that holds a domain's office.
 func (w *world) placer(domain string) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/job_test.go
+++ b/entry/job_test.go
@@ -16,8 +16,8 @@
 	"plantainwinch/winch"
 )
 
-// A submission is wrong in one part. It is refused with the reason, and nothing
-// is recorded.
+// Guards against recorded jobs with bad input. Each part of a submission is wrong once; it must be refused with the
+// matching reason.
 func TestSubmitBadInput(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -57,8 +57,8 @@
 	})
 }
 
-// A caller does not get the answer to its submission and submits again, through
-// another entry. There is one job, and it runs once.
+// Guards against a job that runs twice: its caller gets no response to the submission and submits it again through
+// another entry. There must be one job that runs once.
 func TestSubmitAgain(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -74,12 +74,12 @@
 		is.Equal(w.await(b, "choir", first.ID, time.Minute).State, winch.JobDone)
 		is.Equal(len(w.startMap()), 1)
 		_, r = b.Job(context.Background(), w.keys["guild"], first.ID, 0)
-		is.Equal(r.Reason, winch.UnknownJob) // other teams do not see it
+		is.Equal(r.Reason, winch.UnknownJob) // other teams cannot read the job
 	})
 }
 
-// The store is down. A deferred job is refused as not run with a time to come
-// back, and afterwards no trace of it turns up.
+// Guards against a job that was refused and runs nevertheless: the store is down when the job is submitted. It must be
+// refused as not run with a retry time, and must not appear once the store is available again.
 func TestSubmitStoreDown(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -98,8 +98,8 @@
 	})
 }
 
-// The placer dies while tasks run and wait. Its successor adopts what runs and
-// starts what waits; no task runs in two places and none is lost.
+// Guards against tasks that are lost or run twice when the planner is killed while tasks run and wait. Its successor
+// must adopt the running tasks and start the waiting ones.
 func TestPlacerDies(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -127,13 +127,13 @@
 		for _, n := range w.startMap() {
 			again += n - 1
 		}
-		is.Equal(again, 0) // nothing had to be run again
+		is.Equal(again, 0) // no task was started twice
 	})
 }
 
-// The placer is paused for longer than its lease while it has starts on their
-// way, and wakes up after its successor has taken over. The workers refuse its
-// old epoch, it gives the office up, and no task runs twice.
+// Guards against a paused planner that still starts tasks: it is paused for longer than its lease while its start calls
+// are under way, and resumes after its successor has taken over. The workers must reject its old epoch, it must give up
+// the office, and no task may run twice.
 func TestPlacerPausedPastLease(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -156,8 +156,8 @@
 	})
 }
 
-// The workers of a deployment do not compare epochs. A placer that was paused
-// past its lease must notice by its own clock that it may not act any more.
+// Guards against a paused planner that still starts tasks where workers do not compare epochs. A planner that was paused
+// for longer than its lease must detect by its own clock that it may not act any more.
 func TestPlacerPausedWithoutFence(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -176,8 +176,8 @@
 	})
 }
 
-// The placer stops as planned. Its successor places work within a fraction of a
-// second, since the office was freed at once.
+// Guards against a planned stop of the planner that delays new jobs until the office's lease expires: the stopped
+// planner must free the office at once, so that its successor starts new jobs without delay.
 func TestPlannedHandover(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -189,11 +189,11 @@
 		time.Sleep(time.Second)
 		old.Stop(context.Background())
 		old.kill()
-		begin := time.Now()
+		stopped := time.Now()
 		job, r := w.submit(other, "choir", "mix", "j2", winch.Batch, 1, time.Second)
 		is.True(r.OK())
 		is.Equal(w.await(other, "choir", job.ID, time.Minute).State, winch.JobDone)
-		is.True(time.Since(begin) < 3*time.Second)
+		is.True(time.Since(stopped) < 3*time.Second)
 		is.Equal(w.await(other, "choir", running.ID, time.Minute).State, winch.JobDone)
 		for _, n := range w.startMap() {
 			is.Equal(n, 1)
@@ -201,8 +201,8 @@
 	})
 }
 
-// A worker is lost with the tasks on it. Repeatable tasks run again elsewhere
-// once their leases have surely lapsed; a billed one ends as unknown and is
+// Guards against tasks of a lost worker that never run again, or run twice although their class forbids it. Repeatable
+// tasks must run again elsewhere once their leases are guaranteed to have expired. Billed tasks must end as unknown and
 // never run again.
 func TestWorkerLost(t *testing.T) {
 	bubble(t, func(w *world) {
@@ -227,12 +227,12 @@
 				lost++
 			}
 		}
-		is.True(lost > 0 || b.State == winch.JobUnknown) // the worker did hold something
+		is.True(lost > 0 || b.State == winch.JobUnknown) // the lost worker did run tasks
 	})
 }
 
-// The reply to a start is lost on its way. The task was started, so it must not
-// be started anywhere else, and its end must be noticed.
+// Guards against a task that is started twice: the worker started it but the response to the start call was lost. The
+// task must not be started elsewhere, and its completion must be noticed.
 func TestStartReplyLost(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -247,8 +247,8 @@
 	})
 }
 
-// The store goes away while jobs run. What was accepted before goes on and ends;
-// its end is recorded once the store is back.
+// Guards against jobs that stop while the store is down: a job accepted before must continue, also with tasks that had
+// not started yet, and its completion must be recorded once the store is available again.
 func TestStoreDownJobsGoOn(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -260,7 +260,7 @@
 		time.Sleep(40 * time.Second)
 		started := len(w.startMap())
 		w.platform.Set(stand.Faults{})
-		is.Equal(started, 32) // the second half started without the store
+		is.Equal(started, 32) // the second half started while the store was down
 		is.Equal(w.await(a, "choir", job.ID, time.Minute).State, winch.JobDone)
 		for _, n := range w.startMap() {
 			is.Equal(n, 1)
@@ -268,8 +268,8 @@
 	})
 }
 
-// A job is cancelled while it waits, while it runs, and just as it ends. The
-// answer says which of both won, and a cancelled one leaves nothing running.
+// Guards against cancelled jobs that leave tasks running, and against a cancellation that overwrites the result of a job
+// that ended before. Jobs are cancelled while they wait, while they run, and after they ended.
 func TestCancel(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -289,12 +289,12 @@
 		is.Equal(w.await(a, "choir", done.ID, time.Minute).State, winch.JobDone)
 		v, r := b.CancelJob(context.Background(), w.keys["choir"], done.ID)
 		is.True(r.OK())
-		is.Equal(v.State, winch.JobDone) // the end won
+		is.Equal(v.State, winch.JobDone) // the job ended before the cancellation
 	})
 }
 
-// A team's limit is lowered while it runs more. Nothing new of it starts until
-// enough has ended; the others go on.
+// Guards against tasks that start beyond a lowered limit: a team's limit is lowered while it runs more. Its next tasks
+// must wait until enough have ended, and other teams must not be affected.
 func TestLimitLowered(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -314,8 +314,9 @@
 	})
 }
 
-// Two domains are cut from each other and from the store in the middle of work.
-// Each goes on with its jobs and calls; after the cut nothing has run twice.
+// Guards against work that stops or runs twice in a network partition: two domains are separated from each other, and
+// one of them from the store. Each must continue its jobs and calls; after CutOffTrust, the one without
+// the store must refuse calls.
 func TestDomainsCutOff(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -349,7 +350,7 @@
 				is.Equal(w.call(n, "choir", "preview", fmt.Sprint("c", i), "x").Outcome, winch.Done)
 			}
 		}
-		time.Sleep(40 * time.Second) // longer than the team's CutOffTrust
+		time.Sleep(40 * time.Second) // the partition lasts longer than the team's CutOffTrust
 		is.Equal(w.call(a1, "choir", "preview", "x", "x").Outcome, winch.Done)
 		is.Equal(w.call(a2, "choir", "preview", "x", "x").Reason, winch.StoreUnavailable)
 		w.cut(false, []string{"a-d1", "b-d1"}, []string{"a-d2", "b-d2"})
@@ -365,9 +366,8 @@
 	})
 }
 
-// A worker still holds the end of a task that a former placer started, when the
-// new placer starts the task on it for the first time. The worker must not take
-// the new start for the old one.
+// Guards against a worker that takes a new start of a task for an earlier one: it still holds the result of the task
+// under an earlier planner when the new planner starts the task there for the first time.
 func TestNewPlacerSameWorker(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -382,7 +382,7 @@
 		job, r := w.submit(other, "choir", "mix", "j1", winch.Batch, 2, 30*time.Second)
 		is.True(r.OK())
 		time.Sleep(2 * time.Second)
-		old.pause() // the leases of the tasks lapse while nobody renews them
+		old.pause() // the leases of the tasks expire, since nobody renews them
 		w.platform.Set(standDown)
 		time.Sleep(20 * time.Second)
 		w.platform.Set(stand.Faults{})
@@ -391,9 +391,9 @@
 	})
 }
 
-// The placer is cut from the store and its successor from one worker, which the
-// old placer still reaches and goes on renewing. The successor must not take that
-// worker's tasks for lapsed while the worker is on the platform's list.
+// Guards against tasks that run twice while the successor cannot reach a worker. The old planner is separated from the
+// store but still reaches that worker and renews its tasks' leases. The successor must not assume that these leases have
+// expired while the worker is on the platform's list.
 func TestSuccessorCannotReachWorker(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -409,12 +409,12 @@
 		}
 		is.Equal(w.workers[busy].Counts().Running, 8)
 		w.cut(true, []string{other.Name()}, []string{busy})
-		w.cut(true, []string{old.Name()}, []string{free}) // which would else depose it
+		w.cut(true, []string{old.Name()}, []string{free}) // that worker would make the old planner give up the office
 		w.cut(true, []string{"a"}, []string{"b"})
 		old.cutStore(true)
 		time.Sleep(time.Minute)
 		is.True(other.office.IsHolder())
-		is.Equal(w.workers[busy].Counts().Running, 8) // the old placer keeps them alive
+		is.Equal(w.workers[busy].Counts().Running, 8) // the old planner still renews their leases
 		w.cut(false, []string{other.Name()}, []string{busy})
 		w.cut(false, []string{old.Name()}, []string{free})
 		w.cut(false, []string{"a"}, []string{"b"})
@@ -424,8 +424,8 @@
 	})
 }
 
-// A start is lost on its way for a while: its sender gives it up, and it arrives
-// at the worker seconds later. By then the task must not run anywhere else.
+// Guards against a task that runs twice because of a delayed start call: the call reaches the worker seconds after its
+// sender gave it up. The task must not run elsewhere by then.
 func TestStartArrivesLate(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -442,8 +442,8 @@
 	})
 }
 
-// A key is withdrawn while one of its jobs runs and another waits. The waiting
-// one ends as cancelled and never starts; the running one is left to its end.
+// Guards against jobs that start after their key was withdrawn. The key is withdrawn while one of its jobs runs and
+// another waits: the waiting one must end as cancelled without a start, and the running one must complete.
 func TestKeyWithdrawnEndsWaitingJobs(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -466,10 +466,9 @@
 	})
 }
 
-// An entry accepts a job for another failure domain and dies before it can tell
-// the placer there. That placer took office while the store was slow. It finds
-// the job by its watch of the store: the caller, who was told that the job is
-// accepted, would else wait until something else changes.
+// Guards against an accepted job that waits until something else changes: an entry accepts it for another failure domain
+// and dies before it notifies the planner there. That planner acquired the office while the store was slow, and must
+// find the job by its watch of the store.
 func TestJobIsFoundWithoutAHint(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -499,9 +498,8 @@
 	})
 }
 
-// The answer to an operator's change is lost, and the entry does not reach the
-// store any more. The operator is told that the change may have been written, and
-// does not wait for ever.
+// Guards against an operator's change that never returns: the response to its write is lost, and the entry does not
+// reach the store any more. The operator must get the result that the change may have been written.
 func TestChangeWithoutAnAnswerEnds(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -9,6 +9,7 @@
 	"plantainwinch/winch"
 )
 
+// newPair starts two entries in one failure domain that has two executors and two workers.
 func pair(w *world) (*node, *node) {
 	w.executor("e1", "d1", 4)
 	w.executor("e2", "d1", 4)
@@ -22,14 +23,15 @@
 	return a, b
 }
 
-// Calls and jobs are served through either entry.
+// Guards against an entry that serves only the work that came in through itself: calls and jobs must be served through
+// either entry of a domain.
 func TestWholePath(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a, b := pair(w)
 		for i, n := range []*node{a, b, a, b} {
 			r := w.call(n, "choir", "preview", "p", "part")
-			is.Equal(r.Outcome, winch.Done) // call of each entry
+			is.Equal(r.Outcome, winch.Done) // each entry serves calls
 			is.Equal(r.body, "part")
 			_ = i
 		}
