--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -408,7 +408,7 @@
 	})
 }
 
-// await waits until a job has ended or the timeout has passed.
+// awaitJob waits until a job has ended or the timeout has passed.
 func (w *world) await(n *node, team, id string, timeout time.Duration) JobView {
 	v, _ := n.Job(context.Background(), w.keys[team], id, timeout)
 	return v
@@ -426,7 +426,7 @@
 	return nil
 }
 
-// other returns an entry that is not n.
+// otherEntry returns an entry that is not n.
 func (w *world) other(n *node) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
