--- a/entry/admit.go
+++ b/entry/admit.go
@@ -17,7 +17,7 @@
 
 // document returns the configuration, or refuses until this entry has received one.
 func (e *Entry) document() (*winch.Document, winch.Result) {
-	doc := e.held.Get()
+	doc := e.config.Get()
 	if doc == nil {
 		return nil, winch.RefuseFor(winch.NoConfiguration, "this entry has not received the configuration yet", time.Second)
 	}
@@ -35,7 +35,7 @@
 	if !ok {
 		return key, team, winch.Refuse(winch.UnknownKey, "the key's team "+key.Holder+" does not exist")
 	}
-	if partitioned := e.cutOff(); partitioned > 0 && partitioned > team.CutOffTrust {
+	if partitioned := e.partitionedFor(); partitioned > 0 && partitioned > team.CutOffTrust {
 		return key, team, winch.RefuseFor(winch.StoreUnavailable, "this failure domain is cut off, so that a withdrawal of the key could not be known", time.Second)
 	}
 	return key, team, winch.Result{}
@@ -44,10 +44,10 @@
 // updateKeysCurrent records whether this entry would learn of a withdrawn key now: either it or a peer reaches the
 // store, or it reaches entries of all other domains, so that no operator can have withdrawn a key on the other side of
 // a network partition.
-func (e *Entry) noteReach() {
+func (e *Entry) updateKeysCurrent() {
 	view := e.members.View()
 	domains := map[string]bool{e.Domain(): true}
-	storeReached := e.alive.within(memberLease)
+	storeReached := e.storeContact.within(memberLease)
 	for _, p := range view.Peers {
 		domains[p.Beat.Domain] = true
 		storeReached = storeReached || p.Beat.Store
@@ -57,12 +57,12 @@
 			return
 		}
 	}
-	e.reached.confirm(time.Now())
+	e.keysCurrent.record(time.Now())
 }
 
 // partitionedFor returns for how long this entry may have missed a withdrawn key, zero if it is not partitioned.
-func (e *Entry) cutOff() time.Duration {
-	if age := e.reached.since(); age > cutOffAfter {
+func (e *Entry) partitionedFor() time.Duration {
+	if age := e.keysCurrent.age(); age > minPartitionTime {
 		return age
 	}
 	return 0
@@ -70,7 +70,7 @@
 
 // minPartitionTime is how long an entry must be out of contact before its domain counts as partitioned. Shorter
 // interruptions occur in normal operation.
-const cutOffAfter = 10 * time.Second
+const minPartitionTime = 10 * time.Second
 
 // admit returns the caller that a presented key belongs to. It refuses if the class does not exist or the entry is
 // stopping.
@@ -113,8 +113,8 @@
 
 // keyValid reports whether a key is still in the configuration. It is checked again right before work starts, since the
 // key may have been withdrawn while the request waited.
-func (e *Entry) valid(keyID string) bool {
-	doc := e.held.Get()
+func (e *Entry) keyValid(keyID string) bool {
+	doc := e.config.Get()
 	if doc == nil {
 		return false
 	}
--- a/entry/alive.go
+++ b/entry/alive.go
@@ -24,32 +24,32 @@
 	memberLease = 10 * time.Second
 	// memberRetryDelay is the delay after a failed renewal, for example when an entry starts before the store can be
 	// reached.
-	memberRetry = 500 * time.Millisecond
+	memberRetryDelay = 500 * time.Millisecond
 	// reclaimInterval is the interval at which the planner looks for units of holders that have ended.
-	reclaimEvery = 10 * time.Second
+	reclaimInterval = 10 * time.Second
 	// clockMargin allows for clocks that run at different rates.
 	clockMargin = 2 * time.Second
 	// storeTimeout bounds one operation on the store.
-	storeCall = 2 * time.Second
+	storeTimeout = 2 * time.Second
 )
 
 // contactTime records the time of the last contact.
-type alive struct {
+type contactTime struct {
 	last atomic.Pointer[time.Time] // last is when the request of the last contact was sent; nil if there was none.
 }
 
-func (c *alive) confirm(sent time.Time) {
+func (c *contactTime) record(sent time.Time) {
 	c.last.Store(&sent)
 }
 
 // within reports whether the last contact was less than d ago.
-func (c *alive) within(d time.Duration) bool {
+func (c *contactTime) within(d time.Duration) bool {
 	last := c.last.Load()
 	return last != nil && time.Since(*last) < d
 }
 
 // age returns how long ago the last contact was, zero if there was none.
-func (c *alive) since() time.Duration {
+func (c *contactTime) age() time.Duration {
 	if last := c.last.Load(); last != nil {
 		return time.Since(*last)
 	}
@@ -63,17 +63,17 @@
 }
 
 // runMembership keeps the entry's member record in the store; while it exists, nobody reclaims the entry's units.
-func (e *Entry) runAlive(ctx context.Context) {
+func (e *Entry) runMembership(ctx context.Context) {
 	lease := ""
 	for {
 		sent := time.Now()
 		var err error
-		delay := memberRetry
-		if lease, err = e.keepMember(ctx, lease); err == nil {
-			e.alive.confirm(sent)
+		delay := memberRetryDelay
+		if lease, err = e.renewMember(ctx, lease); err == nil {
+			e.storeContact.record(sent)
 			delay = memberLease / 3
 		}
-		if !wait(ctx, delay) {
+		if !sleep(ctx, delay) {
 			return
 		}
 	}
@@ -82,8 +82,8 @@
 // renewMember renews the lease of the member record, or writes the record under a new lease if the old one has
 // expired. It replaces a record left by an earlier process of this entry: that process listened on the same address,
 // so it must have ended.
-func (e *Entry) keepMember(ctx context.Context, lease string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeCall)
+func (e *Entry) renewMember(ctx context.Context, lease string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if lease != "" {
 		err := e.Store.Renew(ctx, lease)
@@ -114,11 +114,11 @@
 func (e *Entry) runBalance(ctx context.Context) {
 	missing := make(map[string]time.Time)
 	last := time.Now()
-	for wait(ctx, e.Settings.Timing.Heartbeat) {
-		e.tellWants(ctx)
-		e.noteReach()
+	for sleep(ctx, e.Settings.Timing.Heartbeat) {
+		e.reportDemand(ctx)
+		e.updateKeysCurrent()
 		holder, _ := e.office.Holder()
-		if holder == e.Name() && time.Since(last) >= reclaimEvery {
+		if holder == e.Name() && time.Since(last) >= reclaimInterval {
 			last = time.Now()
 			if err := e.reclaim(ctx, missing); err != nil {
 				metrics.GetOrRegisterCounter("Quota.ReclaimFailed", e.Metrics).Inc(1)
@@ -128,7 +128,7 @@
 }
 
 // reportDemand passes to each holder of units the demand of all others.
-func (e *Entry) tellWants(ctx context.Context) {
+func (e *Entry) reportDemand(ctx context.Context) {
 	demand := make(map[string]int)
 	for _, p := range e.members.View().Peers {
 		for _, use := range p.Beat.Teams {
@@ -137,12 +137,12 @@
 	}
 	own, _ := e.units.Usage(ctx)
 	jobs, _ := e.office.Quota.Usage(ctx)
-	e.units.SetOtherDemand(ctx, addWants(demand, jobs))
-	e.office.Quota.SetOtherDemand(ctx, addWants(demand, own))
+	e.units.SetOtherDemand(ctx, addDemand(demand, jobs))
+	e.office.Quota.SetOtherDemand(ctx, addDemand(demand, own))
 }
 
 // addDemand returns the demand by team, increased by what the teams of one holder want.
-func addWants(demand map[string]int, use map[string][2]int) map[string]int {
+func addDemand(demand map[string]int, use map[string][2]int) map[string]int {
 	out := make(map[string]int, len(demand)+len(use))
 	for team, n := range demand {
 		out[team] = n
@@ -156,7 +156,7 @@
 // reclaim returns units to the pool: those of entries whose member record has been missing for the time that they may
 // use their units without the store plus the longest run time of work started with them.
 func (e *Entry) reclaim(ctx context.Context, missing map[string]time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*storeCall)
+	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	units, err := swap.Read[quota.Units](ctx, e.Store, quota.Key)
 	if err != nil {
@@ -173,7 +173,7 @@
 			live[strings.TrimPrefix(v.Key, memberPrefix)] = rec.Holder
 		}
 	}
-	ended := e.goneHolders(units.Body, live, missing)
+	ended := e.endedHolders(units.Body, live, missing)
 	if len(ended) == 0 {
 		return nil
 	}
@@ -183,7 +183,7 @@
 
 // endedHolders returns the holders whose units can be reclaimed. It keeps in missing since when the member record of a
 // holder has been missing.
-func (e *Entry) goneHolders(u quota.Units, live map[string]string, missing map[string]time.Time) []string {
+func (e *Entry) endedHolders(u quota.Units, live map[string]string, missing map[string]time.Time) []string {
 	var ended []string
 	for holder := range u.Holders() {
 		name, _, isEntry := strings.Cut(holder, "/")
@@ -197,7 +197,7 @@
 			continue
 		}
 		term := e.Settings.Timing.UnitTerm
-		if _, replaced := live[name]; replaced || e.listedGone(name) {
+		if _, replaced := live[name]; replaced || e.removedFromList(name) {
 			term = 0 // The process is guaranteed to have ended, so only its work at executors may still be running.
 		}
 		if time.Since(since) > term+u.Longest[holder]+clockMargin {
@@ -210,7 +210,7 @@
 
 // removedFromList reports whether the platform's list has been read, names entries and does not name this one.
 // A list without any entry says nothing about them.
-func (e *Entry) listedGone(name string) bool {
+func (e *Entry) removedFromList(name string) bool {
 	view := e.members.View()
 	entries := view.WithRole(winch.RoleEntry)
 	if !view.Listed || len(entries) == 0 {
--- a/entry/background.go
+++ b/entry/background.go
@@ -7,14 +7,14 @@
 )
 
 // backgroundQueueSize is the capacity of the queue of background work.
-const backgroundRing = 4096
+const backgroundQueueSize = 4096
 
 // backgroundWorkers is the number of goroutines that run background work.
 const backgroundWorkers = 32
 
 // background runs work that outlives the request that caused it, such as recording the result of a call.
 type background struct {
-	ring chan func(context.Context)
+	queue chan func(context.Context)
 }
 
 func (b *background) run(ctx context.Context) {
@@ -25,7 +25,7 @@
 				select {
 				case <-ctx.Done():
 					return
-				case f := <-b.ring:
+				case f := <-b.queue:
 					f(ctx)
 				}
 			}
@@ -36,9 +36,9 @@
 
 // submit queues work. If the queue is full, it runs the work itself: dropping it would lose, for example, the result of
 // a call.
-func (b *background) do(f func(context.Context)) {
+func (b *background) submit(f func(context.Context)) {
 	select {
-	case b.ring <- f:
+	case b.queue <- f:
 	default:
 		f(context.Background())
 	}
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -19,10 +19,10 @@
 
 // Guards against a call with bad input that reaches an executor. Each part of a request is wrong once; the caller must
 // get the matching reason and a detail.
-func TestCallBadInput(t *testing.T) {
+func TestCallWithBadInputIsRefused(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		w.change(a, config.Approve("render", "guild", false))
 		old, _, r := a.IssueKey(w.t.Context(), operator, winch.KeyTeam, "choir")
 		is.True(r.OK())
@@ -58,49 +58,49 @@
 			}
 			is.True(got.Detail != "") // the detail says what to correct
 		}
-		is.Equal(w.execs.total(), 0) // nothing reached an executor
+		is.Equal(w.executors.totalRuns(), 0) // nothing reached an executor
 	})
 }
 
 // Guards against a truncated body that an executor takes for a complete one: the body has no declared length and turns
 // out larger than the service accepts.
-func TestCallBodyGrowsTooLarge(t *testing.T) {
+func TestTooLargeBodyOfUnknownLengthIsRefused(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		got := w.call(a, "choir", "preview", "x", strings.Repeat("a", 2<<20), func(c *Call) { c.Length = -1 })
 		is.Equal(got.Reason, winch.TooLarge)
-		is.Equal(got.whole, false)
+		is.Equal(got.complete, false)
 	})
 }
 
 // Guards against a second run of a request while the first may still be running: the executor's VM dies during a
 // preview. The caller must get at once an unknown outcome and the time after which it may send the request again.
-func TestExecutorDiesInCall(t *testing.T) {
+func TestExecutorDiesDuringCall(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		var got result
 		var group conc.WaitGroup
 		group.Go(func() { got = w.call(a, "choir", "preview", "x", "take=2s") })
 		time.Sleep(time.Second)
-		w.execs.kill("e1")
-		w.execs.kill("e2")
+		w.executors.kill("e1")
+		w.executors.kill("e2")
 		group.Wait()
 		is.Equal(got.Outcome, winch.Unknown)
 		is.Equal(got.Reason, winch.ExecutorFailed)
 		is.Equal(got.RetryAfter, 30*time.Second) // the class's maximum run time
-		is.Equal(w.execs.count("x"), 1)
+		is.Equal(w.executors.runCount("x"), 1)
 	})
 }
 
 // Guards against calls that fail although another executor is available: one executor is dead before the call is sent.
 // No byte was sent to it, so the call goes to the other executor and succeeds.
-func TestExecutorDeadBeforeCall(t *testing.T) {
+func TestCallIsServedWhenOneExecutorIsDead(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
-		w.execs.kill("e1")
+		a, _ := newPair(w)
+		w.executors.kill("e1")
 		for i := range 10 {
 			got := w.call(a, "choir", "preview", fmt.Sprint("p", i), "part")
 			is.Equal(got.Outcome, winch.Done)
@@ -111,7 +111,7 @@
 // Guards against a slot or unit that is returned while its work may still be running: an executor hangs for longer than
 // the caller waits. The caller must get an outcome at its deadline, and the slot and the team's unit must stay in use
 // until the maximum run time has passed.
-func TestExecutorHangs(t *testing.T) {
+func TestHungExecutorKeepsSlotAndUnitInUse(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		w.executor("e1", "d1", 2)
@@ -120,7 +120,7 @@
 		w.configure(a, 2, "choir")
 		w.settle()
 		w.call(a, "choir", "preview", "warm", "x") // a second slot becomes available
-		unblock := w.execs.freeze("e1")
+		unblock := w.executors.block("e1")
 		short := func(c *Call) { c.Deadline = time.Now().Add(3 * time.Second) }
 		var group conc.WaitGroup
 		var got [2]result
@@ -145,13 +145,13 @@
 
 // Guards against a caller that gets the response to somebody else's request: an executor responds with the id of another
 // request.
-func TestCrossedAnswer(t *testing.T) {
+func TestResponseToAnotherRequestIsRejected(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
-		w.execs.mu.Lock()
-		w.execs.cross = true
-		w.execs.mu.Unlock()
+		a, _ := newPair(w)
+		w.executors.mu.Lock()
+		w.executors.wrongID = true
+		w.executors.mu.Unlock()
 		got := w.call(a, "choir", "preview", "x", "mine")
 		is.Equal(got.Outcome, winch.Unknown)
 		is.Equal(got.Reason, winch.WrongAnswer)
@@ -162,31 +162,31 @@
 // Guards against a truncated response that a caller takes for a complete one: the executor's connection breaks during
 // the response. A short response must be reported as unknown. A long one was already passed on in part, so the caller's
 // reader must fail.
-func TestAnswerBreaksOff(t *testing.T) {
+func TestTruncatedResponseIsNotComplete(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
-		w.execs.mu.Lock()
-		w.execs.cutAt = 3
-		w.execs.mu.Unlock()
+		a, _ := newPair(w)
+		w.executors.mu.Lock()
+		w.executors.truncateAt = 3
+		w.executors.mu.Unlock()
 		short := w.call(a, "choir", "preview", "x", "part two")
 		is.Equal(short.Outcome, winch.Unknown)
 		is.Equal(short.Reason, winch.AnswerCut)
-		w.execs.mu.Lock()
-		w.execs.cutAt = 100 << 10
-		w.execs.mu.Unlock()
+		w.executors.mu.Lock()
+		w.executors.truncateAt = 100 << 10
+		w.executors.mu.Unlock()
 		long := w.call(a, "choir", "preview", "y", strings.Repeat("a", 200<<10))
-		is.Equal(long.whole, false)
+		is.Equal(long.complete, false)
 		is.Equal(len(long.body), 100<<10)
 	})
 }
 
 // Guards against an invoice that runs twice: its caller loses the connection while it runs and sends it again through
 // another entry. The second request must get the response to the first.
-func TestInvoiceSentAgain(t *testing.T) {
+func TestResubmittedInvoiceRunsOnce(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		var first, second result
 		var group conc.WaitGroup
 		group.Go(func() { first = w.call(a, "choir", "invoice", "i1", "take=2s lease") })
@@ -196,7 +196,7 @@
 		is.Equal(first.Outcome, winch.Done)
 		is.Equal(second.Outcome, winch.Done)
 		is.Equal(second.body, first.body)
-		is.Equal(w.execs.count("i1"), 1)
+		is.Equal(w.executors.runCount("i1"), 1)
 		other := w.call(b, "choir", "invoice", "i1", "another lease")
 		is.Equal(other.Reason, winch.DuplicateRequest)
 		is.Equal(w.call(b, "guild", "invoice", "i1", "x").Outcome, winch.Done) // ids are per team
@@ -205,10 +205,10 @@
 
 // Guards against an invoice that runs twice: the entry that sent it dies before the response. A caller that sends it
 // again must get an unknown outcome, at once and later, and no entry may send it to an executor again.
-func TestEntryDiesInInvoice(t *testing.T) {
+func TestInvoiceIsNotSentAgainAfterItsEntryDied(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		var group conc.WaitGroup
 		group.Go(func() { w.call(a, "choir", "invoice", "i1", "take=10s") })
 		time.Sleep(time.Second)
@@ -220,42 +220,42 @@
 		later := w.call(b, "choir", "invoice", "i1", "take=10s")
 		is.Equal(later.Outcome, winch.Unknown)
 		is.Equal(later.RetryAfter, time.Duration(0))
-		is.Equal(w.execs.count("i1"), 1)
+		is.Equal(w.executors.runCount("i1"), 1)
 		group.Wait()
 	})
 }
 
 // Guards against a wrong outcome when the store fails while invoices are recorded. If the store is down, the invoice
 // must be reported as not run and not be sent. If only the response to the write of its record is lost, it must run once.
-func TestInvoiceStoreTrouble(t *testing.T) {
+func TestInvoiceOutcomeDuringStoreFailures(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
-		a.loseReplies(1)
+		a, _ := newPair(w)
+		a.loseResponses(1)
 		is.Equal(w.call(a, "choir", "invoice", "lost", "x").Outcome, winch.Done)
-		is.Equal(w.execs.count("lost"), 1)
-		a.cutStore(true)
+		is.Equal(w.executors.runCount("lost"), 1)
+		a.partitionStore(true)
 		got := w.call(a, "choir", "invoice", "down", "x")
 		is.Equal(got.Outcome, winch.NotRun)
 		is.Equal(got.Reason, winch.StoreUnavailable)
 		is.True(got.RetryAfter > 0)
-		is.Equal(w.execs.count("down"), 0)
-		a.cutStore(false)
+		is.Equal(w.executors.runCount("down"), 0)
+		a.partitionStore(false)
 		is.Equal(w.call(a, "choir", "invoice", "down", "x").Outcome, winch.Done) // a later attempt succeeds
 	})
 }
 
 // Guards against repeatable calls that depend on the store: it is down for a minute, and the calls must succeed without
 // delay.
-func TestStoreDownCallsGoOn(t *testing.T) {
+func TestRepeatableCallsContinueWhileTheStoreIsDown(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		for range 20 {
 			w.call(a, "choir", "preview", "warm", "x")
 			w.call(b, "choir", "preview", "warm", "x")
 		}
-		w.platform.Set(standDown)
+		w.platform.Set(platformDown)
 		for i := range 60 {
 			time.Sleep(time.Second)
 			got := w.call([]*node{a, b}[i%2], "choir", "preview", fmt.Sprint("c", i), "x")
@@ -267,7 +267,7 @@
 
 // Guards against calls that start after their key was withdrawn. The key is withdrawn while one call runs and others
 // wait for a slot: the waiting ones must be refused at once, the running one must succeed, and new ones must be refused.
-func TestKeyWithdrawnUnderLoad(t *testing.T) {
+func TestWaitingCallsAreRefusedWhenTheirKeyIsWithdrawn(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		w.executor("e1", "d1", 1)
@@ -306,13 +306,13 @@
 		}
 		group.Wait()
 		is.Equal(results[9].Outcome, winch.Done)
-		is.Equal(w.execs.total(), 1)
+		is.Equal(w.executors.totalRuns(), 1)
 	})
 }
 
 // Guards against a team that exceeds its limit: it sends far more calls at once than its limit through all entries. The
 // harness checks the limit at every start.
-func TestFloodStaysInLimit(t *testing.T) {
+func TestFloodStaysWithinLimit(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		for i := range 6 {
@@ -339,16 +339,16 @@
 		group.Wait()
 		is.Equal(count[winch.Unknown], 0)
 		is.True(count[winch.Done] >= 40) // 7 at once, 500 ms each, for 4 s: 56 at best
-		is.Equal(w.execs.total(), count[winch.Done]+1)
+		is.Equal(w.executors.totalRuns(), count[winch.Done]+1)
 	})
 }
 
 // Guards against new calls on a leaving executor: two executors are marked as leaving on the platform's list. After a
 // few seconds they must get no new calls, and the call that they run must succeed.
-func TestExecutorLeaves(t *testing.T) {
+func TestLeavingExecutorGetsNoNewCalls(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		var group conc.WaitGroup
 		var long result
 		group.Go(func() { long = w.call(a, "choir", "preview", "long", "take=20s") })
@@ -358,14 +358,14 @@
 		}
 		w.executor("e3", "d1", 4)
 		time.Sleep(3 * time.Second)
-		before := w.execs.total()
+		before := w.executors.totalRuns()
 		for i := range 8 {
 			is.Equal(w.call(a, "choir", "preview", fmt.Sprint("c", i), "x").Outcome, winch.Done)
 		}
-		is.Equal(w.execs.total(), before+8)
-		w.execs.mu.Lock()
-		is.Equal(w.execs.busy["e1"]+w.execs.busy["e2"], 1) // only the long call
-		w.execs.mu.Unlock()
+		is.Equal(w.executors.totalRuns(), before+8)
+		w.executors.mu.Lock()
+		is.Equal(w.executors.busy["e1"]+w.executors.busy["e2"], 1) // only the long call
+		w.executors.mu.Unlock()
 		group.Wait()
 		is.Equal(long.Outcome, winch.Done)
 	})
@@ -383,10 +383,10 @@
 
 // Guards against calls that a planned stop interrupts: an entry is stopped while calls run and wait at it and at its
 // peer. All of them must succeed; the other entry serves those that wait.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopInterruptsNoCall(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		for openSlots(a, b) < 8 { // with fewer slots, forty calls would exceed their class's maximum wait
 			w.call(a, "choir", "preview", "warm", "x")
 			w.call(b, "choir", "preview", "warm", "x")
@@ -425,11 +425,11 @@
 
 // Guards against a caller that loses its connection at the drain timeout of a planned stop: a call runs for longer than
 // that. Its caller must get an unknown outcome.
-func TestPlannedStopRunsOut(t *testing.T) {
+func TestCallAtDrainTimeoutIsUnknown(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.tune = func(s *conf.Settings) { s.Timing.Drain = 5 * time.Second }
-		a, _ := pair(w)
+		w.adjust = func(s *conf.Settings) { s.Timing.Drain = 5 * time.Second }
+		a, _ := newPair(w)
 		var got result
 		var group conc.WaitGroup
 		long := func(c *Call) { c.Deadline = time.Now().Add(10 * time.Minute) }
@@ -444,7 +444,7 @@
 
 // Guards against a slot that stays in use without a call: the connection to the home entry breaks after it granted a
 // slot and before the response arrives. Once the connection is restored, all slots must be free again.
-func TestLinkBreaksInAsk(t *testing.T) {
+func TestSlotGrantedOverABrokenConnectionIsNotLost(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		w.executor("e1", "d1", 2)
@@ -453,7 +453,7 @@
 		w.configure(a, 50, "choir")
 		w.settle()
 		home, other := a, b
-		if a.members.View().Home(w.vm("e1")) == "b" {
+		if a.members.View().Home(w.listedVM("e1")) == "b" {
 			home, other = b, a
 		}
 		for range 4 {
@@ -461,11 +461,11 @@
 		}
 		var group conc.WaitGroup
 		group.Go(func() { w.call(other, "choir", "preview", "x", "y") })
-		time.Sleep(hopTime + hopTime/2) // the slot is granted, the response is under way
-		w.cut(true, []string{"a"}, []string{"b"})
+		time.Sleep(hopDelay + hopDelay/2) // the slot is granted, the response is under way
+		w.partition(true, []string{"a"}, []string{"b"})
 		group.Wait()
-		w.cut(false, []string{"a"}, []string{"b"})
-		w.link("a", "b")
+		w.partition(false, []string{"a"}, []string{"b"})
+		w.sendFirst("a", "b")
 		time.Sleep(10 * time.Second)
 		loads := home.table.Loads()
 		is.Equal(loads[0].Busy, 0)
@@ -475,11 +475,11 @@
 
 // Guards against an entry that serves only seconds after the store became available: the entry starts shortly before
 // the store can be reached.
-func TestStartBeforeStore(t *testing.T) {
+func TestEntryStartsBeforeTheStore(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
-		w.platform.Set(standDown)
+		a, _ := newPair(w)
+		w.platform.Set(platformDown)
 		c := w.entry("c", "d1")
 		time.Sleep(1700 * time.Millisecond)
 		w.platform.Set(stand.Faults{})
--- a/entry/chaos_test.go
+++ b/entry/chaos_test.go
@@ -26,24 +26,24 @@
 
 // randomSchedule is one randomised schedule of calls, jobs, changes by operators and faults in a cell of two failure
 // domains with two entries each.
-type chaos struct {
+type randomSchedule struct {
 	*world
-	seed  uint64
-	rnd   *rand.Rand
-	names []string
-	alive map[string]*node
-	amu   sync.Mutex
-	group conc.WaitGroup
-	stop  chan struct{}
-	rmu   sync.Mutex
-	calls []chaosCall
-	jobs  map[string]winch.Job
+	seed       uint64
+	rnd        *rand.Rand
+	entryNames []string
+	live       map[string]*node
+	liveMu     sync.Mutex
+	group      conc.WaitGroup
+	stop       chan struct{}
+	resultsMu  sync.Mutex
+	calls      []callResult
+	jobs       map[string]winch.Job
 }
 
 // callResult is the result of one call.
-type chaosCall struct {
+type callResult struct {
 	id, class string
-	got       result
+	result    result
 }
 
 // Guards against combinations of faults that break what callers rely on. Entries die, restart, are paused past their
@@ -55,7 +55,7 @@
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { runChaos(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runSchedule(t, seed) })
 			if t.Failed() {
 				t.Logf("replay with: go test ./entry -run TestChaos -schedules 1 -first %d", seed)
 			}
@@ -63,16 +63,16 @@
 	}
 }
 
-func runChaos(t *testing.T, seed uint64) {
+func runSchedule(t *testing.T, seed uint64) {
 	w := newWorld(t)
-	defer w.end()
-	c := &chaos{
-		world: w, seed: seed, rnd: rand.New(rand.NewPCG(seed, 5)), alive: make(map[string]*node),
+	defer w.finish()
+	c := &randomSchedule{
+		world: w, seed: seed, rnd: rand.New(rand.NewPCG(seed, 5)), live: make(map[string]*node),
 		stop: make(chan struct{}), jobs: make(map[string]winch.Job),
 	}
-	w.noFence = seed%4 == 0
-	w.tune = func(s *conf.Settings) {
-		s.Cell.FenceAtVM = !w.noFence
+	w.noFencing = seed%4 == 0
+	w.adjust = func(s *conf.Settings) {
+		s.Cell.FenceAtVM = !w.noFencing
 		s.Timing.Drain = 10 * time.Second
 	}
 	for _, d := range []string{"d1", "d2"} {
@@ -82,37 +82,37 @@
 		for i := range 2 {
 			w.executor(fmt.Sprintf("e%d-%s", i, d), d, 3)
 			name := fmt.Sprintf("%s-%d", d, i)
-			c.names = append(c.names, name)
-			c.alive[name] = w.entry(name, d)
+			c.entryNames = append(c.entryNames, name)
+			c.live[name] = w.entry(name, d)
 		}
 	}
 	w.settle()
-	w.configure(c.alive["d1-0"], 14, "choir", "guild")
+	w.configure(c.live["d1-0"], 14, "choir", "guild")
 	w.settle()
 	for i := range 6 {
-		c.group.Go(func() { c.caller(i) })
+		c.group.Go(func() { c.runCaller(i) })
 	}
-	c.group.Go(c.operators)
-	c.faults()
+	c.group.Go(c.runOperator)
+	c.injectFaults()
 	close(c.stop)
 	c.group.Wait()
-	c.heal()
-	c.verdict()
+	c.endFaults()
+	c.checkResults()
 }
 
 // randomEntry returns a random live entry, or nil if it finds none.
-func (c *chaos) pick(rnd *rand.Rand) *node {
-	c.amu.Lock()
-	defer c.amu.Unlock()
+func (c *randomSchedule) randomEntry(rnd *rand.Rand) *node {
+	c.liveMu.Lock()
+	defer c.liveMu.Unlock()
 	for range 20 {
-		if n := c.alive[c.names[rnd.IntN(len(c.names))]]; n != nil {
+		if n := c.live[c.entryNames[rnd.IntN(len(c.entryNames))]]; n != nil {
 			return n
 		}
 	}
 	return nil
 }
 
-func (c *chaos) stopped() bool {
+func (c *randomSchedule) stopped() bool {
 	select {
 	case <-c.stop:
 		return true
@@ -122,18 +122,18 @@
 }
 
 // runCaller makes calls and submits jobs, and sends some of them again through other entries.
-func (c *chaos) caller(i int) {
+func (c *randomSchedule) runCaller(i int) {
 	rnd := rand.New(rand.NewPCG(c.seed, uint64(100+i)))
 	team := []string{"choir", "guild"}[i%2]
 	for n := 0; !c.stopped(); n++ {
 		time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
-		at := c.pick(rnd)
+		at := c.randomEntry(rnd)
 		if at == nil {
 			continue
 		}
 		id := fmt.Sprintf("c%d-%d", i, n)
 		if rnd.IntN(3) == 0 {
-			c.submitOne(rnd, at, team, id)
+			c.submitJob(rnd, at, team, id)
 			continue
 		}
 		class := []string{"preview", "invoice"}[rnd.IntN(2)]
@@ -141,13 +141,13 @@
 		attempts := 1 + rnd.IntN(2)
 		for range attempts {
 			got := c.call(at, team, class, id, body)
-			c.rmu.Lock()
-			c.calls = append(c.calls, chaosCall{id, class, got})
-			c.rmu.Unlock()
+			c.resultsMu.Lock()
+			c.calls = append(c.calls, callResult{id, class, got})
+			c.resultsMu.Unlock()
 			if got.Outcome == winch.Done || class == "preview" {
 				break
 			}
-			if at = c.pick(rnd); at == nil {
+			if at = c.randomEntry(rnd); at == nil {
 				break
 			}
 		}
@@ -155,16 +155,16 @@
 }
 
 // submitJob submits a random job, sometimes twice, and sometimes cancels it.
-func (c *chaos) submitOne(rnd *rand.Rand, at *node, team, id string) {
+func (c *randomSchedule) submitJob(rnd *rand.Rand, at *node, team, id string) {
 	class := []string{"mix", "billed"}[rnd.IntN(2)]
 	kind := []winch.JobKind{winch.Batch, winch.Gang}[rnd.IntN(2)]
 	tasks, run := 1+rnd.IntN(5), time.Duration(rnd.IntN(20000))*time.Millisecond
 	for range 2 {
 		job, r := c.submit(at, team, class, id, kind, tasks, run)
 		if r.OK() {
-			c.rmu.Lock()
+			c.resultsMu.Lock()
 			c.jobs[job.ID] = job
-			c.rmu.Unlock()
+			c.resultsMu.Unlock()
 		}
 		if rnd.IntN(3) > 0 {
 			return
@@ -173,7 +173,7 @@
 			_, _ = at.CancelJob(context.Background(), c.keys[team], job.ID)
 			return
 		}
-		if at = c.pick(rnd); at == nil {
+		if at = c.randomEntry(rnd); at == nil {
 			return
 		}
 	}
@@ -181,11 +181,11 @@
 
 // runOperator changes a limit from time to time. The harness checks against the largest limit so far, since a lowered
 // limit takes effect only as work ends.
-func (c *chaos) operators() {
+func (c *randomSchedule) runOperator() {
 	rnd := rand.New(rand.NewPCG(c.seed, 77))
 	for !c.stopped() {
 		time.Sleep(time.Duration(3+rnd.IntN(10)) * time.Second)
-		at := c.pick(rnd)
+		at := c.randomEntry(rnd)
 		if at == nil {
 			continue
 		}
@@ -199,60 +199,60 @@
 }
 
 // injectFaults injects random faults, which may overlap.
-func (c *chaos) faults() {
+func (c *randomSchedule) injectFaults() {
 	for range 25 {
 		time.Sleep(time.Duration(500+c.rnd.IntN(4000)) * time.Millisecond)
-		name := c.names[c.rnd.IntN(len(c.names))]
-		c.amu.Lock()
-		n := c.alive[name]
-		c.amu.Unlock()
+		name := c.entryNames[c.rnd.IntN(len(c.entryNames))]
+		c.liveMu.Lock()
+		n := c.live[name]
+		c.liveMu.Unlock()
 		switch c.rnd.IntN(12) {
 		case 0:
-			c.restart(name)
+			c.restartEntry(name)
 		case 1:
 			if n != nil {
 				n.pause()
-				c.later(20, n.resume)
+				c.undoLater(20, n.resume)
 			}
 		case 2:
 			if n != nil {
-				n.cutStore(true)
-				c.later(20, func() { n.cutStore(false) })
+				n.partitionStore(true)
+				c.undoLater(20, func() { n.partitionStore(false) })
 			}
 		case 3:
 			if n != nil {
-				n.loseReplies(1 + c.rnd.IntN(4))
+				n.loseResponses(1 + c.rnd.IntN(4))
 			}
 		case 4:
 			c.platform.Set(stand.Faults{Down: true})
-			c.later(20, func() { c.platform.Set(stand.Faults{}) })
+			c.undoLater(20, func() { c.platform.Set(stand.Faults{}) })
 		case 5:
 			c.platform.Set(stand.Faults{Latency: time.Duration(c.rnd.IntN(1500)) * time.Millisecond})
-			c.later(10, func() { c.platform.Set(stand.Faults{}) })
+			c.undoLater(10, func() { c.platform.Set(stand.Faults{}) })
 		case 6:
-			c.cut(true, c.names[:2], c.names[2:])
-			c.later(20, func() { c.cut(false, c.names[:2], c.names[2:]); c.relink() })
+			c.partition(true, c.entryNames[:2], c.entryNames[2:])
+			c.undoLater(20, func() { c.partition(false, c.entryNames[:2], c.entryNames[2:]); c.reconnect() })
 		case 7, 8:
-			s := c.anyWorker()
+			s := c.randomWorker()
 			s.Set(stand.WorkerFaults{Down: true})
-			c.later(40, func() { s.Set(stand.WorkerFaults{}) })
+			c.undoLater(40, func() { s.Set(stand.WorkerFaults{}) })
 		case 9:
-			c.anyWorker().Set(stand.WorkerFaults{LoseReplies: 1 + c.rnd.IntN(3)})
+			c.randomWorker().Set(stand.WorkerFaults{LoseReplies: 1 + c.rnd.IntN(3)})
 		case 10:
-			c.later(20, c.execs.freeze(fmt.Sprintf("e%d-d%d", c.rnd.IntN(2), 1+c.rnd.IntN(2))))
+			c.undoLater(20, c.executors.block(fmt.Sprintf("e%d-d%d", c.rnd.IntN(2), 1+c.rnd.IntN(2))))
 		case 11:
-			c.stopOne(name)
+			c.stopEntry(name)
 		}
 	}
 }
 
 // randomWorker returns a random worker.
-func (c *chaos) anyWorker() *stand.Worker {
+func (c *randomSchedule) randomWorker() *stand.Worker {
 	return c.fleet()[fmt.Sprintf("w%d-d%d", c.rnd.IntN(3), 1+c.rnd.IntN(2))]
 }
 
 // undoLater undoes a fault after a random time of at most maxSeconds.
-func (c *chaos) later(maxSeconds int, undo func()) {
+func (c *randomSchedule) undoLater(maxSeconds int, undo func()) {
 	d := time.Duration(1+c.rnd.IntN(maxSeconds)) * time.Second
 	c.group.Go(func() {
 		time.Sleep(d)
@@ -261,47 +261,47 @@
 }
 
 // restartEntry kills an entry and later starts a new process under its name.
-func (c *chaos) restart(name string) {
-	c.amu.Lock()
-	n := c.alive[name]
-	c.alive[name] = nil
-	c.amu.Unlock()
+func (c *randomSchedule) restartEntry(name string) {
+	c.liveMu.Lock()
+	n := c.live[name]
+	c.live[name] = nil
+	c.liveMu.Unlock()
 	if n == nil {
 		return
 	}
 	n.kill()
-	c.later(8, func() { c.startAgain(name) })
+	c.undoLater(8, func() { c.startEntry(name) })
 }
 
 // stopEntry performs a planned stop of an entry and starts a new process under its name.
-func (c *chaos) stopOne(name string) {
-	c.amu.Lock()
-	n := c.alive[name]
-	c.alive[name] = nil
-	c.amu.Unlock()
+func (c *randomSchedule) stopEntry(name string) {
+	c.liveMu.Lock()
+	n := c.live[name]
+	c.live[name] = nil
+	c.liveMu.Unlock()
 	if n == nil {
 		return
 	}
 	c.group.Go(func() {
 		n.Stop(context.Background())
 		n.kill()
-		c.startAgain(name)
+		c.startEntry(name)
 	})
 }
 
 // startEntry starts a new process of an entry.
-func (c *chaos) startAgain(name string) {
+func (c *randomSchedule) startEntry(name string) {
 	n := c.entry(name, name[:2])
-	c.amu.Lock()
-	c.alive[name] = n
-	c.amu.Unlock()
-	c.relink()
+	c.liveMu.Lock()
+	c.live[name] = n
+	c.liveMu.Unlock()
+	c.reconnect()
 }
 
 // reconnect sends the first messages of new connections between all entries that reach each other.
-func (c *chaos) relink() {
-	for _, a := range c.names {
-		for _, b := range c.names {
+func (c *randomSchedule) reconnect() {
+	for _, a := range c.entryNames {
+		for _, b := range c.entryNames {
 			if from, _ := c.reach(b, a); from != nil && a != b {
 				kind, body := from.First(b)
 				_ = fakePeers{from}.Notify(b, kind, body)
@@ -311,29 +311,29 @@
 }
 
 // endFaults ends all faults and waits until the cell has recovered.
-func (c *chaos) heal() {
+func (c *randomSchedule) endFaults() {
 	c.platform.Set(stand.Faults{})
-	c.cut(false, c.names[:2], c.names[2:])
+	c.partition(false, c.entryNames[:2], c.entryNames[2:])
 	for _, s := range c.fleet() {
 		s.Set(stand.WorkerFaults{})
 	}
-	c.execs.thawAll()
-	for _, n := range c.alive {
+	c.executors.unblockAll()
+	for _, n := range c.live {
 		n.resume()
-		n.cutStore(false)
-		n.loseReplies(0)
+		n.partitionStore(false)
+		n.loseResponses(0)
 	}
-	c.relink()
+	c.reconnect()
 	time.Sleep(2 * time.Minute)
 }
 
 // checkResults compares the outcomes that callers got with what ran.
-func (c *chaos) verdict() {
+func (c *randomSchedule) checkResults() {
 	results := make(map[string][]result)
 	for _, call := range c.calls {
-		results[call.id] = append(results[call.id], call.got)
-		if call.class == "invoice" && c.execs.count(call.id) > 1 {
-			c.t.Errorf("invoice %s ran %d times", call.id, c.execs.count(call.id))
+		results[call.id] = append(results[call.id], call.result)
+		if call.class == "invoice" && c.executors.runCount(call.id) > 1 {
+			c.t.Errorf("invoice %s ran %d times", call.id, c.executors.runCount(call.id))
 		}
 	}
 	for id, attempts := range results {
@@ -342,7 +342,7 @@
 			done = done || r.Outcome == winch.Done
 			unknown = unknown || r.Outcome == winch.Unknown
 		}
-		runs := c.execs.count(id)
+		runs := c.executors.runCount(id)
 		if runs > 0 && !done && !unknown {
 			c.t.Errorf("request %s ran %d times, but its callers got the outcome NotRun only", id, runs)
 		}
@@ -350,11 +350,11 @@
 			c.t.Errorf("request %s has the outcome Done but did not run", id)
 		}
 	}
-	at := c.alive["d1-0"]
+	at := c.live["d1-0"]
 	for id, job := range c.jobs {
-		v := c.await(at, job.Team, id, 10*time.Minute)
+		v := c.awaitJob(at, job.Team, id, 10*time.Minute)
 		if !v.State.Final() {
-			if n := c.placer(job.Domain); n != nil {
+			if n := c.planner(job.Domain); n != nil {
 				_ = n.office.Duty.Do(context.Background(), func() { c.t.Log(n.planner.Dump(id)) })
 			}
 			c.t.Errorf("job %s (%s %s) of domain %s did not end: state %s, reason for waiting: %s", id, job.Class, job.Spec.Kind, job.Domain, v.State, v.Why)
@@ -364,7 +364,7 @@
 		}
 	}
 	for _, team := range []string{"choir", "guild"} {
-		if n := c.execs.running(team); n != 0 {
+		if n := c.executors.running(team); n != 0 {
 			c.t.Errorf("%d requests of team %s are still running", n, team)
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -42,7 +42,7 @@
 	Seed uint64
 
 	incarnation string
-	held        config.Held
+	config      config.Held
 	editor      config.Editor
 	members     *member.Tracker
 	table       *slots.Table
@@ -52,29 +52,29 @@
 	office      *office.Office
 	planner     *place.Planner
 	budgets     retry.Budgets
-	grants      grantBook
+	grants      grantTable
 	// storeContact records when this entry last reached the store, keysCurrent when it would last have learned of
 	// a withdrawn key.
-	alive, reached alive
+	storeContact, keysCurrent contactTime
 	// homesChanged wakes runHomes, restartWatch makes runWatch start anew, and newerPeer passes the name of a peer
 	// with a newer configuration to runConfigFetch.
-	rehome     chan struct{}
-	rewatch    chan struct{}
-	fetch      chan string
-	background background
+	homesChanged chan struct{}
+	restartWatch chan struct{}
+	newerPeer    chan string
+	background   background
 
 	rndMu sync.Mutex
 	rnd   *mrand.Rand
 
 	// inProgress counts calls and submissions that are not answered yet.
-	running atomic.Int64
+	inProgress atomic.Int64
 	// stopping makes the entry refuse calls and submissions; a planned stop sets it after draining.
 	stopping atomic.Bool
 	// draining is set when a planned stop begins: the entry gives up its executors and is no longer ready.
 	draining atomic.Bool
 	// drainCtx is cancelled by endDrain when a planned stop reaches its drain timeout.
-	drained context.Context
-	expire  context.CancelFunc
+	drainCtx context.Context
+	endDrain context.CancelFunc
 }
 
 // Prepare creates the parts of the entry. It must be called before Run and before the first request.
@@ -90,11 +90,11 @@
 	}
 	e.rnd = mrand.New(mrand.NewPCG(e.Seed, 1))
 	e.incarnation = rand.Text()[:8]
-	e.rehome = make(chan struct{}, 1)
-	e.rewatch = make(chan struct{}, 1)
-	e.fetch = make(chan string, 1)
-	e.drained, e.expire = context.WithCancel(context.Background())
-	e.background.ring = make(chan func(context.Context), backgroundRing)
+	e.homesChanged = make(chan struct{}, 1)
+	e.restartWatch = make(chan struct{}, 1)
+	e.newerPeer = make(chan string, 1)
+	e.drainCtx, e.endDrain = context.WithCancel(context.Background())
+	e.background.queue = make(chan func(context.Context), backgroundQueueSize)
 	e.editor = config.Editor{Store: e.Store}
 	e.prepareMembers()
 	e.prepareSlots()
@@ -115,8 +115,8 @@
 func (e *Entry) prepareMembers() {
 	e.members = &member.Tracker{
 		Self: e.Name(), Domain: e.Domain(), HeartbeatInterval: e.Settings.Timing.Heartbeat,
-		Peers: e.Peers, Lister: e.Lister, Heartbeat: e.beat, OnHeartbeat: e.heard, Metrics: e.Metrics,
-		OnChange: func() { poke(e.rehome) },
+		Peers: e.Peers, Lister: e.Lister, Heartbeat: e.heartbeat, OnHeartbeat: e.onHeartbeat, Metrics: e.Metrics,
+		OnChange: func() { signal(e.homesChanged) },
 	}
 	e.members.Prepare()
 }
@@ -128,8 +128,8 @@
 	}
 	e.table.Prepare()
 	e.units = &quota.Holder{
-		Name: e.holderName(), Store: e.Store, Document: e.held.Get, Metrics: e.Metrics,
-		Valid: func() bool { return e.alive.within(e.Settings.Timing.UnitTerm) },
+		Name: e.holderName(), Store: e.Store, Document: e.config.Get, Metrics: e.Metrics,
+		Valid: func() bool { return e.storeContact.within(e.Settings.Timing.UnitTerm) },
 	}
 	e.units.Prepare()
 }
@@ -145,7 +145,7 @@
 	officeDuty := duty.New("Office", 0, e.Metrics)
 	officeUnits := &quota.Holder{
 		Name: "Office/" + e.Domain(), Office: true, Store: e.Store, Duty: officeDuty,
-		Document: e.held.Get, Metrics: e.Metrics,
+		Document: e.config.Get, Metrics: e.Metrics,
 	}
 	officeUnits.Prepare()
 	e.planner = place.NewPlanner(officeUnits, e.team)
@@ -154,15 +154,15 @@
 		Self: e.Name(), Domain: e.Domain(), Store: e.Store, Worker: e.Worker, Ledger: e.jobs,
 		Planner: e.planner, Quota: officeUnits, Duty: officeDuty, Log: e.Log, Metrics: e.Metrics,
 		Lease: e.Settings.Timing.Office, TaskLease: e.Settings.Timing.Tasks,
-		FenceAtVM: e.Settings.Cell.FenceAtVM, Document: e.held.Get,
-		Workers: e.workers, OtherEntries: e.rivals, OnAcquired: func() { poke(e.rewatch) },
+		FenceAtVM: e.Settings.Cell.FenceAtVM, Document: e.config.Get,
+		Workers: e.workers, OtherEntries: e.domainPeers, OnAcquired: func() { signal(e.restartWatch) },
 	}
 	officeUnits.OnRefill = func(string) { e.office.PlanSoon() }
 	e.office.Prepare()
 }
 
 func (e *Entry) team(name string) winch.Team {
-	if doc := e.held.Get(); doc != nil {
+	if doc := e.config.Get(); doc != nil {
 		return doc.Teams[name]
 	}
 	return winch.Team{}
@@ -183,7 +183,7 @@
 }
 
 // domainPeers returns the names of the other live entries of this failure domain.
-func (e *Entry) rivals() []string {
+func (e *Entry) domainPeers() []string {
 	var out []string
 	for _, name := range e.members.View().InDomain(e.Domain()) {
 		if name != e.Name() {
@@ -201,7 +201,7 @@
 		e.table.Run, e.units.Duty.Run, e.units.Run,
 		e.jobs.Run, e.calls.Run,
 		e.office.Duty.Run, e.office.Quota.Run, e.office.Run,
-		e.runWatch, e.runRehome, e.runFetch, e.runAlive, e.runBalance, e.background.run,
+		e.runWatch, e.runHomes, e.runConfigFetch, e.runMembership, e.runBalance, e.background.run,
 	}
 	for _, run := range loops {
 		group.Go(func() { run(ctx) })
@@ -210,13 +210,13 @@
 }
 
 // lockRandom returns the random source, locked until the caller calls release.
-func (e *Entry) random() (r *mrand.Rand, release func()) {
+func (e *Entry) lockRandom() (r *mrand.Rand, release func()) {
 	e.rndMu.Lock()
 	return e.rnd, e.rndMu.Unlock
 }
 
 // signal wakes the receiver of ch; a signal that is already pending is not repeated.
-func poke(ch chan struct{}) {
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -224,7 +224,7 @@
 }
 
 // sleep waits for d and reports whether ctx is still active.
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/entry/fakes_test.go
+++ b/entry/fakes_test.go
@@ -24,7 +24,7 @@
 	p.n.w.mu.Lock()
 	defer p.n.w.mu.Unlock()
 	for name := range p.n.w.entries {
-		if name != p.n.Name() && !p.n.w.cuts[[2]string{p.n.Name(), name}] {
+		if name != p.n.Name() && !p.n.w.partitions[[2]string{p.n.Name(), name}] {
 			out = append(out, name)
 		}
 	}
@@ -32,7 +32,7 @@
 }
 
 func (p fakePeers) Notify(to string, kind winch.Kind, body any) error {
-	if err := p.n.pass(); err != nil {
+	if err := p.n.awaitGate(); err != nil {
 		return err
 	}
 	other, _ := p.n.w.reach(p.n.Name(), to)
@@ -48,7 +48,7 @@
 }
 
 func (p fakePeers) Request(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
-	if err := p.n.pass(); err != nil {
+	if err := p.n.awaitGate(); err != nil {
 		return err
 	}
 	other, cut := p.n.w.reach(p.n.Name(), to)
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(hopTime)
+	time.Sleep(hopDelay)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	response := make(chan any, 1)
@@ -72,7 +72,7 @@
 	for {
 		select {
 		case out := <-response:
-			time.Sleep(hopTime)
+			time.Sleep(hopDelay)
 			data, err := cbor.Marshal(out)
 			if err != nil {
 				return err
@@ -93,85 +93,85 @@
 type fakeStore struct{ n *node }
 
 // check fails if the entry cannot reach the store.
-func (s fakeStore) begin() error {
-	if s.n.pass() != nil {
+func (s fakeStore) check() error {
+	if s.n.awaitGate() != nil {
 		return winch.ErrUnavailable
 	}
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	if s.n.noSt {
+	if s.n.storeDown {
 		return winch.ErrUnavailable
 	}
 	return nil
 }
 
 // loseResponse returns the error of a write, or winch.ErrUncertain if the response to a successful one is to be lost.
-func (s fakeStore) lost(err error) error {
+func (s fakeStore) loseResponse(err error) error {
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	if err == nil && s.n.lose > 0 {
-		s.n.lose--
+	if err == nil && s.n.lostResponses > 0 {
+		s.n.lostResponses--
 		return winch.ErrUncertain
 	}
 	return err
 }
 
 func (s fakeStore) Get(ctx context.Context, key string) (winch.Value, error) {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return winch.Value{}, err
 	}
 	return s.n.w.platform.Get(ctx, key)
 }
 
 func (s fakeStore) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return 0, err
 	}
 	v, err := s.n.w.platform.Put(ctx, key, data, version, lease)
-	return v, s.lost(err)
+	return v, s.loseResponse(err)
 }
 
 func (s fakeStore) Delete(ctx context.Context, key string, version uint64) error {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return err
 	}
-	return s.lost(s.n.w.platform.Delete(ctx, key, version))
+	return s.loseResponse(s.n.w.platform.Delete(ctx, key, version))
 }
 
 func (s fakeStore) List(ctx context.Context, prefix string) ([]winch.Value, error) {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return nil, err
 	}
 	return s.n.w.platform.List(ctx, prefix)
 }
 
 func (s fakeStore) Grant(ctx context.Context, ttl time.Duration) (string, error) {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return "", err
 	}
 	return s.n.w.platform.Grant(ctx, ttl)
 }
 
 func (s fakeStore) Renew(ctx context.Context, lease string) error {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return err
 	}
 	return s.n.w.platform.Renew(ctx, lease)
 }
 
 func (s fakeStore) Revoke(ctx context.Context, lease string) error {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return err
 	}
 	return s.n.w.platform.Revoke(ctx, lease)
 }
 
 func (s fakeStore) Watch(ctx context.Context, prefixes []string, after uint64) ([]winch.Change, uint64, error) {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return nil, 0, err
 	}
 	s.n.mu.Lock()
-	cut := s.n.cutSt
+	cut := s.n.storeChanged
 	s.n.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -190,7 +190,7 @@
 }
 
 func (s fakeStore) VMs(ctx context.Context, known uint64) ([]winch.VM, uint64, error) {
-	if err := s.begin(); err != nil {
+	if err := s.check(); err != nil {
 		return nil, 0, err
 	}
 	return s.n.w.platform.VMs(ctx, known)
@@ -200,21 +200,21 @@
 type fakeWorkers struct{ n *node }
 
 // connect returns a worker that the entry can reach.
-func (f fakeWorkers) at(vm winch.VM) (*stand.Worker, error) {
+func (f fakeWorkers) connect(vm winch.VM) (*stand.Worker, error) {
 	f.n.mu.Lock()
 	paused := f.n.gate != nil
 	f.n.mu.Unlock()
-	if err := f.n.pass(); err != nil {
+	if err := f.n.awaitGate(); err != nil {
 		return nil, err
 	}
-	if paused && f.n.w.noFence {
+	if paused && f.n.w.noFencing {
 		// Workers that do not compare epochs cannot reject a command that was sent before the pause and arrives after
 		// it. The entry's own check covers pauses up to the send; only those are tested here.
 		return nil, errReset
 	}
-	time.Sleep(hopTime)
+	time.Sleep(hopDelay)
 	f.n.w.mu.Lock()
-	cut := f.n.w.cuts[[2]string{f.n.Name(), vm.ID}]
+	cut := f.n.w.partitions[[2]string{f.n.Name(), vm.ID}]
 	f.n.w.mu.Unlock()
 	if cut {
 		return nil, errReset
@@ -227,21 +227,21 @@
 }
 
 func (f fakeWorkers) Start(ctx context.Context, vm winch.VM, epoch uint64, task winch.Task, lease time.Duration) error {
-	s, err := f.at(vm)
+	s, err := f.connect(vm)
 	if err != nil {
 		return err
 	}
 	f.n.w.mu.Lock()
-	late := f.n.w.lateStarts > 0
+	late := f.n.w.delayedStarts > 0
 	if late {
-		f.n.w.lateStarts--
+		f.n.w.delayedStarts--
 	}
 	f.n.w.mu.Unlock()
 	if late {
-		f.n.w.execs.group.Go(func() {
+		f.n.w.executors.group.Go(func() {
 			time.Sleep(8 * time.Second)
 			if s.Start(context.Background(), epoch, task, lease) == nil {
-				f.n.w.started(s, task)
+				f.n.w.checkStart(s, task)
 			}
 		})
 		return errReset
@@ -249,25 +249,25 @@
 	before := s.Counts().Starts[task.ID.String()]
 	err = s.Start(ctx, epoch, task, lease)
 	if s.Counts().Starts[task.ID.String()] > before {
-		f.n.w.started(s, task)
+		f.n.w.checkStart(s, task)
 	}
 	return err
 }
 
 func (f fakeWorkers) Renew(ctx context.Context, vm winch.VM, call winch.Renewal) (winch.Report, error) {
-	s, err := f.at(vm)
+	s, err := f.connect(vm)
 	if err != nil {
 		return winch.Report{}, err
 	}
 	out, err := s.Renew(ctx, call)
-	if dead := f.n.pass(); dead != nil {
+	if dead := f.n.awaitGate(); dead != nil {
 		return out, dead
 	}
 	return out, err
 }
 
 func (f fakeWorkers) Stop(ctx context.Context, vm winch.VM, epoch uint64, task winch.Task) (bool, error) {
-	s, err := f.at(vm)
+	s, err := f.connect(vm)
 	if err != nil {
 		return false, err
 	}
@@ -276,18 +276,18 @@
 
 // fakeExecutors runs requests. A body that begins with take=5s makes the request run for 5 s.
 type fakeExecutors struct {
-	w     *world
-	mu    sync.Mutex
-	runs  map[string]int // runs counts the runs of each request by its id.
-	busy  map[string]int
-	peak  int
-	teams map[string]int
-	hold  map[string]chan struct{} // blocked holds a channel for each executor that must not respond until it is closed.
-	dead  map[string]chan struct{} // deaths holds a channel for each executor; it is closed once the executor is dead.
-	cross bool                     // wrongID makes executors respond with the id of another request.
-	cutAt int                      // truncateAt is the length at which responses break off, if it is not zero.
-	calls int
-	group conc.WaitGroup
+	w          *world
+	mu         sync.Mutex
+	runs       map[string]int // runs counts the runs of each request by its id.
+	busy       map[string]int
+	peak       int
+	teams      map[string]int
+	blocked    map[string]chan struct{} // blocked holds a channel for each executor that must not respond until it is closed.
+	deaths     map[string]chan struct{} // deaths holds a channel for each executor; it is closed once the executor is dead.
+	wrongID    bool                     // wrongID makes executors respond with the id of another request.
+	truncateAt int                      // truncateAt is the length at which responses break off, if it is not zero.
+	received   int
+	group      conc.WaitGroup
 }
 
 type fakeExecutor struct {
@@ -295,7 +295,7 @@
 	n *node
 }
 
-func (f *fakeExecutors) of(n *node) fakeExecutor { return fakeExecutor{f, n} }
+func (f *fakeExecutors) forNode(n *node) fakeExecutor { return fakeExecutor{f, n} }
 
 func (f *fakeExecutors) running(team string) int {
 	f.mu.Lock()
@@ -303,47 +303,47 @@
 	return f.teams[team]
 }
 
-func (f *fakeExecutors) count(id string) int {
+func (f *fakeExecutors) runCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[id]
 }
 
 // died returns the channel that is closed when an executor dies. The caller must hold f.mu.
-func (f *fakeExecutors) life(id string) chan struct{} {
-	if f.dead == nil {
-		f.dead = make(map[string]chan struct{})
+func (f *fakeExecutors) died(id string) chan struct{} {
+	if f.deaths == nil {
+		f.deaths = make(map[string]chan struct{})
 	}
-	if f.dead[id] == nil {
-		f.dead[id] = make(chan struct{})
+	if f.deaths[id] == nil {
+		f.deaths[id] = make(chan struct{})
 	}
-	return f.dead[id]
+	return f.deaths[id]
 }
 
 // unblockAll lets all executors respond again.
-func (f *fakeExecutors) thawAll() {
+func (f *fakeExecutors) unblockAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, ch := range f.hold {
-		delete(f.hold, id)
+	for id, ch := range f.blocked {
+		delete(f.blocked, id)
 		close(ch)
 	}
 }
 
 // block keeps an executor from responding until the returned function is called.
-func (f *fakeExecutors) freeze(id string) (unblock func()) {
+func (f *fakeExecutors) block(id string) (unblock func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.hold[id] != nil {
+	if f.blocked[id] != nil {
 		return func() {}
 	}
 	ch := make(chan struct{})
-	f.hold[id] = ch
+	f.blocked[id] = ch
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.hold[id] == ch {
-			delete(f.hold, id)
+		if f.blocked[id] == ch {
+			delete(f.blocked, id)
 			close(ch)
 		}
 	}
@@ -352,12 +352,12 @@
 var errReset = errors.New("connection reset")
 
 func (x fakeExecutor) Send(ctx context.Context, vm winch.VM, req winch.Request) (*winch.Response, bool, error) {
-	if err := x.n.pass(); err != nil {
+	if err := x.n.awaitGate(); err != nil {
 		return nil, false, err
 	}
 	f := x.f
 	f.mu.Lock()
-	died := f.life(vm.ID)
+	died := f.died(vm.ID)
 	f.mu.Unlock()
 	select {
 	case <-died:
@@ -369,11 +369,11 @@
 		return nil, true, err
 	}
 	done := make(chan struct{})
-	f.enter(vm.ID, req)
+	f.beginRun(vm.ID, req)
 	f.group.Go(func() { // The request runs on even if its caller goes away.
 		defer close(done)
 		f.work(vm.ID, string(body))
-		f.leave(vm.ID, req)
+		f.endRun(vm.ID, req)
 	})
 	select {
 	case <-done:
@@ -382,19 +382,19 @@
 	case <-ctx.Done():
 		return nil, true, ctx.Err()
 	}
-	return f.answer(req, body)
+	return f.respond(req, body)
 }
 
-func (f *fakeExecutors) answer(req winch.Request, body []byte) (*winch.Response, bool, error) {
+func (f *fakeExecutors) respond(req winch.Request, body []byte) (*winch.Response, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	echo := req.ID
-	if f.cross {
+	if f.wrongID {
 		echo = "another"
 	}
 	var reader io.Reader = strings.NewReader(string(body))
-	if f.cutAt > 0 {
-		reader = io.MultiReader(strings.NewReader(string(body[:f.cutAt])), brokenReader{})
+	if f.truncateAt > 0 {
+		reader = io.MultiReader(strings.NewReader(string(body[:f.truncateAt])), brokenReader{})
 	}
 	return &winch.Response{Status: http.StatusOK, Header: http.Header{exec.RequestIDHeader: {echo}}, Body: io.NopCloser(reader)}, true, nil
 }
@@ -403,9 +403,9 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, errReset }
 
-func (f *fakeExecutors) enter(id string, req winch.Request) {
+func (f *fakeExecutors) beginRun(id string, req winch.Request) {
 	f.mu.Lock()
-	f.calls++
+	f.received++
 	f.runs[req.Header.Get("Stand-Caller")]++
 	f.busy[id]++
 	f.peak = max(f.peak, f.busy[id])
@@ -414,7 +414,7 @@
 	f.w.checkLimit(req.Team)
 }
 
-func (f *fakeExecutors) leave(id string, req winch.Request) {
+func (f *fakeExecutors) endRun(id string, req winch.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.busy[id]--
@@ -422,10 +422,10 @@
 }
 
 // totalRuns returns how many requests reached an executor.
-func (f *fakeExecutors) total() int {
+func (f *fakeExecutors) totalRuns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.calls
+	return f.received
 }
 
 func (f *fakeExecutors) work(id, body string) {
@@ -436,7 +436,7 @@
 		}
 	}
 	f.mu.Lock()
-	blocked := f.hold[id]
+	blocked := f.blocked[id]
 	f.mu.Unlock()
 	if blocked != nil {
 		<-blocked
--- a/entry/grants.go
+++ b/entry/grants.go
@@ -8,7 +8,7 @@
 )
 
 // grantTable holds the slots that this entry uses, including those of executors whose home is another entry.
-type grantBook struct {
+type grantTable struct {
 	mu   sync.Mutex
 	held map[string]*heldGrant
 }
@@ -18,10 +18,10 @@
 	home     string
 	executor string
 	team     string
-	until    time.Time
+	expires  time.Time
 }
 
-func (t *grantBook) add(id string, g heldGrant) {
+func (t *grantTable) add(id string, g heldGrant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.held == nil {
@@ -31,7 +31,7 @@
 }
 
 // remove removes a grant and returns its home, or an empty string if there is no such grant.
-func (t *grantBook) remove(id string) string {
+func (t *grantTable) remove(id string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.held[id]
@@ -43,7 +43,7 @@
 }
 
 // grantsOf returns the grants of one home.
-func (t *grantBook) of(home string) []proto.HeldSlot {
+func (t *grantTable) grantsOf(home string) []proto.HeldSlot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []proto.HeldSlot
@@ -56,11 +56,11 @@
 }
 
 func (g *heldGrant) message(id string) proto.HeldSlot {
-	return proto.HeldSlot{Grant: id, Executor: g.executor, Team: g.team, Left: time.Until(g.until)}
+	return proto.HeldSlot{Grant: id, Executor: g.executor, Team: g.team, Left: time.Until(g.expires)}
 }
 
 // rehome sets the home of grants whose executor has a new one and returns these grants by home.
-func (t *grantBook) moved(home func(executor string) string) map[string][]proto.HeldSlot {
+func (t *grantTable) rehome(home func(executor string) string) map[string][]proto.HeldSlot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string][]proto.HeldSlot)
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -23,51 +23,51 @@
 
 // world is a cell of entries with fakes behind their interfaces. It runs in a synctest bubble with a fake clock.
 type world struct {
-	t         *testing.T
-	platform  *stand.Platform
-	workers   map[string]*stand.Worker
-	execs     *fakeExecutors
-	entries   map[string]*node
-	keys      map[string]string
-	mu        sync.Mutex
-	cuts      map[[2]string]bool
-	cutSignal chan struct{}
-	broken    []string
-	starts    map[winch.TaskID]int
-	once      map[string]bool // onceClasses names the classes whose tasks may start at most once.
-	limits    map[string]int
-	tune      func(*conf.Settings)
+	t                *testing.T
+	platform         *stand.Platform
+	workers          map[string]*stand.Worker
+	executors        *fakeExecutors
+	entries          map[string]*node
+	keys             map[string]string
+	mu               sync.Mutex
+	partitions       map[[2]string]bool
+	partitionChanged chan struct{}
+	violations       []string
+	starts           map[winch.TaskID]int
+	onceClasses      map[string]bool // onceClasses names the classes whose tasks may start at most once.
+	limits           map[string]int
+	adjust           func(*conf.Settings)
 	// delayedStarts is how many start calls still reach their worker only seconds after the sender got the error
 	// that the connection broke.
-	lateStarts int
-	noFence    bool // noFencing creates workers that do not compare epochs.
+	delayedStarts int
+	noFencing     bool // noFencing creates workers that do not compare epochs.
 }
 
 // node is one entry with its links to the world.
 type node struct {
 	*Entry
-	w      *world
-	cancel context.CancelFunc
-	done   chan struct{}
-	mu     sync.Mutex
-	gate   chan struct{} // gate blocks outgoing calls while the entry is paused.
-	dead   bool          // dead is set once the process is killed: it sends nothing any more.
-	noSt   bool          // storeDown says that the entry does not reach the store.
-	cutSt  chan struct{} // storeChanged is closed when storeDown changes.
-	lose   int           // lostResponses is how many writes to the store still lose their response.
+	w             *world
+	cancel        context.CancelFunc
+	done          chan struct{}
+	mu            sync.Mutex
+	gate          chan struct{} // gate blocks outgoing calls while the entry is paused.
+	dead          bool          // dead is set once the process is killed: it sends nothing any more.
+	storeDown     bool          // storeDown says that the entry does not reach the store.
+	storeChanged  chan struct{} // storeChanged is closed when storeDown changes.
+	lostResponses int           // lostResponses is how many writes to the store still lose their response.
 }
 
 // hopDelay is the time that a message between two processes takes.
-const hopTime = 500 * time.Microsecond
+const hopDelay = 500 * time.Microsecond
 
 func newWorld(t *testing.T) *world {
 	w := &world{
 		t: t, platform: &stand.Platform{}, workers: make(map[string]*stand.Worker), entries: make(map[string]*node),
-		keys: make(map[string]string), cuts: make(map[[2]string]bool), cutSignal: make(chan struct{}),
+		keys: make(map[string]string), partitions: make(map[[2]string]bool), partitionChanged: make(chan struct{}),
 		starts: make(map[winch.TaskID]int), limits: make(map[string]int),
-		once: map[string]bool{"invoice": true, "billed": true},
+		onceClasses: map[string]bool{"invoice": true, "billed": true},
 	}
-	w.execs = &fakeExecutors{w: w, runs: make(map[string]int), busy: make(map[string]int), teams: make(map[string]int), hold: make(map[string]chan struct{})}
+	w.executors = &fakeExecutors{w: w, runs: make(map[string]int), busy: make(map[string]int), teams: make(map[string]int), blocked: make(map[string]chan struct{})}
 	return w
 }
 
@@ -76,28 +76,28 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t)
-		defer w.end()
+		defer w.finish()
 		f(w)
 	})
 }
 
 // finish stops all entries and executors and reports the invariants that were violated.
-func (w *world) end() {
+func (w *world) finish() {
 	for _, n := range w.entries {
 		n.kill()
 	}
-	w.execs.thawAll()
-	w.execs.group.Wait()
-	for _, v := range w.broken {
+	w.executors.unblockAll()
+	w.executors.group.Wait()
+	for _, v := range w.violations {
 		w.t.Error("invariant violated: " + v)
 	}
 }
 
 // recordViolation records that an invariant was violated.
-func (w *world) breach(format string, args ...any) {
+func (w *world) recordViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // executor adds an executor to the platform's list.
@@ -108,7 +108,7 @@
 // worker adds a worker of 8 processors to the platform's list.
 func (w *world) worker(id, domain string) *stand.Worker {
 	vm := winch.VM{ID: id, Address: id, Role: winch.RoleWorker, Domain: domain, Rack: "r1", Size: winch.Resources{Processors: 8, Memory: 8 << 30}}
-	s := &stand.Worker{VM: vm, Fence: !w.noFence}
+	s := &stand.Worker{VM: vm, Fence: !w.noFencing}
 	w.mu.Lock()
 	w.workers[id] = s
 	w.mu.Unlock()
@@ -129,12 +129,12 @@
 	s.Entry = conf.Entry{Name: name, Domain: domain}
 	s.Cell.Partitions = 4
 	s.Cell.OperatorKeyHash = config.HashKey("first")
-	if w.tune != nil {
-		w.tune(&s)
+	if w.adjust != nil {
+		w.adjust(&s)
 	}
-	n := &node{w: w, done: make(chan struct{}), cutSt: make(chan struct{})}
+	n := &node{w: w, done: make(chan struct{}), storeChanged: make(chan struct{})}
 	n.Entry = &Entry{
-		Settings: s, Store: fakeStore{n}, Lister: fakeStore{n}, Worker: fakeWorkers{n}, Executor: w.execs.of(n),
+		Settings: s, Store: fakeStore{n}, Lister: fakeStore{n}, Worker: fakeWorkers{n}, Executor: w.executors.forNode(n),
 		Peers: fakePeers{n}, Seed: 7,
 	}
 	n.Prepare()
@@ -162,7 +162,7 @@
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	delete(n.w.entries, n.Name())
-	n.w.signalCut()
+	n.w.signalPartition()
 }
 
 // pause blocks every outgoing call of the entry until resume. The calls are then sent with what the entry knew before.
@@ -183,10 +183,10 @@
 	}
 }
 
-var errDead = errors.New("the process was killed")
+var errKilled = errors.New("the process was killed")
 
 // awaitGate waits while the entry is paused and fails once it was killed.
-func (n *node) pass() error {
+func (n *node) awaitGate() error {
 	n.mu.Lock()
 	gate := n.gate
 	n.mu.Unlock()
@@ -196,76 +196,76 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dead {
-		return errDead
+		return errKilled
 	}
 	return nil
 }
 
 // partitionStore disconnects the entry from the store, or connects it again.
-func (n *node) cutStore(on bool) {
+func (n *node) partitionStore(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.noSt = on
-	close(n.cutSt)
-	n.cutSt = make(chan struct{})
+	n.storeDown = on
+	close(n.storeChanged)
+	n.storeChanged = make(chan struct{})
 }
 
 // loseResponses makes the next writes of the entry to the store lose their response.
-func (n *node) loseReplies(count int) {
+func (n *node) loseResponses(count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = count
+	n.lostResponses = count
 }
 
 // partition disconnects two groups of entries and workers from each other, or connects them again.
-func (w *world) cut(on bool, a, b []string) {
+func (w *world) partition(on bool, a, b []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range a {
 		for _, y := range b {
-			w.cuts[[2]string{x, y}], w.cuts[[2]string{y, x}] = on, on
+			w.partitions[[2]string{x, y}], w.partitions[[2]string{y, x}] = on, on
 		}
 	}
-	w.signalCut()
+	w.signalPartition()
 }
 
-func (w *world) signalCut() {
-	close(w.cutSignal)
-	w.cutSignal = make(chan struct{})
+func (w *world) signalPartition() {
+	close(w.partitionChanged)
+	w.partitionChanged = make(chan struct{})
 }
 
 // reach returns an entry that can be reached, or nil, and the channel that is closed at the next change of partitions.
 func (w *world) reach(from, to string) (*node, chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cuts[[2]string{from, to}] || from == to {
+	if w.partitions[[2]string{from, to}] || from == to {
 		return nil, nil
 	}
-	return w.entries[to], w.cutSignal
+	return w.entries[to], w.partitionChanged
 }
 
 // checkStart checks the invariants right after a task was started.
-func (w *world) started(at *stand.Worker, task winch.Task) {
+func (w *world) checkStart(at *stand.Worker, task winch.Task) {
 	w.mu.Lock()
 	w.starts[task.ID]++
-	again := w.starts[task.ID] > 1 && w.once[task.Class]
+	again := w.starts[task.ID] > 1 && w.onceClasses[task.Class]
 	w.mu.Unlock()
 	if again {
-		w.breach("task %s of class %s was started twice", task.ID, task.Class)
+		w.recordViolation("task %s of class %s was started twice", task.ID, task.Class)
 	}
 	for id, other := range w.fleet() {
 		if other != at && other.Runs(task.ID) {
-			w.breach("task %s runs on %s and %s", task.ID, at.VM.ID, id)
+			w.recordViolation("task %s runs on %s and %s", task.ID, at.VM.ID, id)
 		}
 	}
 	if at.Counts().Overcommitted > 0 {
-		w.breach("worker %s was overcommitted", at.VM.ID)
+		w.recordViolation("worker %s was overcommitted", at.VM.ID)
 	}
 	w.checkLimit(task.Team)
 }
 
 // startCounts returns how often each task was started.
-func (w *world) startMap() map[winch.TaskID]int {
+func (w *world) startCounts() map[winch.TaskID]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.starts)
@@ -273,7 +273,7 @@
 
 // checkLimit checks that a team has no more requests and tasks running than its limit.
 func (w *world) checkLimit(team string) {
-	running := w.execs.running(team)
+	running := w.executors.running(team)
 	for _, s := range w.fleet() {
 		running += s.Running()[team]
 	}
@@ -281,7 +281,7 @@
 	limit := w.limits[team]
 	w.mu.Unlock()
 	if running > limit {
-		w.breach("team %s has %d requests and tasks running; its limit is %d", team, running, limit)
+		w.recordViolation("team %s has %d requests and tasks running; its limit is %d", team, running, limit)
 	}
 }
 
@@ -289,7 +289,7 @@
 func (f *fakeExecutors) kill(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.life(id))
+	close(f.died(id))
 }
 
 // operator is the actor that makes the changes of the tests.
@@ -337,10 +337,10 @@
 }
 
 // platformDown makes the platform unavailable to all entries.
-var standDown = stand.Faults{Down: true}
+var platformDown = stand.Faults{Down: true}
 
 // listedVM returns a VM of the platform's list.
-func (w *world) vm(id string) winch.VM {
+func (w *world) listedVM(id string) winch.VM {
 	list, _, err := w.platform.VMs(context.Background(), 0)
 	if err != nil {
 		w.t.Fatal(err)
@@ -355,7 +355,7 @@
 }
 
 // sendFirst delivers the first messages of new connections between two entries.
-func (w *world) link(a, b string) {
+func (w *world) sendFirst(a, b string) {
 	for _, p := range [][2]string{{a, b}, {b, a}} {
 		from, _ := w.reach(p[1], p[0])
 		kind, body := from.First(p[1])
@@ -373,9 +373,9 @@
 // result is what a caller got; complete says that it read the response to its end.
 type result struct {
 	winch.Result
-	body  string
-	whole bool
-	took  time.Duration
+	body     string
+	complete bool
+	took     time.Duration
 }
 
 // call makes a call through an entry and reads the response.
@@ -392,10 +392,10 @@
 	out := result{Result: reply.Result}
 	if reply.Body != nil && reply.Result.OK() {
 		data, err := io.ReadAll(reply.Body)
-		out.body, out.whole = string(data), err == nil
+		out.body, out.complete = string(data), err == nil
 		out.Outcome = winch.Done
 	}
-	reply.Finish(out.whole)
+	reply.Finish(out.complete)
 	out.took = time.Since(start)
 	return out
 }
@@ -409,13 +409,13 @@
 }
 
 // awaitJob waits until a job has ended or the timeout has passed.
-func (w *world) await(n *node, team, id string, timeout time.Duration) JobView {
+func (w *world) awaitJob(n *node, team, id string, timeout time.Duration) JobView {
 	v, _ := n.Job(context.Background(), w.keys[team], id, timeout)
 	return v
 }
 
 // planner returns the entry that holds a domain's office.
-func (w *world) placer(domain string) *node {
+func (w *world) planner(domain string) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.entries {
@@ -427,7 +427,7 @@
 }
 
 // otherEntry returns an entry that is not n.
-func (w *world) other(n *node) *node {
+func (w *world) otherEntry(n *node) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, x := range w.entries {
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -10,26 +10,26 @@
 
 // initialSlots is how many slots of an executor a new home hands out at first if no earlier home has reported which of
 // them are in use.
-const firstSlots = 1
+const initialSlots = 1
 
 // homesInterval is the interval at which the homes are computed even if no change is known.
-const rehomeEvery = time.Second
+const homesInterval = time.Second
 
 // runHomes keeps the executors whose home this entry is up to date.
-func (e *Entry) runRehome(ctx context.Context) {
+func (e *Entry) runHomes(ctx context.Context) {
 	for {
-		e.settleHomes(ctx)
+		e.updateHomes(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.rehome:
-		case <-time.After(rehomeEvery):
+		case <-e.homesChanged:
+		case <-time.After(homesInterval):
 		}
 	}
 }
 
 // updateHomes takes over the executors whose home this entry is now, and hands those over that have another home.
-func (e *Entry) settleHomes(ctx context.Context) {
+func (e *Entry) updateHomes(ctx context.Context) {
 	view := e.members.View()
 	var own []winch.VM
 	for _, vm := range view.WithRole(winch.RoleExecutor) {
@@ -37,18 +37,18 @@
 			own = append(own, vm)
 		}
 	}
-	handoffs, err := e.table.SetExecutors(ctx, own, func(winch.VM) int { return firstSlots })
+	handoffs, err := e.table.SetExecutors(ctx, own, func(winch.VM) int { return initialSlots })
 	if err != nil {
 		return
 	}
 	for _, handoff := range handoffs {
-		e.handOver(handoff)
+		e.sendHandoff(handoff)
 	}
-	e.reportHeld()
+	e.reportGrants()
 }
 
 // sendHandoff reports to an executor's new home which of its slots are in use.
-func (e *Entry) handOver(handoff proto.Handoff) {
+func (e *Entry) sendHandoff(handoff proto.Handoff) {
 	view := e.members.View()
 	for _, vm := range view.VMs {
 		if vm.ID != handoff.Executor {
@@ -61,7 +61,7 @@
 }
 
 // reportGrants reports to the new homes of executors which of their slots this entry uses.
-func (e *Entry) reportHeld() {
+func (e *Entry) reportGrants() {
 	view := e.members.View()
 	home := func(executor string) string {
 		for _, vm := range view.VMs {
@@ -71,7 +71,7 @@
 		}
 		return ""
 	}
-	for name, held := range e.grants.moved(home) {
+	for name, held := range e.grants.rehome(home) {
 		msg := proto.HeldSlots{Held: held}
 		if name == e.Name() {
 			_ = e.table.Reconcile(e.Name(), held, false)
--- a/entry/job_test.go
+++ b/entry/job_test.go
@@ -18,10 +18,10 @@
 
 // Guards against recorded jobs with bad input. Each part of a submission is wrong once; it must be refused with the
 // matching reason.
-func TestSubmitBadInput(t *testing.T) {
+func TestSubmissionWithBadInputIsRefused(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		good := Submission{Key: w.keys["choir"], Class: "mix", RequestID: "j", Spec: winch.JobSpec{
 			Kind: winch.Batch, Tasks: 1, Need: winch.Resources{Processors: 1, Memory: 1}, RunTime: time.Second,
 		}}
@@ -33,10 +33,10 @@
 			{"no id", func(s *Submission) { s.RequestID = "" }, winch.BadRequest},
 			{"unknown kind", func(s *Submission) { s.Spec.Kind = "Swarm" }, winch.BadRequest},
 			{"no tasks", func(s *Submission) { s.Spec.Tasks = 0 }, winch.BadRequest},
-			{"too many tasks", func(s *Submission) { s.Spec.Tasks = tasksMost + 1 }, winch.BadRequest},
+			{"too many tasks", func(s *Submission) { s.Spec.Tasks = maxTasks + 1 }, winch.BadRequest},
 			{"no processors", func(s *Submission) { s.Spec.Need.Processors = 0 }, winch.BadRequest},
 			{"negative run time", func(s *Submission) { s.Spec.RunTime = -1 }, winch.BadRequest},
-			{"long command", func(s *Submission) { s.Spec.Command = strings.Repeat("x", commandMost+1) }, winch.BadRequest},
+			{"long command", func(s *Submission) { s.Spec.Command = strings.Repeat("x", maxCommandSize+1) }, winch.BadRequest},
 			{"command of two lines", func(s *Submission) { s.Spec.Command = "a\nb" }, winch.BadRequest},
 			{"unknown class", func(s *Submission) { s.Class = "x" }, winch.UnknownClass},
 			{"unknown key", func(s *Submission) { s.Key = "x" }, winch.UnknownKey},
@@ -59,11 +59,11 @@
 
 // Guards against a job that runs twice: its caller gets no response to the submission and submits it again through
 // another entry. There must be one job that runs once.
-func TestSubmitAgain(t *testing.T) {
+func TestResubmittedJobRunsOnce(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
-		a.loseReplies(1)
+		a, b := newPair(w)
+		a.loseResponses(1)
 		first, r := w.submit(a, "choir", "billed", "j1", winch.Batch, 1, time.Second)
 		is.True(r.OK())
 		second, r := w.submit(b, "choir", "billed", "j1", winch.Batch, 1, time.Second)
@@ -71,8 +71,8 @@
 		is.Equal(first.ID, second.ID)
 		_, r = w.submit(b, "choir", "billed", "j1", winch.Batch, 2, time.Second)
 		is.Equal(r.Reason, winch.DuplicateRequest)
-		is.Equal(w.await(b, "choir", first.ID, time.Minute).State, winch.JobDone)
-		is.Equal(len(w.startMap()), 1)
+		is.Equal(w.awaitJob(b, "choir", first.ID, time.Minute).State, winch.JobDone)
+		is.Equal(len(w.startCounts()), 1)
 		_, r = b.Job(context.Background(), w.keys["guild"], first.ID, 0)
 		is.Equal(r.Reason, winch.UnknownJob) // other teams cannot read the job
 	})
@@ -80,11 +80,11 @@
 
 // Guards against a job that was refused and runs nevertheless: the store is down when the job is submitted. It must be
 // refused as not run with a retry time, and must not appear once the store is available again.
-func TestSubmitStoreDown(t *testing.T) {
+func TestSubmissionIsRefusedWhileTheStoreIsDown(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
-		w.platform.Set(standDown)
+		a, _ := newPair(w)
+		w.platform.Set(platformDown)
 		_, r := w.submit(a, "choir", "mix", "j1", winch.Batch, 1, time.Second)
 		is.Equal(r.Outcome, winch.NotRun)
 		is.Equal(r.Reason, winch.StoreUnavailable)
@@ -94,17 +94,17 @@
 		jobs, r := a.ListJobs(context.Background(), w.keys["choir"])
 		is.True(r.OK())
 		is.Equal(len(jobs), 0)
-		is.Equal(len(w.startMap()), 0)
+		is.Equal(len(w.startCounts()), 0)
 	})
 }
 
 // Guards against tasks that are lost or run twice when the planner is killed while tasks run and wait. Its successor
 // must adopt the running tasks and start the waiting ones.
-func TestPlacerDies(t *testing.T) {
+func TestSuccessorAdoptsTasksOfAKilledPlanner(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		pair(w)
-		old := w.placer("d1")
+		newPair(w)
+		old := w.planner("d1")
 		var other *node
 		for _, n := range w.entries {
 			if n != old {
@@ -117,14 +117,14 @@
 		is.True(r.OK())
 		time.Sleep(12 * time.Second)
 		old.kill()
-		v := w.await(other, "choir", job.ID, 2*time.Minute)
+		v := w.awaitJob(other, "choir", job.ID, 2*time.Minute)
 		is.Equal(v.State, winch.JobDone)
 		is.Equal(len(v.EndedTasks), 30)
-		b := w.await(other, "choir", billed.ID, time.Minute)
+		b := w.awaitJob(other, "choir", billed.ID, time.Minute)
 		is.Equal(b.State, winch.JobDone)
-		is.Equal(w.placer("d1"), other)
+		is.Equal(w.planner("d1"), other)
 		again := 0
-		for _, n := range w.startMap() {
+		for _, n := range w.startCounts() {
 			again += n - 1
 		}
 		is.Equal(again, 0) // no task was started twice
@@ -134,12 +134,12 @@
 // Guards against a paused planner that still starts tasks: it is paused for longer than its lease while its start calls
 // are under way, and resumes after its successor has taken over. The workers must reject its old epoch, it must give up
 // the office, and no task may run twice.
-func TestPlacerPausedPastLease(t *testing.T) {
+func TestPlannerPausedPastItsLeaseIsFenced(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		pair(w)
-		old := w.placer("d1")
-		other := w.other(old)
+		newPair(w)
+		old := w.planner("d1")
+		other := w.otherEntry(old)
 		job, r := w.submit(other, "choir", "mix", "j1", winch.Batch, 16, 20*time.Second)
 		is.True(r.OK())
 		time.Sleep(time.Second)
@@ -147,10 +147,10 @@
 		is.True(r.OK())
 		old.pause()
 		time.Sleep(20 * time.Second)
-		is.Equal(w.placer("d1") != nil, true)
+		is.Equal(w.planner("d1") != nil, true)
 		old.resume()
-		is.Equal(w.await(other, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
-		is.Equal(w.await(other, "choir", second.ID, 2*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(other, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(other, "choir", second.ID, 2*time.Minute).State, winch.JobDone)
 		is.Equal(old.office.IsHolder(), false)
 		is.Equal(other.office.IsHolder(), true)
 	})
@@ -158,32 +158,32 @@
 
 // Guards against a paused planner that still starts tasks where workers do not compare epochs. A planner that was paused
 // for longer than its lease must detect by its own clock that it may not act any more.
-func TestPlacerPausedWithoutFence(t *testing.T) {
+func TestPlannerPausedPastItsLeaseStopsWithoutFencing(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.tune = func(s *conf.Settings) { s.Cell.FenceAtVM = false }
-		w.noFence = true
-		pair(w)
-		old := w.placer("d1")
-		other := w.other(old)
+		w.adjust = func(s *conf.Settings) { s.Cell.FenceAtVM = false }
+		w.noFencing = true
+		newPair(w)
+		old := w.planner("d1")
+		other := w.otherEntry(old)
 		old.pause()
 		time.Sleep(500 * time.Millisecond)
 		job, r := w.submit(other, "choir", "billed", "j1", winch.Batch, 6, 5*time.Second)
 		is.True(r.OK())
 		time.Sleep(30 * time.Second)
 		old.resume()
-		is.Equal(w.await(other, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(other, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
 	})
 }
 
 // Guards against a planned stop of the planner that delays new jobs until the office's lease expires: the stopped
 // planner must free the office at once, so that its successor starts new jobs without delay.
-func TestPlannedHandover(t *testing.T) {
+func TestPlannedStopHandsTheOfficeOverAtOnce(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		pair(w)
-		old := w.placer("d1")
-		other := w.other(old)
+		newPair(w)
+		old := w.planner("d1")
+		other := w.otherEntry(old)
 		running, r := w.submit(other, "choir", "billed", "j1", winch.Batch, 4, 10*time.Second)
 		is.True(r.OK())
 		time.Sleep(time.Second)
@@ -192,10 +192,10 @@
 		stopped := time.Now()
 		job, r := w.submit(other, "choir", "mix", "j2", winch.Batch, 1, time.Second)
 		is.True(r.OK())
-		is.Equal(w.await(other, "choir", job.ID, time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(other, "choir", job.ID, time.Minute).State, winch.JobDone)
 		is.True(time.Since(stopped) < 3*time.Second)
-		is.Equal(w.await(other, "choir", running.ID, time.Minute).State, winch.JobDone)
-		for _, n := range w.startMap() {
+		is.Equal(w.awaitJob(other, "choir", running.ID, time.Minute).State, winch.JobDone)
+		for _, n := range w.startCounts() {
 			is.Equal(n, 1)
 		}
 	})
@@ -204,22 +204,22 @@
 // Guards against tasks of a lost worker that never run again, or run twice although their class forbids it. Repeatable
 // tasks must run again elsewhere once their leases are guaranteed to have expired. Billed tasks must end as unknown and
 // never run again.
-func TestWorkerLost(t *testing.T) {
+func TestOnlyRepeatableTasksOfALostWorkerRunAgain(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		mix, r := w.submit(a, "choir", "mix", "j1", winch.Batch, 8, 30*time.Second)
 		is.True(r.OK())
 		billed, r := w.submit(a, "choir", "billed", "j2", winch.Batch, 8, 30*time.Second)
 		is.True(r.OK())
 		time.Sleep(2 * time.Second)
 		w.workers["w1"].Set(stand.WorkerFaults{Down: true})
-		v := w.await(a, "choir", mix.ID, 3*time.Minute)
+		v := w.awaitJob(a, "choir", mix.ID, 3*time.Minute)
 		is.Equal(v.State, winch.JobDone)
-		b := w.await(a, "choir", billed.ID, 3*time.Minute)
+		b := w.awaitJob(a, "choir", billed.ID, 3*time.Minute)
 		is.True(b.State == winch.JobUnknown || b.State == winch.JobDone)
 		lost := 0
-		for id, n := range w.startMap() {
+		for id, n := range w.startCounts() {
 			if id.Job == billed.ID {
 				is.Equal(n, 1)
 			}
@@ -233,36 +233,36 @@
 
 // Guards against a task that is started twice: the worker started it but the response to the start call was lost. The
 // task must not be started elsewhere, and its completion must be noticed.
-func TestStartReplyLost(t *testing.T) {
+func TestStartWithALostResponseIsNotRepeated(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		for _, s := range w.workers {
 			s.Set(stand.WorkerFaults{LoseReplies: 3})
 		}
 		job, r := w.submit(a, "choir", "billed", "j1", winch.Batch, 6, 10*time.Second)
 		is.True(r.OK())
-		is.Equal(w.await(a, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
-		is.Equal(len(w.startMap()), 6)
+		is.Equal(w.awaitJob(a, "choir", job.ID, 2*time.Minute).State, winch.JobDone)
+		is.Equal(len(w.startCounts()), 6)
 	})
 }
 
 // Guards against jobs that stop while the store is down: a job accepted before must continue, also with tasks that had
 // not started yet, and its completion must be recorded once the store is available again.
-func TestStoreDownJobsGoOn(t *testing.T) {
+func TestJobsContinueWhileTheStoreIsDown(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		job, r := w.submit(a, "choir", "mix", "j1", winch.Batch, 32, 10*time.Second)
 		is.True(r.OK())
 		time.Sleep(time.Second)
-		w.platform.Set(standDown)
+		w.platform.Set(platformDown)
 		time.Sleep(40 * time.Second)
-		started := len(w.startMap())
+		started := len(w.startCounts())
 		w.platform.Set(stand.Faults{})
 		is.Equal(started, 32) // the second half started while the store was down
-		is.Equal(w.await(a, "choir", job.ID, time.Minute).State, winch.JobDone)
-		for _, n := range w.startMap() {
+		is.Equal(w.awaitJob(a, "choir", job.ID, time.Minute).State, winch.JobDone)
+		for _, n := range w.startCounts() {
 			is.Equal(n, 1)
 		}
 	})
@@ -270,23 +270,23 @@
 
 // Guards against cancelled jobs that leave tasks running, and against a cancellation that overwrites the result of a job
 // that ended before. Jobs are cancelled while they wait, while they run, and after they ended.
-func TestCancel(t *testing.T) {
+func TestCancelledJobLeavesNothingRunning(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		running, _ := w.submit(a, "choir", "mix", "j1", winch.Batch, 16, time.Hour)
 		waiting, _ := w.submit(a, "choir", "mix", "j2", winch.Batch, 4, time.Hour)
 		time.Sleep(time.Second)
 		for _, id := range []string{waiting.ID, running.ID} {
 			_, r := b.CancelJob(context.Background(), w.keys["choir"], id)
 			is.True(r.OK())
-			is.Equal(w.await(a, "choir", id, time.Minute).State, winch.JobCancelled)
+			is.Equal(w.awaitJob(a, "choir", id, time.Minute).State, winch.JobCancelled)
 		}
 		for _, s := range w.workers {
 			is.Equal(s.Counts().Running, 0)
 		}
 		done, _ := w.submit(a, "choir", "mix", "j3", winch.Batch, 1, time.Second)
-		is.Equal(w.await(a, "choir", done.ID, time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(a, "choir", done.ID, time.Minute).State, winch.JobDone)
 		v, r := b.CancelJob(context.Background(), w.keys["choir"], done.ID)
 		is.True(r.OK())
 		is.Equal(v.State, winch.JobDone) // the job ended before the cancellation
@@ -295,13 +295,13 @@
 
 // Guards against tasks that start beyond a lowered limit: a team's limit is lowered while it runs more. Its next tasks
 // must wait until enough have ended, and other teams must not be affected.
-func TestLimitLowered(t *testing.T) {
+func TestLoweredLimitAppliesToNewTasks(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		job, _ := w.submit(a, "choir", "mix", "j1", winch.Batch, 40, 10*time.Second)
 		time.Sleep(time.Second)
-		team := a.held.Get().Teams["choir"]
+		team := a.config.Get().Teams["choir"]
 		team.Limit = 3
 		w.change(a, config.Declared{Teams: map[string]winch.Team{"choir": team}}.Change())
 		time.Sleep(12 * time.Second)
@@ -309,15 +309,15 @@
 		w.limits["choir"] = 3 // checked at every start from here on
 		w.mu.Unlock()
 		other, _ := w.submit(a, "guild", "mix", "j2", winch.Batch, 4, time.Second)
-		is.Equal(w.await(a, "guild", other.ID, time.Minute).State, winch.JobDone)
-		is.Equal(w.await(a, "choir", job.ID, 20*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(a, "guild", other.ID, time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(a, "choir", job.ID, 20*time.Minute).State, winch.JobDone)
 	})
 }
 
 // Guards against work that stops or runs twice in a network partition: two domains are separated from each other, and
 // one of them from the store. Each must continue its jobs and calls; after CutOffTrust, the one without
 // the store must refuse calls.
-func TestDomainsCutOff(t *testing.T) {
+func TestPartitionedDomainsContinue(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		for _, d := range []string{"d1", "d2"} {
@@ -341,9 +341,9 @@
 			ids = append(ids, j.ID)
 		}
 		time.Sleep(time.Second)
-		w.cut(true, []string{"a-d1", "b-d1"}, []string{"a-d2", "b-d2"})
-		a2.cutStore(true)
-		w.entries["b-d2"].cutStore(true)
+		w.partition(true, []string{"a-d1", "b-d1"}, []string{"a-d2", "b-d2"})
+		a2.partitionStore(true)
+		w.entries["b-d2"].partitionStore(true)
 		for i := range 40 {
 			time.Sleep(time.Second)
 			for _, n := range []*node{a1, a2} {
@@ -353,14 +353,14 @@
 		time.Sleep(40 * time.Second) // the partition lasts longer than the team's CutOffTrust
 		is.Equal(w.call(a1, "choir", "preview", "x", "x").Outcome, winch.Done)
 		is.Equal(w.call(a2, "choir", "preview", "x", "x").Reason, winch.StoreUnavailable)
-		w.cut(false, []string{"a-d1", "b-d1"}, []string{"a-d2", "b-d2"})
-		a2.cutStore(false)
-		w.entries["b-d2"].cutStore(false)
+		w.partition(false, []string{"a-d1", "b-d1"}, []string{"a-d2", "b-d2"})
+		a2.partitionStore(false)
+		w.entries["b-d2"].partitionStore(false)
 		time.Sleep(10 * time.Second)
 		for _, id := range ids {
-			is.Equal(w.await(a1, "choir", id, time.Minute).State, winch.JobDone)
+			is.Equal(w.awaitJob(a1, "choir", id, time.Minute).State, winch.JobDone)
 		}
-		for _, n := range w.startMap() {
+		for _, n := range w.startCounts() {
 			is.Equal(n, 1)
 		}
 	})
@@ -368,38 +368,38 @@
 
 // Guards against a worker that takes a new start of a task for an earlier one: it still holds the result of the task
 // under an earlier planner when the new planner starts the task there for the first time.
-func TestNewPlacerSameWorker(t *testing.T) {
+func TestNewPlannerStartsTheTaskAtTheSameWorker(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		w.worker("w1", "d1")
 		w.entry("a", "d1")
 		w.entry("b", "d1")
 		w.settle()
-		old := w.placer("d1")
-		other := w.other(old)
+		old := w.planner("d1")
+		other := w.otherEntry(old)
 		w.configure(other, 20, "choir")
 		w.settle()
 		job, r := w.submit(other, "choir", "mix", "j1", winch.Batch, 2, 30*time.Second)
 		is.True(r.OK())
 		time.Sleep(2 * time.Second)
 		old.pause() // the leases of the tasks expire, since nobody renews them
-		w.platform.Set(standDown)
+		w.platform.Set(platformDown)
 		time.Sleep(20 * time.Second)
 		w.platform.Set(stand.Faults{})
 		old.kill()
-		is.Equal(w.await(other, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(other, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
 	})
 }
 
 // Guards against tasks that run twice while the successor cannot reach a worker. The old planner is separated from the
 // store but still reaches that worker and renews its tasks' leases. The successor must not assume that these leases have
 // expired while the worker is on the platform's list.
-func TestSuccessorCannotReachWorker(t *testing.T) {
+func TestSuccessorKeepsTasksOfAWorkerItCannotReach(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		pair(w)
-		old := w.placer("d1")
-		other := w.other(old)
+		newPair(w)
+		old := w.planner("d1")
+		other := w.otherEntry(old)
 		job, r := w.submit(other, "choir", "mix", "j1", winch.Batch, 8, 2*time.Minute)
 		is.True(r.OK())
 		time.Sleep(2 * time.Second)
@@ -408,46 +408,46 @@
 			busy, free = free, busy
 		}
 		is.Equal(w.workers[busy].Counts().Running, 8)
-		w.cut(true, []string{other.Name()}, []string{busy})
-		w.cut(true, []string{old.Name()}, []string{free}) // that worker would make the old planner give up the office
-		w.cut(true, []string{"a"}, []string{"b"})
-		old.cutStore(true)
+		w.partition(true, []string{other.Name()}, []string{busy})
+		w.partition(true, []string{old.Name()}, []string{free}) // that worker would make the old planner give up the office
+		w.partition(true, []string{"a"}, []string{"b"})
+		old.partitionStore(true)
 		time.Sleep(time.Minute)
 		is.True(other.office.IsHolder())
 		is.Equal(w.workers[busy].Counts().Running, 8) // the old planner still renews their leases
-		w.cut(false, []string{other.Name()}, []string{busy})
-		w.cut(false, []string{old.Name()}, []string{free})
-		w.cut(false, []string{"a"}, []string{"b"})
-		old.cutStore(false)
-		is.Equal(w.await(other, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
+		w.partition(false, []string{other.Name()}, []string{busy})
+		w.partition(false, []string{old.Name()}, []string{free})
+		w.partition(false, []string{"a"}, []string{"b"})
+		old.partitionStore(false)
+		is.Equal(w.awaitJob(other, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
 		is.Equal(old.office.IsHolder(), false)
 	})
 }
 
 // Guards against a task that runs twice because of a delayed start call: the call reaches the worker seconds after its
 // sender gave it up. The task must not run elsewhere by then.
-func TestStartArrivesLate(t *testing.T) {
+func TestTaskOfADelayedStartRunsOnce(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, _ := pair(w)
+		a, _ := newPair(w)
 		w.mu.Lock()
-		w.lateStarts = 4
+		w.delayedStarts = 4
 		w.mu.Unlock()
 		job, r := w.submit(a, "choir", "mix", "j1", winch.Batch, 6, 20*time.Second)
 		is.True(r.OK())
 		billed, r := w.submit(a, "choir", "billed", "j2", winch.Batch, 2, 20*time.Second)
 		is.True(r.OK())
-		is.Equal(w.await(a, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
-		is.Equal(w.await(a, "choir", billed.ID, 10*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(a, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
+		is.Equal(w.awaitJob(a, "choir", billed.ID, 10*time.Minute).State, winch.JobDone)
 	})
 }
 
 // Guards against jobs that start after their key was withdrawn. The key is withdrawn while one of its jobs runs and
 // another waits: the waiting one must end as cancelled without a start, and the running one must complete.
-func TestKeyWithdrawnEndsWaitingJobs(t *testing.T) {
+func TestWaitingJobsAreCancelledWhenTheirKeyIsWithdrawn(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		running, _ := w.submit(a, "choir", "mix", "j1", winch.Batch, 16, 20*time.Second)
 		time.Sleep(time.Second)
 		waiting, _ := w.submit(b, "choir", "billed", "j2", winch.Batch, 2, time.Second)
@@ -458,18 +458,18 @@
 		key, _, r := a.IssueKey(w.t.Context(), operator, winch.KeyTeam, "choir")
 		is.True(r.OK())
 		w.keys["choir"] = key
-		v := w.await(b, "choir", waiting.ID, 5*time.Second)
+		v := w.awaitJob(b, "choir", waiting.ID, 5*time.Second)
 		is.Equal(v.State, winch.JobCancelled)
 		is.Equal(v.Reason, winch.KeyWithdrawn)
-		is.Equal(w.await(b, "choir", running.ID, time.Minute).State, winch.JobDone)
-		is.Equal(len(w.startMap()), 16)
+		is.Equal(w.awaitJob(b, "choir", running.ID, time.Minute).State, winch.JobDone)
+		is.Equal(len(w.startCounts()), 16)
 	})
 }
 
 // Guards against an accepted job that waits until something else changes: an entry accepts it for another failure domain
 // and dies before it notifies the planner there. That planner acquired the office while the store was slow, and must
 // find the job by its watch of the store.
-func TestJobIsFoundWithoutAHint(t *testing.T) {
+func TestJobIsFoundWithoutANotification(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		w.worker("w1", "d1")
@@ -482,32 +482,32 @@
 		w.settle()
 		w.platform.Set(stand.Faults{Latency: 400 * time.Millisecond})
 		a.kill()
-		for w.placer("d1") != c {
+		for w.planner("d1") != c {
 			time.Sleep(50 * time.Millisecond)
 		}
 		w.platform.Set(stand.Faults{})
 		w.settle()
-		w.link("d1-1", "d2-0")
+		w.sendFirst("d1-1", "d2-0")
 		w.settle()
-		w.cut(true, []string{"d1-1"}, []string{"d2-0"})
+		w.partition(true, []string{"d1-1"}, []string{"d2-0"})
 		job, r := w.submit(b, "choir", "mix", "j", winch.Batch, 1, time.Second)
 		is.True(r.OK())
 		is.Equal(job.Domain, "d1")
 		b.kill()
-		is.Equal(w.await(c, "choir", job.ID, 10*time.Second).State, winch.JobDone)
+		is.Equal(w.awaitJob(c, "choir", job.ID, 10*time.Second).State, winch.JobDone)
 	})
 }
 
 // Guards against an operator's change that never returns: the response to its write is lost, and the entry does not
 // reach the store any more. The operator must get the result that the change may have been written.
-func TestChangeWithoutAnAnswerEnds(t *testing.T) {
+func TestChangeWithALostResponseReturns(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a := w.entry("d1-0", "d1")
 		w.settle()
 		w.configure(a, 4, "choir")
 		w.platform.Set(stand.Faults{Latency: 100 * time.Millisecond})
-		a.loseReplies(100)
+		a.loseResponses(100)
 		var group conc.WaitGroup
 		var r winch.Result
 		group.Go(func() {
@@ -515,7 +515,7 @@
 			_, r = a.Change(context.Background(), operator, 0, d.Change())
 		})
 		time.Sleep(250 * time.Millisecond) // The write is under way.
-		a.cutStore(true)
+		a.partitionStore(true)
 		group.Wait()
 		is.Equal(r.Outcome, winch.Unknown)
 	})
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -19,8 +19,8 @@
 // maxTasks bounds the tasks of one job and maxCommandSize the bytes of its command, so that a partition of the ledger
 // stays far below the largest value that the store accepts.
 const (
-	tasksMost   = 2000
-	commandMost = 4 << 10
+	maxTasks       = 2000
+	maxCommandSize = 4 << 10
 )
 
 // Submission is a caller's request to run a job.
@@ -43,8 +43,8 @@
 
 // Submit accepts a job. If the returned result is OK, the job is recorded.
 func (e *Entry) Submit(ctx context.Context, s Submission) (winch.Job, winch.Result) {
-	e.running.Add(1)
-	defer e.running.Add(-1)
+	e.inProgress.Add(1)
+	defer e.inProgress.Add(-1)
 	who, r := e.admit(s.Key, s.Class)
 	if !r.OK() {
 		return winch.Job{}, r
@@ -58,7 +58,7 @@
 	}
 	job, r := e.accept(ctx, s, who, domain)
 	if r.OK() {
-		e.hint(ctx, job.Domain, job.ID)
+		e.notifyPlanner(ctx, job.Domain, job.ID)
 	}
 	return job, r
 }
@@ -71,16 +71,16 @@
 		return bad("RequestId is missing: give each job an id of your own, so that a resubmission can be told from a new job")
 	case spec.Kind != winch.Batch && spec.Kind != winch.Gang && spec.Kind != winch.LongRunning:
 		return bad("Kind is " + quote(string(spec.Kind)) + ": write Batch, Gang or Service")
-	case spec.Tasks < 1 || spec.Tasks > tasksMost:
-		return bad(fmt.Sprintf("Tasks is %d: write a number from 1 to %d", spec.Tasks, tasksMost))
+	case spec.Tasks < 1 || spec.Tasks > maxTasks:
+		return bad(fmt.Sprintf("Tasks is %d: write a number from 1 to %d", spec.Tasks, maxTasks))
 	case spec.Need.Processors < 1 || spec.Need.Memory < 1 || spec.Need.Accelerators < 0:
 		return bad("Need must have at least one processor and some memory")
 	case spec.RunTime < 0:
 		return bad("RunTime is negative")
 	case strings.ContainsFunc(spec.Command, unicode.IsControl):
 		return bad("Command has control characters")
-	case len(spec.Command) > commandMost:
-		return bad(fmt.Sprintf("Command is longer than %d bytes", commandMost))
+	case len(spec.Command) > maxCommandSize:
+		return bad(fmt.Sprintf("Command is longer than %d bytes", maxCommandSize))
 	}
 	return winch.Result{}
 }
@@ -114,12 +114,12 @@
 // epochOf returns the latest epoch of a domain's planner that this entry knows. A planner considers a job new only if
 // the job's epoch is not older than its own.
 func (e *Entry) epochOf(domain string) uint64 {
-	_, epoch := e.placerOf(domain)
+	_, epoch := e.plannerOf(domain)
 	return epoch
 }
 
 // plannerOf returns the name and epoch of a domain's planner as far as this entry knows them.
-func (e *Entry) placerOf(domain string) (string, uint64) {
+func (e *Entry) plannerOf(domain string) (string, uint64) {
 	name, epoch := e.members.View().Placer(domain)
 	if domain == e.Domain() {
 		if own, ownEpoch := e.office.Holder(); ownEpoch >= epoch {
@@ -160,7 +160,7 @@
 	capacity := 0
 	for _, vm := range view.VMs {
 		if vm.Role == winch.RoleWorker && vm.Domain == domain && !vm.Leaving {
-			capacity += fits(vm.Size, spec.Need)
+			capacity += tasksPerWorker(vm.Size, spec.Need)
 		}
 	}
 	if spec.Kind == winch.Gang {
@@ -170,7 +170,7 @@
 }
 
 // tasksPerWorker returns how many tasks with this need fit on an empty worker of this size.
-func fits(size, need winch.Resources) int {
+func tasksPerWorker(size, need winch.Resources) int {
 	n := size.Processors / need.Processors
 	n = min(n, int(size.Memory/need.Memory))
 	if need.Accelerators > 0 {
@@ -201,21 +201,21 @@
 
 // notifyPlanner notifies the domain's planner that a job has changed. If the message is lost, the planner learns of the
 // change from its watch of the ledger.
-func (e *Entry) hint(ctx context.Context, domain, id string) {
-	name, _ := e.placerOf(domain)
+func (e *Entry) notifyPlanner(ctx context.Context, domain, id string) {
+	name, _ := e.plannerOf(domain)
 	if name == e.Name() {
-		e.hinted(ctx, id)
+		e.handleJobHint(ctx, id)
 		return
 	}
 	_ = e.Peers.Notify(name, proto.KindJobHint, proto.JobHint{ID: id})
 }
 
-func (e *Entry) hinted(_ context.Context, id string) {
-	e.background.do(func(ctx context.Context) { e.office.JobChanged(ctx, id) })
+func (e *Entry) handleJobHint(_ context.Context, id string) {
+	e.background.submit(func(ctx context.Context) { e.office.JobChanged(ctx, id) })
 }
 
 // statusPollInterval is the interval at which the status of a job that a caller waits for is read.
-const statusPoll = 200 * time.Millisecond
+const statusPollInterval = 200 * time.Millisecond
 
 // Job returns a job of the caller's team. It returns once the job has ended or waitFor has passed.
 func (e *Entry) Job(ctx context.Context, key, id string, waitFor time.Duration) (JobView, winch.Result) {
@@ -229,7 +229,7 @@
 		if !r.OK() || view.State.Final() || !time.Now().Before(until) || e.stopping.Load() {
 			return view, r
 		}
-		if !wait(ctx, min(statusPoll, time.Until(until))) {
+		if !sleep(ctx, min(statusPollInterval, time.Until(until))) {
 			return view, r
 		}
 	}
@@ -245,7 +245,7 @@
 }
 
 func (e *Entry) lookUp(ctx context.Context, team, id string) (JobView, winch.Result) {
-	ctx, cancel := context.WithTimeout(ctx, storeCall)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	job, err := e.jobs.Job(ctx, id)
 	if errors.Is(err, winch.ErrNotFound) || err == nil && job.Team != team {
@@ -263,7 +263,7 @@
 
 // addStatus adds what the domain's planner knows beyond the ledger.
 func (e *Entry) addStatus(ctx context.Context, view *JobView) {
-	name, _ := e.placerOf(view.Domain)
+	name, _ := e.plannerOf(view.Domain)
 	var status proto.JobStatus
 	if name == e.Name() {
 		status = e.office.Status(ctx, view.ID)
@@ -304,7 +304,7 @@
 		return view, winch.RefuseFor(winch.StoreUnavailable, "the cancellation could not be recorded", time.Second)
 	}
 	view.Cancel = true
-	e.hint(ctx, view.Domain, id)
+	e.notifyPlanner(ctx, view.Domain, id)
 	return view, winch.Result{}
 }
 
--- a/entry/links.go
+++ b/entry/links.go
@@ -14,12 +14,12 @@
 
 // First returns the first message on a new connection to a peer: which slots of the peer's executors this entry uses.
 func (e *Entry) First(peer string) (winch.Kind, any) {
-	return proto.KindHeldSlots, proto.HeldSlots{Held: e.grants.of(peer), Complete: true}
+	return proto.KindHeldSlots, proto.HeldSlots{Held: e.grants.grantsOf(peer), Complete: true}
 }
 
 // heartbeat returns the entry's heartbeat.
-func (e *Entry) beat(ctx context.Context) proto.Heartbeat {
-	b := proto.Heartbeat{Config: e.held.Version(), Loads: e.table.Loads(), Store: e.alive.within(memberLease)}
+func (e *Entry) heartbeat(ctx context.Context) proto.Heartbeat {
+	b := proto.Heartbeat{Config: e.config.Version(), Loads: e.table.Loads(), Store: e.storeContact.within(memberLease)}
 	b.Placer, b.Epoch = e.office.Holder()
 	use, _ := e.units.Usage(ctx)
 	for team, n := range use {
@@ -37,10 +37,10 @@
 }
 
 // onHeartbeat schedules a fetch of the configuration if the peer has a newer one.
-func (e *Entry) heard(name string, beat proto.Heartbeat) {
-	if beat.Config > e.held.Version() {
+func (e *Entry) onHeartbeat(name string, beat proto.Heartbeat) {
+	if beat.Config > e.config.Version() {
 		select {
-		case e.fetch <- name:
+		case e.newerPeer <- name:
 		default:
 		}
 	}
@@ -48,27 +48,27 @@
 
 // runConfigFetch fetches newer configurations from peers, so that an entry stays current as long as it reaches the
 // store or a peer that is current.
-func (e *Entry) runFetch(ctx context.Context) {
+func (e *Entry) runConfigFetch(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case name := <-e.fetch:
-			e.fetchFrom(ctx, name)
+		case name := <-e.newerPeer:
+			e.fetchConfigFrom(ctx, name)
 		}
 	}
 }
 
-func (e *Entry) fetchFrom(ctx context.Context, name string) {
-	ctx, cancel := context.WithTimeout(ctx, storeCall)
+func (e *Entry) fetchConfigFrom(ctx context.Context, name string) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	var response proto.ConfigResponse
-	if e.Peers.Request(ctx, name, proto.KindConfig, proto.ConfigRequest{Have: e.held.Version()}, &response) != nil || len(response.Document) == 0 {
+	if e.Peers.Request(ctx, name, proto.KindConfig, proto.ConfigRequest{Have: e.config.Version()}, &response) != nil || len(response.Document) == 0 {
 		return
 	}
 	doc := new(winch.Document)
 	if json.Unmarshal(response.Document, doc) == nil {
-		e.offer(ctx, doc)
+		e.applyConfig(ctx, doc)
 	}
 }
 
@@ -76,21 +76,21 @@
 func (e *Entry) Handle(ctx context.Context, from string, kind winch.Kind, decode func(any) error) any {
 	switch kind {
 	case proto.KindHeartbeat:
-		return handle(decode, func(b proto.Heartbeat) any { e.members.Receive(from, b); return nil })
+		return decodeAndHandle(decode, func(b proto.Heartbeat) any { e.members.Receive(from, b); return nil })
 	case proto.KindConfig:
-		return handle(decode, func(a proto.ConfigRequest) any { return e.giveConfig(a) })
+		return decodeAndHandle(decode, func(a proto.ConfigRequest) any { return e.configResponse(a) })
 	case proto.KindSlot:
-		return handle(decode, func(a proto.SlotRequest) any { return e.giveSlot(ctx, from, a) })
+		return decodeAndHandle(decode, func(a proto.SlotRequest) any { return e.slotResponse(ctx, from, a) })
 	case proto.KindSlotRelease:
-		return handle(decode, func(d proto.SlotRelease) any { _ = e.table.Return(d); return nil })
+		return decodeAndHandle(decode, func(d proto.SlotRelease) any { _ = e.table.Return(d); return nil })
 	case proto.KindHeldSlots:
-		return handle(decode, func(h proto.HeldSlots) any { _ = e.table.Reconcile(from, h.Held, h.Complete); return nil })
+		return decodeAndHandle(decode, func(h proto.HeldSlots) any { _ = e.table.Reconcile(from, h.Held, h.Complete); return nil })
 	case proto.KindHandoff:
-		return handle(decode, func(h proto.Handoff) any { _ = e.table.Adopt(h); return nil })
+		return decodeAndHandle(decode, func(h proto.Handoff) any { _ = e.table.Adopt(h); return nil })
 	case proto.KindJobHint:
-		return handle(decode, func(h proto.JobHint) any { e.hinted(ctx, h.ID); return nil })
+		return decodeAndHandle(decode, func(h proto.JobHint) any { e.handleJobHint(ctx, h.ID); return nil })
 	case proto.KindJobStatus:
-		return handle(decode, func(a proto.JobStatusRequest) any { return e.office.Status(ctx, a.ID) })
+		return decodeAndHandle(decode, func(a proto.JobStatusRequest) any { return e.office.Status(ctx, a.ID) })
 	default:
 		metrics.GetOrRegisterCounter("Peer.UnknownKind", e.Metrics).Inc(1)
 		return nil
@@ -99,7 +99,7 @@
 
 // decodeAndHandle decodes a message and passes it to f. A message that cannot be decoded is dropped: a peer of the same
 // version sends none.
-func handle[T any](decode func(any) error, f func(T) any) any {
+func decodeAndHandle[T any](decode func(any) error, f func(T) any) any {
 	var msg T
 	if decode(&msg) != nil {
 		return nil
@@ -108,8 +108,8 @@
 }
 
 // configResponse returns the configuration if it is newer than the requester's.
-func (e *Entry) giveConfig(request proto.ConfigRequest) proto.ConfigResponse {
-	doc := e.held.Get()
+func (e *Entry) configResponse(request proto.ConfigRequest) proto.ConfigResponse {
+	doc := e.config.Get()
 	if doc == nil || doc.Version <= request.Have {
 		return proto.ConfigResponse{}
 	}
@@ -126,7 +126,7 @@
 }
 
 // slotResponse grants a slot of an executor whose home this entry is, or refuses.
-func (e *Entry) giveSlot(ctx context.Context, from string, request proto.SlotRequest) proto.SlotResponse {
+func (e *Entry) slotResponse(ctx context.Context, from string, request proto.SlotRequest) proto.SlotResponse {
 	if e.draining.Load() {
 		return proto.SlotResponse{Refused: winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second)}
 	}
--- a/entry/oper.go
+++ b/entry/oper.go
@@ -15,7 +15,7 @@
 // changeTimeout bounds a change of the configuration. If the response to the write is lost, the store is read to find
 // out whether the write took effect. If the store stays unreachable, the operator gets the result that the change may
 // have been written, instead of waiting forever.
-const changeTime = 20 * time.Second
+const changeTimeout = 20 * time.Second
 
 // Applied is the response to a change of the configuration.
 type Applied struct {
@@ -28,10 +28,10 @@
 }
 
 // confirmTimeout bounds how long a change waits until all entries have confirmed it.
-const confirmWait = 5 * time.Second
+const confirmTimeout = 5 * time.Second
 
 // confirmPollInterval is the interval at which their confirmations are checked.
-const confirmPoll = 20 * time.Millisecond
+const confirmPollInterval = 20 * time.Millisecond
 
 // Actor is who makes a change.
 type Actor struct {
@@ -48,7 +48,7 @@
 	if subtle.ConstantTimeCompare([]byte(hash), []byte(e.Settings.Cell.OperatorKeyHash)) == 1 {
 		return Actor{Name: "operator", Role: winch.KeyOperator}, winch.Result{}
 	}
-	if doc := e.held.Get(); doc != nil {
+	if doc := e.config.Get(); doc != nil {
 		key, ok := config.FindKey(doc, presented)
 		switch {
 		case ok && key.Role == winch.KeyOperator:
@@ -68,13 +68,13 @@
 // Change writes a change of the configuration and waits until all entries have applied it, or reports which have not
 // confirmed it in time.
 func (e *Entry) Change(ctx context.Context, actor Actor, base uint64, change config.Change) (Applied, winch.Result) {
-	ctx, cancel := context.WithTimeout(ctx, changeTime)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	doc, err := e.editor.Edit(ctx, actor.Name, base, change)
 	var lost *config.Lost
 	switch {
 	case errors.Is(err, swap.ErrUnchanged):
-		return Applied{Version: e.held.Version(), Unchanged: true, InForce: true}, winch.Result{}
+		return Applied{Version: e.config.Version(), Unchanged: true, InForce: true}, winch.Result{}
 	case errors.As(err, &lost):
 		return Applied{}, winch.Refuse(winch.VersionConflict, lost.Error())
 	case errors.Is(err, config.ErrBad):
@@ -84,23 +84,23 @@
 	case err != nil:
 		return Applied{}, winch.RefuseFor(winch.StoreUnavailable, "the change was not written: "+err.Error(), time.Second)
 	}
-	e.offer(ctx, &doc)
-	return e.confirm(ctx, doc.Version), winch.Result{}
+	e.applyConfig(ctx, &doc)
+	return e.awaitConfirmation(ctx, doc.Version), winch.Result{}
 }
 
 // awaitConfirmation waits until all entries have applied a version, at most for confirmTimeout.
-func (e *Entry) confirm(ctx context.Context, version uint64) Applied {
-	until := time.Now().Add(confirmWait)
+func (e *Entry) awaitConfirmation(ctx context.Context, version uint64) Applied {
+	until := time.Now().Add(confirmTimeout)
 	for {
-		out := e.confirmed(version)
-		if out.InForce || time.Now().After(until) || !wait(ctx, confirmPoll) {
+		out := e.confirmations(version)
+		if out.InForce || time.Now().After(until) || !sleep(ctx, confirmPollInterval) {
 			return out
 		}
 	}
 }
 
 // confirmations returns which entries have applied a version.
-func (e *Entry) confirmed(version uint64) Applied {
+func (e *Entry) confirmations(version uint64) Applied {
 	out := Applied{Version: version, Confirmed: []string{e.Name()}}
 	view := e.members.View()
 	for name, p := range view.Peers {
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -10,7 +10,7 @@
 )
 
 // newPair starts two entries in one failure domain that has two executors and two workers.
-func pair(w *world) (*node, *node) {
+func newPair(w *world) (*node, *node) {
 	w.executor("e1", "d1", 4)
 	w.executor("e2", "d1", 4)
 	w.worker("w1", "d1")
@@ -25,10 +25,10 @@
 
 // Guards against an entry that serves only the work that came in through itself: calls and jobs must be served through
 // either entry of a domain.
-func TestWholePath(t *testing.T) {
+func TestCallsAndJobsAreServedThroughEachEntry(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a, b := pair(w)
+		a, b := newPair(w)
 		for i, n := range []*node{a, b, a, b} {
 			r := w.call(n, "choir", "preview", "p", "part")
 			is.Equal(r.Outcome, winch.Done) // each entry serves calls
@@ -37,7 +37,7 @@
 		}
 		job, r := w.submit(b, "choir", "mix", "j1", winch.Batch, 12, time.Second)
 		is.True(r.OK())
-		v := w.await(a, "choir", job.ID, time.Minute)
+		v := w.awaitJob(a, "choir", job.ID, time.Minute)
 		is.Equal(v.State, winch.JobDone)
 		is.Equal(len(v.EndedTasks), 12)
 	})
--- a/entry/slot.go
+++ b/entry/slot.go
@@ -16,47 +16,47 @@
 
 // maxHomes bounds how many homes one call asks for a slot. The home of an executor is the entry that hands out its
 // slots. Another home is asked only if the one before is guaranteed to have granted no slot.
-const homesTried = 3
+const maxHomes = 3
 
 // maxHomeRetries and homeRetryDelay bound how long a call waits while no executor of its service has a home, for
 // example while the home is being replaced.
 const (
-	homeRounds = 20
-	homePause  = 50 * time.Millisecond
+	maxHomeRetries = 20
+	homeRetryDelay = 50 * time.Millisecond
 )
 
 // acquireSlot acquires a slot for a call. It retries only while the platform lists executors of the service but none of
 // them has a home that hands out slots.
-func (e *Entry) seekSlot(ctx context.Context, p *flight) (*grant, winch.Result) {
+func (e *Entry) acquireSlot(ctx context.Context, p *pendingCall) (*grant, winch.Result) {
 	for retries := 0; ; retries++ {
-		g, r := e.trySlot(ctx, p)
+		g, r := e.tryHomes(ctx, p)
 		noHome := r.Reason == winch.NoExecutor || r.Reason == winch.Stopping
-		if !noHome || retries == homeRounds || len(p.tried) > 0 || !e.listed(p.call.Service) {
+		if !noHome || retries == maxHomeRetries || len(p.triedExecutors) > 0 || !e.executorListed(p.call.Service) {
 			return g, r
 		}
-		if time.Until(p.startBy()) < homePause || !wait(ctx, homePause) {
+		if time.Until(p.latestStart()) < homeRetryDelay || !sleep(ctx, homeRetryDelay) {
 			return g, r
 		}
 	}
 }
 
 // executorListed reports whether the platform lists an executor of the service that is not leaving.
-func (e *Entry) listed(service string) bool {
+func (e *Entry) executorListed(service string) bool {
 	return slices.ContainsFunc(e.members.View().VMs, func(vm winch.VM) bool {
 		return vm.Service == service && vm.Role == winch.RoleExecutor && !vm.Leaving
 	})
 }
 
 // tryHomes requests a slot from one home of the service's executors after the other; none is more than one hop away.
-func (e *Entry) trySlot(ctx context.Context, p *flight) (*grant, winch.Result) {
+func (e *Entry) tryHomes(ctx context.Context, p *pendingCall) (*grant, winch.Result) {
 	skip := make(map[string]bool)
 	last := winch.RefuseFor(winch.NoExecutor, "no live entry has an executor of the service", time.Second)
-	for range homesTried {
+	for range maxHomes {
 		home := e.pickHome(p.call.Service, skip)
 		if home == "" {
 			return nil, last
 		}
-		g, r := e.askSlot(ctx, p, home)
+		g, r := e.requestSlot(ctx, p, home)
 		if r.OK() {
 			return g, r
 		}
@@ -71,44 +71,44 @@
 
 // pickHome returns the home to ask next, or an empty string if there is none.
 func (e *Entry) pickHome(service string, skip map[string]bool) string {
-	rnd, release := e.random()
+	rnd, release := e.lockRandom()
 	defer release()
 	return route.Pick(e.members.View(), service, e.table.Loads(), skip, rnd)
 }
 
 // requestSlot requests a slot from a home.
-func (e *Entry) askSlot(ctx context.Context, p *flight, home string) (*grant, winch.Result) {
+func (e *Entry) requestSlot(ctx context.Context, p *pendingCall, home string) (*grant, winch.Result) {
 	g := &grant{id: rand.Text(), home: home}
 	request := proto.SlotRequest{
-		Grant: g.id, Service: p.call.Service, Class: p.who.class.Name, Team: p.who.team.Name, KeyID: p.who.key.ID,
-		Remaining: time.Until(p.startBy()), MaxRun: p.maxRun, Avoid: p.tried,
+		Grant: g.id, Service: p.call.Service, Class: p.caller.class.Name, Team: p.caller.team.Name, KeyID: p.caller.key.ID,
+		Remaining: time.Until(p.latestStart()), MaxRun: p.maxRun, Avoid: p.triedExecutors,
 	}
 	if request.Remaining <= 0 {
 		return nil, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", time.Second)
 	}
-	response, err := e.ask(ctx, home, request)
+	response, err := e.sendSlotRequest(ctx, home, request)
 	if err != nil {
-		return nil, e.askFailed(ctx, g, err)
+		return nil, e.handleSlotError(ctx, g, err)
 	}
 	if !response.Refused.OK() {
 		return nil, response.Refused
 	}
 	if ctx.Err() != nil {
-		e.giveBack(g, proto.SlotRelease{Grant: g.id})
+		e.returnSlot(g, proto.SlotRelease{Grant: g.id})
 		return nil, winch.Refuse(winch.CallerGone, "the caller went away")
 	}
 	g.vm = response.Executor
-	e.grants.add(g.id, heldGrant{home: home, executor: g.vm.ID, team: p.who.team.Name, until: time.Now().Add(p.maxRun)})
+	e.grants.add(g.id, heldGrant{home: home, executor: g.vm.ID, team: p.caller.team.Name, expires: time.Now().Add(p.maxRun)})
 	return g, winch.Result{}
 }
 
 // sendSlotRequest sends a slot request to a home, which may be this entry.
-func (e *Entry) ask(ctx context.Context, home string, request proto.SlotRequest) (response proto.SlotResponse, err error) {
+func (e *Entry) sendSlotRequest(ctx context.Context, home string, request proto.SlotRequest) (response proto.SlotResponse, err error) {
 	if home == e.Name() {
 		return e.table.Acquire(ctx, home, request), nil
 	}
 	metrics.GetOrRegisterCounter("Calls.Hops", e.Metrics).Inc(1)
-	ctx, cancel := context.WithTimeout(ctx, request.Remaining+storeCall)
+	ctx, cancel := context.WithTimeout(ctx, request.Remaining+storeTimeout)
 	defer cancel()
 	err = e.Peers.Request(ctx, home, proto.KindSlot, request, &response)
 	return response, err
@@ -117,7 +117,7 @@
 // handleSlotError handles a slot request without a response. The home may have granted the slot, so the entry notifies
 // it that the slot is not used. If the connection broke, the list of used slots that is sent first over the next
 // connection has the same effect.
-func (e *Entry) askFailed(ctx context.Context, g *grant, err error) winch.Result {
+func (e *Entry) handleSlotError(ctx context.Context, g *grant, err error) winch.Result {
 	if !errors.Is(err, winch.ErrNoPeer) {
 		_ = e.Peers.Notify(g.home, proto.KindSlotRelease, proto.SlotRelease{Grant: g.id})
 	}
@@ -130,21 +130,21 @@
 // returnSlot returns a slot to the home that granted it and to the executor's present home. While an executor changes
 // its home, the old one may already have handed the grant over, and the new one would keep the slot in use for the
 // maximum run time.
-func (e *Entry) giveBack(g *grant, done proto.SlotRelease) {
+func (e *Entry) returnSlot(g *grant, done proto.SlotRelease) {
 	home := e.grants.remove(g.id)
 	if home == "" {
 		home = g.home
 	}
-	e.tellDone(home, done)
+	e.notifySlotDone(home, done)
 	if g.vm.ID == "" {
 		return
 	}
 	if present := e.members.View().Home(g.vm); present != home && present != "" {
-		e.tellDone(present, done)
+		e.notifySlotDone(present, done)
 	}
 }
 
-func (e *Entry) tellDone(home string, done proto.SlotRelease) {
+func (e *Entry) notifySlotDone(home string, done proto.SlotRelease) {
 	if home == e.Name() {
 		_ = e.table.Return(done)
 		return
--- a/entry/status.go
+++ b/entry/status.go
@@ -58,14 +58,14 @@
 // Status returns the status of the cell, combined from this entry's heartbeat and the last ones of its peers.
 func (e *Entry) Status(ctx context.Context) CellStatus {
 	view := e.members.View()
-	own := e.beat(ctx)
+	own := e.heartbeat(ctx)
 	own.Domain = e.Domain()
 	own.Leaving = e.draining.Load()
 	beats := map[string]proto.Heartbeat{e.Name(): own}
 	for name, p := range view.Peers {
 		beats[name] = p.Beat
 	}
-	out := CellStatus{Entry: e.Name(), Config: e.held.Version(), Store: own.Store}
+	out := CellStatus{Entry: e.Name(), Config: e.config.Version(), Store: own.Store}
 	domains := make(map[string]*DomainStatus)
 	teams := e.teamRows()
 	for name, b := range beats {
@@ -93,7 +93,7 @@
 // teamRows returns an empty row for each team of the configuration.
 func (e *Entry) teamRows() map[string]*TeamStatus {
 	rows := make(map[string]*TeamStatus)
-	if doc := e.held.Get(); doc != nil {
+	if doc := e.config.Get(); doc != nil {
 		for name, t := range doc.Teams {
 			rows[name] = &TeamStatus{Name: name, Limit: t.Limit, Share: t.Share}
 		}
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -11,11 +11,11 @@
 )
 
 // stopPollInterval is the interval at which Stop checks whether calls are still in progress.
-const stopPoll = 20 * time.Millisecond
+const stopPollInterval = 20 * time.Millisecond
 
 // Ready reports whether the load balancer should send callers to this entry.
 func (e *Entry) Ready() bool {
-	return !e.stopping.Load() && !e.draining.Load() && e.held.Get() != nil
+	return !e.stopping.Load() && !e.draining.Load() && e.config.Get() != nil
 }
 
 // Stop performs a planned stop that interrupts no request: the entry is no longer ready, hands over its executors and
@@ -27,24 +27,24 @@
 	e.Log.Info("entry stopping", zap.String("Entry", e.Name()))
 	e.draining.Store(true)
 	e.members.Leave(ctx)
-	e.settleHomes(ctx)
+	e.updateHomes(ctx)
 	_ = e.table.Close(ctx, winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second))
 	e.office.Leave(ctx)
-	wait(ctx, e.Settings.Timing.Ready)
+	sleep(ctx, e.Settings.Timing.Ready)
 	e.stopping.Store(true)
-	for e.running.Load() > 0 {
-		if !wait(ctx, stopPoll) {
-			e.Log.Warn("drain timeout reached; calls still in progress are answered with an unknown outcome", zap.Int64("Running", e.running.Load()))
-			e.expire()
+	for e.inProgress.Load() > 0 {
+		if !sleep(ctx, stopPollInterval) {
+			e.Log.Warn("drain timeout reached; calls still in progress are answered with an unknown outcome", zap.Int64("Running", e.inProgress.Load()))
+			e.endDrain()
 			return
 		}
 	}
-	e.leaveUnits(ctx)
+	e.returnUnits(ctx)
 	e.Log.Info("entry stopped", zap.String("Entry", e.Name()))
 }
 
 // returnUnits returns the units to the pool unless work started with them may still be running.
-func (e *Entry) leaveUnits(ctx context.Context) {
+func (e *Entry) returnUnits(ctx context.Context) {
 	use, err := e.units.Usage(ctx)
 	if err != nil {
 		return
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -19,9 +19,9 @@
 const (
 	// watchBatchDelay is the delay between two watch calls. It collects changes into batches, so that a busy ledger
 	// does not cause a call for each change.
-	watchPause = 100 * time.Millisecond
+	watchBatchDelay = 100 * time.Millisecond
 	// watchRetryDelay is the delay after a watch failed.
-	watchRetry = 500 * time.Millisecond
+	watchRetryDelay = 500 * time.Millisecond
 )
 
 // runWatch watches the store and dispatches the changes. It watches the ledger's jobs only while this entry holds the
@@ -41,12 +41,12 @@
 			e.office.Reload() // Earlier changes of jobs were not watched.
 		}
 		changes, next, err := e.watchOnce(ctx, prefixes, after)
-		if errors.Is(err, errWatchAnew) {
+		if errors.Is(err, errWatchRestarted) {
 			continue
 		}
 		if err != nil {
 			reread = true
-			wait(ctx, watchRetry)
+			sleep(ctx, watchRetryDelay)
 			continue
 		}
 		if next < after {
@@ -55,21 +55,21 @@
 		}
 		after = next
 		e.dispatch(ctx, changes)
-		wait(ctx, watchPause)
+		sleep(ctx, watchBatchDelay)
 	}
 }
 
 // errWatchRestarted says that the watch was cancelled because this entry acquired the office.
-var errWatchAnew = errors.New("watch restarted: this entry acquired the office")
+var errWatchRestarted = errors.New("watch restarted: this entry acquired the office")
 
 // watchOnce waits for changes. It returns early when this entry acquires the office, because the watch does not cover
 // the jobs yet: a job accepted by an entry that ends before it notifies the planner would not be found.
 func (e *Entry) watchOnce(ctx context.Context, prefixes []string, after uint64) (changes []winch.Change, next uint64, err error) {
-	restarted := duty.RunUntil(ctx, e.rewatch, func(ctx context.Context) {
+	restarted := duty.RunUntil(ctx, e.restartWatch, func(ctx context.Context) {
 		changes, next, err = e.Store.Watch(ctx, prefixes, after)
 	})
 	if err != nil && restarted {
-		return nil, after, errWatchAnew
+		return nil, after, errWatchRestarted
 	}
 	return changes, next, err
 }
@@ -90,20 +90,20 @@
 
 // readConfig reads the configuration from the store, applies it and reports whether the store could be read.
 func (e *Entry) readConfig(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, storeCall)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	v, err := swap.Read[winch.Document](ctx, e.Store, config.Key)
 	if err != nil {
 		return false
 	}
-	e.offer(ctx, &v.Body)
+	e.applyConfig(ctx, &v.Body)
 	return true
 }
 
 // applyConfig applies a configuration if it is newer than the present one, and cancels the waiting work of keys that it
 // withdraws.
-func (e *Entry) offer(ctx context.Context, doc *winch.Document) {
-	if doc.Version == 0 || !e.held.Offer(doc) {
+func (e *Entry) applyConfig(ctx context.Context, doc *winch.Document) {
+	if doc.Version == 0 || !e.config.Offer(doc) {
 		return
 	}
 	e.Log.Info("configuration applied", zap.Uint64("Version", doc.Version))
--- a/trans/front/calls.go
+++ b/trans/front/calls.go
@@ -141,14 +141,14 @@
 	for name, values := range passed(reply.Header) {
 		h[name] = values
 	}
-	if reply.Held {
+	if reply.Buffered {
 		h.Set(OutcomeHeader, string(winch.Done))
 	} else {
 		h.Set("Trailer", OutcomeHeader)
 	}
 	w.WriteHeader(reply.Status)
 	if _, err := io.Copy(w, reply.Body); err != nil {
-		if !reply.Held {
+		if !reply.Buffered {
 			panic(http.ErrAbortHandler)
 		}
 		return
--- a/trans/front/front_test.go
+++ b/trans/front/front_test.go
@@ -79,7 +79,7 @@
 }
 
 func answer(held bool, body io.Reader) *entry.Reply {
-	return &entry.Reply{Status: http.StatusTeapot, Header: http.Header{"X-From": {"executor"}, "Connection": {"close"}}, Body: body, Held: held}
+	return &entry.Reply{Status: http.StatusTeapot, Header: http.Header{"X-From": {"executor"}, "Connection": {"close"}}, Body: body, Buffered: held}
 }
 
 // A call passes through with body, headers and status of the executor, and none
