--- a/state/config/changes.go
+++ b/state/config/changes.go
@@ -13,8 +13,9 @@
 	"plantainwinch/winch"
 )
 
-// Declared is what operators declare in files: teams, classes and services to
-// add or change, and the names of those to remove. What is not named stays.
+// Declared holds the declarations that operators write in files: teams, classes
+// and services to add or change, and the names of those to remove. Objects that
+// are not named stay as they are.
 type Declared struct {
 	Teams    map[string]winch.Team    `json:",omitempty"`
 	Classes  map[string]winch.Class   `json:",omitempty"`
@@ -22,26 +23,27 @@
 	Remove   []Named                  `json:",omitempty"`
 }
 
-// Kind is a kind of declared object.
+// Kind is the kind of a declared object.
 type Kind string
 
-// Kinds of declared objects.
+// The kinds of declared objects.
 const (
 	KindTeam    Kind = "Team"
 	KindClass   Kind = "Class"
 	KindService Kind = "Service"
 )
 
-// Named names a declared object.
+// Named identifies a declared object by kind and name.
 type Named struct {
 	Kind Kind
 	Name string
 }
 
-// String returns the name as it stands in a section of a file.
+// String returns the name in the form of a section header, such as "Team render".
 func (n Named) String() string { return string(n.Kind) + " " + n.Name }
 
-// ErrBad is wrapped by errors about a change that can never be right.
+// ErrInvalid is wrapped by errors about a change that is invalid whatever the
+// state of the document.
 var ErrBad = merry.New("bad declaration")
 
 func bad(format string, args ...any) error {
@@ -50,7 +52,7 @@
 
 var nameRule = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// CheckName checks the name of a team, class or service.
+// CheckName returns an error if the name of a team, class or service is malformed.
 func CheckName(name string) error {
 	if !nameRule.MatchString(name) {
 		return bad("name %q: write a lower-case letter, then letters, digits and hyphens, 63 at most", name)
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// CheckTeam checks a declared team.
+// CheckTeam returns an error if a declared team is invalid.
 func CheckTeam(t winch.Team) error {
 	if t.Share < 1 {
 		return bad("team %s: Share is %d: write 1 or more", t.Name, t.Share)
@@ -69,7 +71,7 @@
 	return CheckName(t.Name)
 }
 
-// CheckClass checks a declared class.
+// CheckClass returns an error if a declared class is invalid.
 func CheckClass(c winch.Class) error {
 	if (c.Wait > 0) == (c.By != "") {
 		return bad("class %s: give it one target, either Wait = 4s or By = 06:00", c.Name)
@@ -83,50 +85,51 @@
 	return CheckName(c.Name)
 }
 
-// Change returns the change that the declaration makes.
+// Change returns the change that applies the declarations to a document.
 func (d Declared) Change() Change {
 	return func(doc *winch.Document) ([]winch.Audit, error) {
-		var lines []winch.Audit
+		var records []winch.Audit
 		for _, name := range slices.Sorted(maps.Keys(d.Teams)) {
 			if err := CheckTeam(d.Teams[name]); err != nil {
 				return nil, err
 			}
-			lines = put(lines, doc.Teams, KindTeam, name, d.Teams[name])
+			records = put(records, doc.Teams, KindTeam, name, d.Teams[name])
 		}
 		for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 			if err := CheckClass(d.Classes[name]); err != nil {
 				return nil, err
 			}
-			lines = put(lines, doc.Classes, KindClass, name, d.Classes[name])
+			records = put(records, doc.Classes, KindClass, name, d.Classes[name])
 		}
 		for _, name := range slices.Sorted(maps.Keys(d.Services)) {
 			if err := CheckName(name); err != nil {
 				return nil, err
 			}
 			service := d.Services[name]
-			service.Approved = doc.Services[name].Approved // Approval is the owner's.
-			lines = put(lines, doc.Services, KindService, name, service)
+			service.Approved = doc.Services[name].Approved // Only the service's owner changes approvals.
+			records = put(records, doc.Services, KindService, name, service)
 		}
-		return d.remove(doc, lines)
+		return d.remove(doc, records)
 	}
 }
 
-// put stores an object if it differs and adds a line that says how.
-func put[T any](lines []winch.Audit, into map[string]T, kind Kind, name string, value T) []winch.Audit {
-	old, had := into[name]
+// setObject stores an object if it differs from the stored one and adds an audit
+// record of the difference.
+func put[T any](records []winch.Audit, objects map[string]T, kind Kind, name string, value T) []winch.Audit {
+	old, exists := objects[name]
 	before, after := fmt.Sprintf("%+v", old), fmt.Sprintf("%+v", value)
-	if had && before == after {
-		return lines
+	if exists && before == after {
+		return records
 	}
-	into[name] = value
-	line := winch.Audit{Action: "add", Object: Named{kind, name}.String(), Detail: after}
-	if had {
-		line.Action, line.Detail = "change", difference(before, after)
+	objects[name] = value
+	record := winch.Audit{Action: "add", Object: Named{kind, name}.String(), Detail: after}
+	if exists {
+		record.Action, record.Detail = "change", difference(before, after)
 	}
-	return append(lines, line)
+	return append(records, record)
 }
 
-// difference lists the fields that differ between two printed structs.
+// changedFields lists the fields that differ between two structs printed with %+v.
 func difference(before, after string) string {
 	a, b := strings.Fields(strings.Trim(before, "{}")), strings.Fields(strings.Trim(after, "{}"))
 	var out []string
@@ -139,7 +142,7 @@
 	return strings.Join(out, ", ")
 }
 
-func (d Declared) remove(doc *winch.Document, lines []winch.Audit) ([]winch.Audit, error) {
+func (d Declared) remove(doc *winch.Document, records []winch.Audit) ([]winch.Audit, error) {
 	for _, n := range d.Remove {
 		found := false
 		switch n.Kind {
@@ -159,14 +162,14 @@
 			return nil, bad("kind %q: write Team, Class or Service", n.Kind)
 		}
 		if found {
-			lines = append(lines, winch.Audit{Action: "remove", Object: n.String()})
+			records = append(records, winch.Audit{Action: "remove", Object: n.String()})
 		}
 	}
-	return lines, nil
+	return records, nil
 }
 
-// dropKeys withdraws the keys of a holder that is removed: were they kept, a
-// team declared again under the name would have them.
+// withdrawKeys withdraws the keys of a removed holder. Otherwise a team declared
+// later under the same name would inherit them.
 func dropKeys(doc *winch.Document, role winch.KeyRole, holder string) {
 	for id, k := range doc.Keys {
 		if k.Role == role && k.Holder == holder {
@@ -184,8 +187,8 @@
 	}
 }
 
-// Plan returns the lines of the change that a declaration would make to a
-// document, without making it.
+// Plan returns the audit records of the change that the declarations would make
+// to a document, and leaves the document unchanged.
 func (d Declared) Plan(doc *winch.Document) ([]winch.Audit, error) {
 	copied, err := Clone(doc)
 	if err != nil {
@@ -194,7 +197,8 @@
 	return d.Change()(copied)
 }
 
-// AddKey returns the change that adds a key for a declared holder.
+// AddKey returns the change that adds a key. The team or service that holds it
+// must be declared; the holder of an operator's key only needs a valid name.
 func AddKey(key winch.Key) Change {
 	return func(doc *winch.Document) ([]winch.Audit, error) {
 		switch key.Role {
@@ -230,8 +234,8 @@
 	}
 }
 
-// Approve returns the change by which a service's owner lets a team call, or
-// no longer lets it.
+// Approve returns the change by which a service's owner allows a team to call the
+// service, or withdraws the permission.
 func Approve(name, team string, allow bool) Change {
 	return func(doc *winch.Document) ([]winch.Audit, error) {
 		service, ok := doc.Services[name]
@@ -241,10 +245,10 @@
 		if _, ok := doc.Teams[team]; !ok {
 			return nil, bad("team %q is not declared", team)
 		}
-		i, has := slices.BinarySearch(service.Approved, team)
+		i, approved := slices.BinarySearch(service.Approved, team)
 		action := "approve"
 		switch {
-		case allow == has:
+		case allow == approved:
 			return nil, nil
 		case allow:
 			service.Approved = slices.Insert(slices.Clone(service.Approved), i, team)
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -1,6 +1,6 @@
-// Package config holds the operators' configuration: one versioned document in
-// the store, changed by compare-and-swap together with its audit trail, and
-// held in memory by every entry in a form whose version never falls.
+// Package config manages the operators' configuration. It is one versioned
+// document in the store, which is updated by compare-and-swap together with its
+// audit trail. Every entry keeps a copy in memory whose version never decreases.
 package config
 
 import (
@@ -17,27 +17,27 @@
 	"plantainwinch/winch"
 )
 
-// Key is where the document stands in the store.
+// Key is the store key of the document.
 const Key = "Config/Document"
 
-// trailKept is how many audit lines stay in the document, and trailRoll how
-// many are moved out at once.
+// maxTrail is the number of audit records in the document at which the oldest
+// archiveBatch of them are moved to a key of their own.
 const (
 	trailKept = 400
 	trailRoll = 200
 )
 
-// AuditPrefix comes before the keys of rolled audit lines.
+// AuditPrefix is the prefix of the store keys that hold archived audit records.
 const AuditPrefix = "Audit/"
 
-// Lost is returned when the document has moved on from the version that a
-// change was based on. It names the changes in between.
+// ConflictError is returned when the document is no longer at the version that a
+// change was based on. It lists the changes since that version.
 type Lost struct {
 	Base, Now uint64
 	Between   []winch.Audit
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (l *Lost) Error() string {
 	msg := fmt.Sprintf("configuration is at version %d, not %d", l.Now, l.Base)
 	for _, a := range l.Between {
@@ -46,17 +46,17 @@
 	return msg
 }
 
-// Change alters a copy of the document and returns the audit lines for it,
-// without version, time and actor.
+// Change modifies a copy of the document and returns the audit records for it.
+// Version, time and actor of the records are filled in by Editor.Edit.
 type Change func(doc *winch.Document) ([]winch.Audit, error)
 
-// Editor writes changes of the document to the store.
+// Editor applies changes to the document in the store.
 type Editor struct {
 	Store winch.Store
 }
 
-// Edit applies a change in one write with its audit lines. A base other than
-// zero must be the current version, or the change fails with Lost.
+// Edit writes a change and its audit records in one update. If base is not zero
+// and not the current version, the change fails with a *ConflictError.
 func (e *Editor) Edit(ctx context.Context, actor string, base uint64, change Change) (winch.Document, error) {
 	if err := e.roll(ctx); err != nil {
 		return winch.Document{}, err
@@ -72,19 +72,19 @@
 
 func edit(doc *winch.Document, actor string, change Change) error {
 	fill(doc)
-	lines, err := change(doc)
+	records, err := change(doc)
 	if err != nil {
 		return err
 	}
-	if len(lines) == 0 {
+	if len(records) == 0 {
 		return swap.ErrUnchanged
 	}
 	doc.Version++
-	for _, line := range lines {
-		line.Version = doc.Version
-		line.Time = time.Now().UTC()
-		line.Actor = actor
-		doc.Trail = append(doc.Trail, line)
+	for _, record := range records {
+		record.Version = doc.Version
+		record.Time = time.Now().UTC()
+		record.Actor = actor
+		doc.Trail = append(doc.Trail, record)
 	}
 	return nil
 }
@@ -112,9 +112,10 @@
 	return trail[i:]
 }
 
-// roll moves the oldest audit lines into a key of their own once the document
-// has grown. The lines are copied before they are cut, so a crash in between
-// leaves them standing twice, never nowhere; the reader drops the second copy.
+// archiveTrail moves the oldest audit records to a key of their own once the
+// document holds maxTrail of them. It copies the records before it removes them
+// from the document, so that a crash in between duplicates records instead of
+// losing them; Trail drops the duplicates.
 func (e *Editor) roll(ctx context.Context) error {
 	cur, err := swap.Read[winch.Document](ctx, e.Store, Key)
 	if err != nil || len(cur.Body.Trail) < trailKept {
@@ -122,8 +123,8 @@
 	}
 	old := cur.Body.Trail[:trailRoll]
 	key := fmt.Sprintf("%s%012d", AuditPrefix, old[0].Version)
-	_, err = swap.Update(ctx, e.Store, key, func(lines *[]winch.Audit) error {
-		*lines = old
+	_, err = swap.Update(ctx, e.Store, key, func(records *[]winch.Audit) error {
+		*records = old
 		return nil
 	})
 	if err != nil {
@@ -142,14 +143,14 @@
 	return err
 }
 
-// Trail returns all audit lines, the rolled ones first.
+// Trail returns all audit records, the archived ones first.
 func (e *Editor) Trail(ctx context.Context) ([]winch.Audit, error) {
-	rolled, err := e.Store.List(ctx, AuditPrefix)
+	archived, err := e.Store.List(ctx, AuditPrefix)
 	if err != nil {
 		return nil, err
 	}
 	var out []winch.Audit
-	for _, raw := range rolled {
+	for _, raw := range archived {
 		v, err := swap.Decode[[]winch.Audit](raw)
 		if err != nil {
 			return nil, err
@@ -163,11 +164,11 @@
 	return append(out, dropRepeated(out, cur.Body.Trail)...), nil
 }
 
-func dropRepeated(have, more []winch.Audit) []winch.Audit {
-	if len(have) == 0 {
-		return more
+func dropRepeated(archived, trail []winch.Audit) []winch.Audit {
+	if len(archived) == 0 {
+		return trail
 	}
-	return between(more, have[len(have)-1].Version)
+	return between(trail, archived[len(archived)-1].Version)
 }
 
 // Clone returns a deep copy of a document.
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -21,8 +21,8 @@
 	return Declared{Teams: map[string]winch.Team{name: {Name: name, Share: 1, Limit: limit}}}
 }
 
-// Two operators start from the same version. The second is told whose change
-// came between instead of overwriting it.
+// Guards against one operator overwriting another's change: both edit the same
+// version, and the second must get an error that names the change since then.
 func TestEditLostRace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -32,15 +32,15 @@
 		_, err = e.Edit(context.Background(), "ben", 1, team("choir", 5).Change())
 		is.NoErr(err)
 		_, err = e.Edit(context.Background(), "ana", 1, team("choir", 6).Change())
-		var lost *Lost
-		is.True(errors.As(err, &lost))
+		var conflict *Lost
+		is.True(errors.As(err, &conflict))
 		is.True(strings.Contains(err.Error(), "version 2 by ben: change Team choir"))
-		is.Equal(lost.Now, uint64(2))
+		is.Equal(conflict.Now, uint64(2))
 	})
 }
 
-// The reply to a change is lost. The change is in force once, with one line in
-// the trail.
+// Guards against a change being applied twice after the store's response to the
+// write is lost: it must be in the document and in the audit trail exactly once.
 func TestEditLostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,8 +57,8 @@
 	})
 }
 
-// The trail outgrows the document. Older lines move to keys of their own and
-// none is lost or stands twice.
+// Guards against audit records being lost or duplicated when the oldest ones are
+// archived under keys of their own.
 func TestTrailRolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,14 +71,14 @@
 		trail, err := e.Trail(context.Background())
 		is.NoErr(err)
 		is.Equal(len(trail), changes)
-		for i, line := range trail {
-			is.Equal(line.Version, uint64(i+1))
+		for i, record := range trail {
+			is.Equal(record.Version, uint64(i+1))
 		}
 	})
 }
 
-// The store comes back from an older copy, or an old message arrives late. An
-// entry keeps the newer document.
+// Guards against an entry adopting an older document, which arrives when the store
+// was restored from an old copy or a message was delayed.
 func TestHeldNeverFalls(t *testing.T) {
 	is := is.New(t)
 	var h Held
@@ -89,7 +89,8 @@
 	is.Equal(h.Behind.Load(), int64(1))
 }
 
-// A key is found by the whole of it only, and its secret is not in the document.
+// Guards against a key being accepted when only part of it is presented, and
+// against its secret being stored in the document.
 func TestFindKey(t *testing.T) {
 	is := is.New(t)
 	secret, key := NewKey()
@@ -103,7 +104,7 @@
 	is.Equal(strings.Contains(fmt.Sprint(doc), secret), false)
 }
 
-// Declarations that can never be right are refused whole, with the mend.
+// Guards against invalid declarations being accepted.
 func TestDeclaredBad(t *testing.T) {
 	for _, d := range []Declared{
 		{Teams: map[string]winch.Team{"x": {Name: "x", Share: 0}}},
@@ -122,8 +123,8 @@
 	}
 }
 
-// A team is removed and another declared under its name later. The old keys and
-// approvals must not come back with it.
+// Guards against a team inheriting the keys and approvals of a removed team when
+// it is declared later under the same name.
 func TestRemoveTeam(t *testing.T) {
 	is := is.New(t)
 	doc := &winch.Document{}
@@ -137,28 +138,29 @@
 	apply(Approve("render", "choir", true))
 	apply(AddKey(winch.Key{ID: "K1", Role: winch.KeyTeam, Holder: "choir"}))
 	apply(Declared{Services: map[string]winch.Service{"render": {Name: "render", MaxBody: 5}}}.Change())
-	is.Equal(doc.Services["render"].Approved, []string{"choir"}) // a declaration does not touch approvals
+	is.Equal(doc.Services["render"].Approved, []string{"choir"}) // a declaration does not change approvals
 	apply(Declared{Remove: []Named{{KindTeam, "choir"}}}.Change())
 	apply(team("choir", 1).Change())
 	is.Equal(len(doc.Keys), 0)
 	is.Equal(len(doc.Services["render"].Approved), 0)
 }
 
-// step is one operation on the configuration, as porcupine sees it: an edit
-// that expects a version, or a read.
+// operation is the input of one operation in the history that porcupine checks: an
+// edit of the version base, or a read.
 type step struct {
 	edit bool
 	base uint64
 }
 
-// Operators race while the store loses replies and is slow. The history of what
-// each of them saw is linearizable: there is one order of changes that explains it.
+// Guards against lost or duplicated changes when operators edit concurrently while
+// the store is slow and loses responses: the history of the versions that they
+// saw must be linearizable.
 func TestEditsLinearizable(t *testing.T) {
 	for seed := range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			ops := raceOperators(seed)
 			if !porcupine.CheckOperations(versionModel(), ops) {
-				t.Fatalf("seed %d: no order of the changes explains what the operators saw", seed)
+				t.Fatalf("seed %d: the history of the operators' edits is not linearizable", seed)
 			}
 		})
 	}
@@ -201,7 +203,7 @@
 	return porcupine.Operation{ClientId: client, Input: in, Call: begin.UnixNano(), Output: out, Return: time.Now().UnixNano() + 1}
 }
 
-// versionModel is a register that each edit moves on by one.
+// versionModel is a register that each successful edit increments by one.
 func versionModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
--- a/state/config/keys.go
+++ b/state/config/keys.go
@@ -10,22 +10,24 @@
 	"plantainwinch/winch"
 )
 
-// NewKey returns a random key and its record without holder and time. The key
-// is its record's ID, a dot and a secret; only the hash of the whole is kept.
+// NewKey returns a random key and its record. The record's role, holder and time
+// of issue are left to the caller. A key consists of the record's ID, a dot and a
+// secret; the record stores only the hash of the whole key.
 func NewKey() (string, winch.Key) {
 	id := "K" + rand.Text()[:10]
 	secret := id + "." + rand.Text()
 	return secret, winch.Key{ID: id, Hash: HashKey(secret)}
 }
 
-// HashKey returns the hexadecimal SHA-256 of a key.
+// HashKey returns the SHA-256 hash of a key in hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// FindKey returns the record of a presented key. The hashes are compared in
-// constant time, so that response times tell nothing about a stored hash.
+// FindKey returns the record of a presented key and reports whether the key is
+// valid. The hashes are compared in constant time, so that response times reveal
+// nothing about a stored hash.
 func FindKey(doc *winch.Document, presented string) (winch.Key, bool) {
 	id, _, _ := strings.Cut(presented, ".")
 	rec, ok := doc.Keys[id]
--- a/state/config/held.go
+++ b/state/config/latest.go
@@ -7,21 +7,23 @@
 	"plantainwinch/winch"
 )
 
-// Held is the document that an entry acts by. Readers take no lock.
+// Latest holds the newest configuration document that an entry has received, and
+// by which it acts. Reading the document takes no lock.
 type Held struct {
 	cur  atomic.Pointer[winch.Document]
 	mu   sync.Mutex
 	wake chan struct{}
-	// Behind counts documents that were refused because they were older.
+	// Outdated counts documents that were rejected because they were older.
 	Behind atomic.Int64
 }
 
-// Get returns the current document, or nil if there is none yet. It must not be changed.
+// Get returns the current document, or nil if there is none yet. The caller must
+// not modify it.
 func (h *Held) Get() *winch.Document {
 	return h.cur.Load()
 }
 
-// Version returns the version of the current document, zero if there is none.
+// Version returns the version of the current document, or zero if there is none.
 func (h *Held) Version() uint64 {
 	if doc := h.cur.Load(); doc != nil {
 		return doc.Version
@@ -29,16 +31,16 @@
 	return 0
 }
 
-// Offer takes the document over if it is newer than the current one and
-// reports whether it did. An older one comes from a late message, or from a
-// store that was restored from an old copy; taking it would bring back
-// withdrawn keys, which an operator would notice as calls that should fail.
+// Offer replaces the current document if the given one is newer, and reports
+// whether it did. An older document comes from a delayed message or from a store
+// restored from an old copy; adopting it would make withdrawn keys valid again,
+// so that calls succeed that must fail.
 func (h *Held) Offer(doc *winch.Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	have := h.Version()
-	if doc.Version <= have {
-		if doc.Version < have {
+	current := h.Version()
+	if doc.Version <= current {
+		if doc.Version < current {
 			h.Behind.Add(1)
 		}
 		return false
@@ -51,7 +53,7 @@
 	return true
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed when a newer document is adopted.
 func (h *Held) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/state/ledger/calls.go
+++ b/state/ledger/calls.go
@@ -8,17 +8,17 @@
 	"plantainwinch/winch"
 )
 
-// Begin records that a non-repeatable call is about to be sent by the attempt
-// named in the record. If it returns mine, this attempt, and no other, may send
-// it. Otherwise the record returned says what became of the earlier one.
+// Begin records that the attempt named in the record is about to send a
+// non-repeatable call. If it returns true, this attempt and no other may send the
+// call. Otherwise the returned record holds the state of the earlier attempt.
 func (l *Ledger) Begin(ctx context.Context, call winch.CallRecord) (winch.CallRecord, bool, error) {
 	var rec winch.CallRecord
-	var mine bool
+	var owned bool
 	err := l.Commit(ctx, call.ID, func(p *Partition) error {
 		old, ok := p.Calls[call.ID]
-		again := ok && old.Result.Outcome == winch.NotRun
-		if ok && !again {
-			rec, mine = old, old.Owner == call.Owner
+		mayRetry := ok && old.Result.Outcome == winch.NotRun
+		if ok && !mayRetry {
+			rec, owned = old, old.Owner == call.Owner
 			if old.Digest != call.Digest {
 				return ErrDuplicate
 			}
@@ -28,20 +28,20 @@
 			return ErrFull
 		}
 		p.Calls[call.ID] = call
-		rec, mine = call, true
+		rec, owned = call, true
 		return nil
 	})
 	if errors.Is(err, winch.ErrUncertain) {
-		// The change may still be under way and write what is read here.
+		// The change may still be applied and write rec and owned concurrently.
 		return winch.CallRecord{}, false, err
 	}
-	if err == ErrFinal { //nolint:errorlint // It comes from the change above, unwrapped.
+	if err == ErrFinal { //nolint:errorlint // The change above returns it unwrapped.
 		err = nil
 	}
-	return rec, mine, err
+	return rec, owned, err
 }
 
-// Call reads one call.
+// Call returns the record of a call, or winch.ErrMissing if there is none.
 func (l *Ledger) Call(ctx context.Context, id string) (winch.CallRecord, error) {
 	p, err := l.Read(ctx, id)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return c, nil
 }
 
-// End records what became of a call that Begin gave to this attempt.
+// End records the result of a call that Begin allowed this attempt to send.
 func (l *Ledger) End(ctx context.Context, call winch.CallRecord) error {
 	return l.Commit(ctx, call.ID, func(p *Partition) error {
 		old, ok := p.Calls[call.ID]
@@ -67,8 +67,9 @@
 	})
 }
 
-// Judge tells a resubmission what became of a call that is recorded without an
-// end: while it may still run it is unknown for now, after that for good.
+// ResultOf returns the result that a resubmission of a recorded call gets. If the
+// call's result was not recorded, the outcome is unknown: with a delay for a retry
+// while the call may still run, and finally after that.
 func Judge(rec winch.CallRecord, now time.Time) winch.Result {
 	if !rec.Finished.IsZero() {
 		return rec.Result
--- a/state/ledger/expire.go
+++ b/state/ledger/expire.go
@@ -7,8 +7,9 @@
 	"plantainwinch/winch"
 )
 
-// expire shortens records that ended long ago to what recognizes a
-// resubmission, and drops those that ended still longer ago.
+// expire reduces the records of jobs and calls that ended more than Retention ago
+// to what is needed to recognize a resubmission, and deletes those that ended more
+// than IDRetention ago.
 func (l *Ledger) expire(p *Partition) {
 	now := time.Now()
 	for id, j := range p.Jobs {
@@ -36,21 +37,22 @@
 	dropAnswers(p)
 }
 
-// dropAnswers drops the oldest answers until the rest is within bounds.
+// dropOldResponses drops the stored responses of the calls that ended first until
+// the rest takes no more than maxResponsesSize.
 func dropAnswers(p *Partition) {
 	sum := 0
-	var with []winch.CallRecord
+	var calls []winch.CallRecord
 	for _, c := range p.Calls {
 		if len(c.Answer) > 0 {
 			sum += len(c.Answer)
-			with = append(with, c)
+			calls = append(calls, c)
 		}
 	}
 	if sum <= answersMost {
 		return
 	}
-	slices.SortFunc(with, func(a, b winch.CallRecord) int { return a.Finished.Compare(b.Finished) })
-	for _, c := range with {
+	slices.SortFunc(calls, func(a, b winch.CallRecord) int { return a.Finished.Compare(b.Finished) })
+	for _, c := range calls {
 		if sum <= answersMost {
 			return
 		}
@@ -60,7 +62,7 @@
 	}
 }
 
-// size estimates how large the partition is in the store.
+// estimateSize estimates the size of the partition's value in the store, in bytes.
 func (p *Partition) size() int {
 	sum := 0
 	for _, j := range p.Jobs {
--- a/state/ledger/jobs.go
+++ b/state/ledger/jobs.go
@@ -10,14 +10,15 @@
 	"plantainwinch/winch"
 )
 
-// ErrFinal is returned by a change of a job that has reached its end.
+// ErrFinal is returned by a change of a job that has ended, or of a call that
+// belongs to another attempt.
 var ErrFinal = errors.New("the job has ended")
 
 // ErrDuplicate is returned when a request id was used for a different request.
 var ErrDuplicate = errors.New("the request id was used for a different request")
 
-// Accept records a job and returns the record in the ledger: the one given, or
-// the earlier one of the same request.
+// Accept records a job and returns the record in the ledger: the given one, or the
+// record of an earlier submission of the same request.
 func (l *Ledger) Accept(ctx context.Context, job winch.Job) (winch.Job, error) {
 	out := job
 	err := l.Commit(ctx, job.ID, func(p *Partition) error {
@@ -37,7 +38,7 @@
 		return swap.ErrUnchanged
 	})
 	if errors.Is(err, winch.ErrUncertain) {
-		return job, err // The change may still be under way and write what is read here.
+		return job, err // The change may still be applied and write out concurrently.
 	}
 	if errors.Is(err, swap.ErrUnchanged) {
 		err = nil
@@ -45,7 +46,7 @@
 	return out, err
 }
 
-// Job reads one job.
+// Job returns the record of a job, or winch.ErrMissing if there is none.
 func (l *Ledger) Job(ctx context.Context, id string) (winch.Job, error) {
 	p, err := l.Read(ctx, id)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return j, nil
 }
 
-// Jobs reads all jobs.
+// Jobs returns the records of all jobs in the order of their submission.
 func (l *Ledger) Jobs(ctx context.Context) ([]winch.Job, error) {
 	values, err := l.Store.List(ctx, l.Prefix)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return slices.Collect(maps.Values(v.Body.Jobs)), nil
 }
 
-// JobsAt reads the jobs of the partition under one key.
+// JobsAt returns the jobs of the partition with the given store key.
 func (l *Ledger) JobsAt(ctx context.Context, key string) ([]winch.Job, error) {
 	raw, err := l.Store.Get(ctx, key)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return decodeJobs(raw)
 }
 
-// changeJob commits a change of one unfinished job.
+// changeJob commits a change of a job that has not ended.
 func (l *Ledger) changeJob(ctx context.Context, id string, change func(*winch.Job) error) error {
 	return l.Commit(ctx, id, func(p *Partition) error {
 		j, ok := p.Jobs[id]
@@ -121,7 +122,8 @@
 	})
 }
 
-// Cancel marks a job as cancelled by its caller. ErrFinal means that its end won.
+// Cancel marks a job as cancelled by its caller. It returns ErrFinal if the job
+// ended first.
 func (l *Ledger) Cancel(ctx context.Context, id string) error {
 	return l.changeJob(ctx, id, func(j *winch.Job) error {
 		j.Cancel = true
@@ -129,7 +131,8 @@
 	})
 }
 
-// Finish records the end of a job. The intents stay as they are in the ledger.
+// Finish records a job in its final state. Its intents and its cancellation stay as
+// they are in the ledger.
 func (l *Ledger) Finish(ctx context.Context, job winch.Job) error {
 	return l.changeJob(ctx, job.ID, func(j *winch.Job) error {
 		intent, cancel := j.Intent, j.Cancel
@@ -139,10 +142,11 @@
 	})
 }
 
-// Progress records tasks that ended well, before the workers forget them.
-func (l *Ledger) Progress(ctx context.Context, id string, ended []int) error {
+// Progress records tasks that completed successfully, before the workers are told
+// to forget them.
+func (l *Ledger) Progress(ctx context.Context, id string, completed []int) error {
 	return l.changeJob(ctx, id, func(j *winch.Job) error {
-		for _, i := range ended {
+		for _, i := range completed {
 			if !slices.Contains(j.EndedTasks, i) {
 				j.EndedTasks = append(slices.Clone(j.EndedTasks), i)
 			}
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger records accepted jobs and non-repeatable calls in hashed
-// partitions of the store. Changes are committed in groups: one write carries
-// all changes of a partition that came up while the write before was under way.
+// Package ledger records accepted jobs and non-repeatable calls in the store. The
+// records are distributed over partitions by a hash of their id, and changes are
+// committed in groups: one write carries all changes of a partition that arrived
+// while the previous write was in progress.
 package ledger
 
 import (
@@ -18,49 +19,56 @@
 	"plantainwinch/winch"
 )
 
-// Prefixes come before the keys of the partitions. Jobs and calls are kept
-// apart, so that placers, who watch the jobs, are not woken by every call.
+// JobsPrefix and CallsPrefix are the prefixes of the partitions' store keys. Jobs
+// and calls have separate partitions, so that planners, which watch the jobs, are
+// not notified of every call.
 const (
 	JobsPrefix  = "Ledger/Jobs/"
 	CallsPrefix = "Ledger/Calls/"
 )
 
-// DefaultPartitions is the number of partitions of a cell. It is fixed for the
-// cell's life, since it decides where a record is looked for. Many small ones
-// cost less than a few large ones: each change rewrites its whole partition.
+// DefaultPartitions is the default number of partitions in a cell. The number must
+// not change during the cell's life, since it determines the partition of each
+// record. Many small partitions cost less than a few large ones, because each
+// write rewrites a whole partition.
 const DefaultPartitions = 256
 
 const (
-	// DefaultKeep is how long a record stays whole after its end.
+	// DefaultRetention is how long a complete record is kept after its job or call
+	// has ended.
 	DefaultKeep = time.Hour
-	// DefaultRemember is how long its id stays known after that, so that a late
-	// resubmission does not run again.
+	// DefaultIDRetention is how long a reduced record is kept after the end, so that
+	// a late resubmission is recognized and does not run again.
 	DefaultRemember = 24 * time.Hour
-	// sizeMost bounds a partition, below the store's largest value of a megabyte.
+	// maxPartitionSize stays below the store's limit of one megabyte for a value.
 	sizeMost = 700 << 10
-	// answersMost bounds the answers in a partition; the oldest are dropped first.
+	// maxResponsesSize limits the stored responses in a partition; the oldest are
+	// dropped first.
 	answersMost = 200 << 10
-	// recordSize is about what a record takes beside its texts.
+	// recordOverhead is the approximate size of a record without its texts.
 	recordSize = 450
 )
 
-// ErrFull is returned when a partition has no room for another record. Records
-// are not dropped early to make room: a request that was forgotten could run twice.
+// ErrFull is returned when a partition has no capacity for another record. Records
+// are not dropped early to free capacity, since a request whose record is missing
+// could run twice.
 var ErrFull = errors.New("the ledger's partition is full")
 
-// groupSize bounds the changes in one write and the ring before it.
+// maxGroupSize limits the changes in one write and the changes queued for a
+// partition.
 const groupSize = 512
 
-// Partition is the body of one store value.
+// Partition is the content of one store value.
 type Partition struct {
 	Jobs  map[string]winch.Job
 	Calls map[string]winch.CallRecord
 }
 
-// Change alters a partition. An error leaves it as it was, for this change only.
+// Change modifies a partition. A change that returns an error must leave the
+// partition unmodified; other changes of the same group still apply.
 type Change func(p *Partition) error
 
-// ErrBusy is returned at once when more changes wait than the ring holds.
+// ErrBusy is returned immediately when the queue of a partition is full.
 var ErrBusy = errors.New("ledger is busy")
 
 type pending struct {
@@ -68,14 +76,15 @@
 	done   chan error
 }
 
-// Ledger commits changes of records. Set the fields before Run.
+// Ledger commits changes of records. Its exported fields must be set before Prepare.
 type Ledger struct {
 	Store      winch.Store
 	Prefix     string
 	Partitions int
 	Keep       time.Duration
 	Remember   time.Duration
-	// Timeout bounds a commit; a store that is slower makes callers wait no longer.
+	// Timeout limits the duration of one group's write, so that a slow store does not
+	// block the callers of Commit for longer.
 	Timeout time.Duration
 	Metrics metrics.Registry
 
@@ -85,7 +94,8 @@
 	writes  metrics.Counter
 }
 
-// Prepare makes the rings; it must come before Run and Commit.
+// Prepare sets defaults and creates the queues. It must be called before Run and
+// Commit.
 func (l *Ledger) Prepare() {
 	if l.Partitions == 0 {
 		l.Partitions = DefaultPartitions
@@ -111,7 +121,7 @@
 	}
 }
 
-// Run commits until ctx ends.
+// Run commits changes until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	defer close(l.stopped)
 	var group conc.WaitGroup
@@ -121,21 +131,21 @@
 	group.Wait()
 }
 
-// ID returns the id of a team's request: the same on every entry, so that a
-// resubmission finds the record wherever it goes.
+// ID returns the id of a team's request. It is the same on every entry, so that a
+// resubmission finds the record whichever entry receives it.
 func ID(kind, team, request string) string {
 	sum := sha256.Sum256([]byte(kind + "\x00" + team + "\x00" + request))
 	return kind + hex.EncodeToString(sum[:10])
 }
 
-// Digest returns a digest by which a resubmission is told from another request
-// under the same id.
+// Digest returns a digest that distinguishes a resubmission from a different
+// request with the same id.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// PartitionOf returns the number of the partition that holds an id.
+// PartitionOf returns the number of the partition that holds the record of an id.
 func (l *Ledger) PartitionOf(id string) int {
 	sum := sha256.Sum256([]byte(id))
 	return (int(sum[0])<<8 | int(sum[1])) % l.Partitions
@@ -146,9 +156,9 @@
 	return fmt.Sprintf("%s%03d", l.Prefix, partition)
 }
 
-// Commit makes a change to the partition of id and returns once it is in the
-// store, or the change's own error. winch.ErrUncertain means that it may be in
-// the store; winch.ErrUnavailable and ErrBusy that it is not.
+// Commit applies a change to the partition of id and returns once it is stored, or
+// returns the change's own error. winch.ErrUncertain means that the change may have
+// been stored; winch.ErrUnavailable and ErrBusy mean that it was not.
 func (l *Ledger) Commit(ctx context.Context, id string, change Change) error {
 	p := pending{change: change, done: make(chan error, 1)}
 	select {
@@ -166,7 +176,7 @@
 	}
 }
 
-// Read returns the partition that holds id.
+// Read returns the partition that holds the record of an id.
 func (l *Ledger) Read(ctx context.Context, id string) (Partition, error) {
 	v, err := swap.Read[Partition](ctx, l.Store, l.Key(l.PartitionOf(id)))
 	return v.Body, err
@@ -183,8 +193,8 @@
 	}
 }
 
-// collect takes what has gathered in the ring, without waiting for more: while
-// one write is under way the next group forms by itself.
+// collect returns the first change with all others in the queue. It does not wait
+// for more, since the next group accumulates while this one is written.
 func (l *Ledger) collect(partition int, first pending) []pending {
 	group := []pending{first}
 	for len(group) < groupSize {
@@ -219,7 +229,8 @@
 	}
 }
 
-// applyGroup applies each change; the error of one does not hinder the others.
+// applyGroup applies the changes of a group and stores their errors in errs. A
+// failed change does not affect the others.
 func (l *Ledger) applyGroup(p *Partition, group []pending, errs []error) error {
 	if p.Jobs == nil {
 		p.Jobs = make(map[string]winch.Job)
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -16,7 +16,7 @@
 	"plantainwinch/winch"
 )
 
-// start runs a ledger in a bubble until the function returned is called.
+// startLedger runs a ledger until the returned function is called.
 func start(p winch.Store, partitions int) (*Ledger, func()) {
 	l := &Ledger{Store: p, Prefix: JobsPrefix, Partitions: partitions}
 	l.Prepare()
@@ -34,8 +34,8 @@
 	return winch.Job{ID: ID("J", "choir", id), Team: "choir", RequestID: id, State: winch.JobQueued, Digest: "d"}
 }
 
-// Many jobs are accepted at once while the store takes its time. They share
-// writes, so the store sees far fewer calls than jobs.
+// Guards against one store write per job: many jobs accepted at the same time while
+// the store is slow must share a few writes.
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -58,8 +58,8 @@
 	})
 }
 
-// Two entries accept the same request at once and one of them loses the reply.
-// Both give the same record.
+// Guards against two records of one request when two entries accept it at the same
+// time and the store's response to one of them is lost.
 func TestAcceptTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -84,8 +84,8 @@
 	})
 }
 
-// The store is down for long and changes pile up. The ring is bounded: more
-// than it holds is refused at once instead of waiting with the rest.
+// Guards against an unbounded backlog while the store is slow: changes beyond the
+// capacity of the queue must be refused immediately.
 func TestRingFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -115,7 +115,7 @@
 	})
 }
 
-// A final state is recorded, then a late change arrives. The end stays.
+// Guards against a late change altering the record of a job that has ended.
 func TestFinalStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,8 +136,8 @@
 	})
 }
 
-// A job ended an hour ago and again a day ago. Its record is shortened, then
-// dropped; in between a resubmission is still recognized and does not run.
+// Guards against a resubmission running again because the record of the ended job
+// was deleted too early: the record is first reduced and only later deleted.
 func TestRecordsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -149,7 +149,7 @@
 		j.State, j.Finished, j.Output = winch.JobDone, time.Now(), []string{"mixed"}
 		is.NoErr(l.Finish(ctx, j))
 		time.Sleep(2 * DefaultKeep)
-		_, err = l.Accept(ctx, job(2)) // a write takes the chance to tidy
+		_, err = l.Accept(ctx, job(2)) // expired records are removed with the next write
 		is.NoErr(err)
 		again, err := l.Accept(ctx, job(1))
 		is.NoErr(err)
@@ -163,8 +163,8 @@
 	})
 }
 
-// More is recorded than a value of the store can hold. New requests are refused
-// as not recorded; none that was accepted is forgotten to make room.
+// Guards against accepted jobs being dropped when a partition reaches the size limit
+// of a store value: new requests must be refused instead.
 func TestPartitionFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,8 +188,9 @@
 	})
 }
 
-// Only one attempt may send a non-repeatable request, whichever entry it is on
-// and whatever replies are lost. After a proven NotRun, the next one may.
+// Guards against a non-repeatable call being sent twice by attempts on different
+// entries while responses of the store are lost. Another attempt is allowed only
+// once the result NotRun is recorded.
 func TestBeginOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -201,37 +202,37 @@
 			defer stop()
 			ledgers = append(ledgers, l)
 		}
-		mineCount := make(chan bool, 3)
+		results := make(chan bool, 3)
 		var group conc.WaitGroup
 		for i, l := range ledgers {
 			group.Go(func() {
 				rec := winch.CallRecord{ID: "C1", Owner: fmt.Sprint(i), Committed: time.Now(), MaxRun: time.Minute}
-				_, mine, err := l.Begin(context.Background(), rec)
+				_, owned, err := l.Begin(context.Background(), rec)
 				is.NoErr(err)
-				mineCount <- mine
+				results <- owned
 			})
 		}
 		group.Wait()
-		close(mineCount)
-		winners := 0
-		for mine := range mineCount {
-			if mine {
-				winners++
+		close(results)
+		owners := 0
+		for owned := range results {
+			if owned {
+				owners++
 			}
 		}
-		is.Equal(winners, 1)
+		is.Equal(owners, 1)
 		rec, err := ledgers[0].Call(context.Background(), "C1")
 		is.NoErr(err)
 		rec.Result = winch.Refuse(winch.ExecutorFailed, "not reached")
 		is.NoErr(ledgers[0].End(context.Background(), rec))
-		_, mine, err := ledgers[1].Begin(context.Background(), winch.CallRecord{ID: "C1", Owner: "later"})
+		_, owned, err := ledgers[1].Begin(context.Background(), winch.CallRecord{ID: "C1", Owner: "later"})
 		is.NoErr(err)
-		is.True(mine)
+		is.True(owned)
 	})
 }
 
-// A caller goes away at the very moment at which its change is applied. Its result
-// must not be read while the change writes it; the race detector shows it.
+// Guards against a data race on the result variables when a caller's context ends
+// at the moment at which its change is applied. Only the race detector finds it.
 func TestGivenUpWhileTheChangeIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -243,8 +244,8 @@
 		for i := range 30 {
 			ctx, cancel := context.WithTimeout(t.Context(), latency)
 			if i%2 == 0 {
-				_, mine, err := l.Begin(ctx, winch.CallRecord{ID: fmt.Sprint("C", i), Owner: "o", Digest: "d"})
-				is.Equal(mine, err == nil)
+				_, owned, err := l.Begin(ctx, winch.CallRecord{ID: fmt.Sprint("C", i), Owner: "o", Digest: "d"})
+				is.Equal(owned, err == nil)
 			} else {
 				_, err := l.Accept(ctx, job(i))
 				is.True(err == nil || errors.Is(err, winch.ErrUncertain))
--- a/state/swap/swap.go
+++ b/state/swap/swap.go
@@ -1,5 +1,5 @@
-// Package swap changes one value of the store by compare-and-swap and tells
-// whether a write took effect even when its reply was lost.
+// Package swap updates single values in the store by compare-and-swap. It determines
+// whether a write took effect even if the store's response was lost.
 package swap
 
 import (
@@ -15,19 +15,20 @@
 	"plantainwinch/winch"
 )
 
-// marksKept is how many writers' marks a value carries. Between a lost reply
-// and the read that resolves it, at most this many other writes may come.
+// maxMarks is the number of marks that a value keeps. If more than this many other
+// writes come between a lost response and the read that looks for its mark, the mark
+// is no longer found and the change is applied a second time.
 const marksKept = 64
 
-// Attempts bounds how often one update is tried before it is given up.
+// MaxAttempts limits the attempts of one update.
 const Attempts = 20
 
-// resolveWait is the pause between reads that resolve a lost reply.
+// resolveInterval is the delay between failed reads after a lost response.
 const resolveWait = 20 * time.Millisecond
 
-// Envelope is the form in which a value stands in the store. Marks names the
-// newest writes: a writer whose reply was lost reads the value back and finds
-// its mark if, and only if, its write took effect.
+// Envelope is the stored form of a value. Marks holds the random ids of the newest
+// writes: a writer whose response was lost reads the value back and finds its mark
+// if and only if its write took effect.
 type Envelope[T any] struct {
 	Marks []string
 	Body  T
@@ -40,10 +41,10 @@
 	marks   []string
 }
 
-// ErrUnchanged is returned by a mutation that has nothing to write.
+// ErrUnchanged is returned by a mutate function that has nothing to write.
 var ErrUnchanged = errors.New("unchanged")
 
-// Read gets and decodes a value; a key that does not exist gives the zero body.
+// Read reads and decodes a value. If the key does not exist, the body is zero.
 func Read[T any](ctx context.Context, store winch.Store, key string) (Value[T], error) {
 	raw, err := store.Get(ctx, key)
 	if errors.Is(err, winch.ErrNotFound) {
@@ -55,7 +56,7 @@
 	return Decode[T](raw)
 }
 
-// Decode decodes a raw value of the store.
+// Decode decodes a value as read from the store.
 func Decode[T any](raw winch.Value) (Value[T], error) {
 	var env Envelope[T]
 	if err := json.Unmarshal(raw.Data, &env); err != nil {
@@ -64,37 +65,38 @@
 	return Value[T]{Body: env.Body, Version: raw.Version, marks: env.Marks}, nil
 }
 
-// Update reads the value, lets mutate change the body and writes it back,
-// again if another writer came between. The value returned is the one that this
-// update wrote. An error of mutate ends it without a
-// write. winch.ErrUncertain is returned only if ctx ended before a lost reply
-// could be resolved; winch.ErrUnavailable means that nothing was written.
+// Update reads a value, lets mutate change its body and writes it back; if another
+// writer changed the value in between, it tries again. It returns the value that it
+// wrote. If mutate returns an error, nothing is written and that error is returned.
+// winch.ErrUncertain is returned only if ctx ended before the outcome of a write
+// with a lost response was known; winch.ErrUnavailable means that nothing was written.
 func Update[T any](ctx context.Context, store winch.Store, key string, mutate func(*T) error) (Value[T], error) {
 	mark := rand.Text()
-	var last error
-	var wrote Value[T]
+	var lastErr error
+	var written Value[T]
 	for range Attempts {
 		cur, err := Read[T](ctx, store, key)
 		if err != nil {
 			return cur, notWritten(err)
 		}
 		if slices.Contains(cur.marks, mark) {
-			return wrote, nil // The last attempt, taken for lost, took effect late.
+			return written, nil // The previous attempt's write took effect after resolve had read the value.
 		}
 		if err := mutate(&cur.Body); err != nil {
 			return cur, err
 		}
-		wrote = cur
+		written = cur
 		var done bool
-		cur, done, last = write(ctx, store, key, mark, cur)
+		cur, done, lastErr = write(ctx, store, key, mark, cur)
 		if done {
-			return cur, last
+			return cur, lastErr
 		}
 	}
-	return Value[T]{}, merry.Prependf(winch.ErrUnavailable, "key %s is contended: %v", key, last)
+	return Value[T]{}, merry.Prependf(winch.ErrUnavailable, "key %s is contended: %v", key, lastErr)
 }
 
-// notWritten turns the failure of a read into one that surely wrote nothing.
+// unavailable converts an uncertain error of a read, which writes nothing, to
+// winch.ErrUnavailable.
 func notWritten(err error) error {
 	if errors.Is(err, winch.ErrUncertain) {
 		return merry.Prepend(winch.ErrUnavailable, err.Error())
@@ -124,19 +126,19 @@
 	}
 }
 
-// resolve reads until it knows whether the write with this mark took effect. A
-// write still under way could land after the read; the caller then tries again
-// under the same mark, and every read looks for the mark first, so a late effect
-// is never applied a second time.
-// What it returns is what was written, not what others have made of it since.
-func resolve[T any](ctx context.Context, store winch.Store, key, mark string, wrote Value[T]) (Value[T], bool, error) {
+// resolve reads the value until it knows whether the write with this mark took
+// effect. A write still in progress may take effect after that read; Update then
+// tries again with the same mark and looks for the mark after every read, so that a
+// delayed write is never applied twice. The returned body is the one written here,
+// without later changes by other writers.
+func resolve[T any](ctx context.Context, store winch.Store, key, mark string, written Value[T]) (Value[T], bool, error) {
 	for {
-		now, err := Read[T](ctx, store, key)
+		cur, err := Read[T](ctx, store, key)
 		if err == nil {
-			if slices.Contains(now.marks, mark) {
-				return Value[T]{Body: wrote.Body, Version: now.Version, marks: now.marks}, true, nil
+			if slices.Contains(cur.marks, mark) {
+				return Value[T]{Body: written.Body, Version: cur.Version, marks: cur.marks}, true, nil
 			}
-			return now, false, merry.Prependf(winch.ErrConflict, "base version %d", wrote.Version)
+			return cur, false, merry.Prependf(winch.ErrConflict, "base version %d", written.Version)
 		}
 		select {
 		case <-ctx.Done():
--- a/state/swap/swap_test.go
+++ b/state/swap/swap_test.go
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// Writes from many writers race for one value. Each is counted once.
+// Guards against lost updates when several writers change one value concurrently.
 func TestUpdateRace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -39,8 +39,8 @@
 	})
 }
 
-// The store loses replies of writes that took effect. A writer that simply tried
-// again would count twice.
+// Guards against a change being applied twice when the store's response to a
+// successful write is lost and the writer tries again.
 func TestUpdateLostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -56,8 +56,8 @@
 	})
 }
 
-// lateStore loses the first write and lets it take effect later, after the
-// reader has looked for it.
+// delayedStore delays the first write: it reports an uncertain result, and the write
+// takes effect at the third read, when the writer has already looked for its mark.
 type lateStore struct {
 	*stand.Platform
 	late func()
@@ -80,8 +80,8 @@
 	return s.Platform.Get(ctx, key)
 }
 
-// A write is taken for lost and lands after all, when its writer has already
-// looked for it in vain. The writer must not apply its change on top of it.
+// Guards against a change being applied twice when a delayed write takes effect after
+// its writer has looked for it and tries again.
 func TestUpdateLateWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,8 +94,8 @@
 	})
 }
 
-// The store goes down right after a write whose reply it lost. The writer cannot
-// know the outcome and must say so, not that nothing was written.
+// Guards against reporting that nothing was written when the store goes down right
+// after a write with a lost response: the outcome is uncertain.
 func TestUpdateUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,6 +111,7 @@
 	})
 }
 
+// failingStore applies a write, loses the response and goes down.
 type thenDown struct{ *stand.Platform }
 
 func (s *thenDown) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
