--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -33,7 +33,8 @@
 Heartbeat = 500ms
 `
 
-// Settings that are in order are read whole, and the rest has its defaults.
+// Guards against a valid settings file being decoded wrongly, and against missing
+// optional keys not getting their defaults.
 func TestDecode(t *testing.T) {
 	is := is.New(t)
 	s, err := Decode("entry.ini", []byte(good))
@@ -45,23 +46,24 @@
 	is.Equal(s.Timing.Drain, 30*time.Second)
 }
 
-// Each mistake is named with its file, line and mend.
+// Guards against errors that do not name the file, the line and the fix of a mistake
+// in the settings.
 func TestDecodeMistakes(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"Prefer = Waiting", "Prefre = Waiting", "entry.ini:7: unknown key Prefre in [Cell]: did you mean Prefer?"},
 		{"Prefer = Waiting", "Prefer = Speed", "entry.ini:7: Prefer = Speed: write Packing or Waiting"},
 		{"Name = d1-1\n", "", "entry.ini:1: key Name is missing in [Entry]: add a line Name = ..."},
 		{"Heartbeat = 500ms", "Heartbeat = 500", "entry.ini:20: Heartbeat = 500: not a duration: write a number with its unit"},
-		{"Heartbeat = 500ms", "Heartbeat = 9s", "entry.ini:19: times do not fit together"},
+		{"Heartbeat = 500ms", "Heartbeat = 9s", "entry.ini:19: times are inconsistent"},
 		{"HoldAnswer = 1MB", "HoldAnswer = 1000", "entry.ini:18: HoldAnswer = 1000: not an amount: write a whole number with its unit"},
 		{"HoldAnswer = 1MB", "QueueLength = 5s", "entry.ini:18: QueueLength = 5s: not a whole number"},
 		{"[Timing]", "[Timings]", "entry.ini:19: unknown section [Timings]: did you mean [Timing]?"},
-		{"Address = 127.0.0.1:4", "Address = platform", "entry.ini:13: Address = platform: write an IP number and a port"},
-		{"Addresses = 127.0.0.1:3, 127.0.0.1:5", "Addresses = 127.0.0.1", "entry.ini:16: 127.0.0.1: write IP numbers with ports"},
-		{"Token = secret", "Token = secret\nToken = other", "entry.ini:16: Token stands on line 15 already"},
+		{"Address = 127.0.0.1:4", "Address = platform", "entry.ini:13: Address = platform: write an IP address and a port"},
+		{"Addresses = 127.0.0.1:3, 127.0.0.1:5", "Addresses = 127.0.0.1", "entry.ini:16: 127.0.0.1: write IP addresses with ports"},
+		{"Token = secret", "Token = secret\nToken = other", "entry.ini:16: Token already appears on line 15: keep one of the two"},
 		{"[Timing]", "[Timing", `entry.ini:19: section "[Timing" has no closing bracket`},
-		{"Token = secret", "Token", `entry.ini:15: "Token" is no setting: write it as Key = Value`},
-		{"ba7816bf", "xyz", "entry.ini:6: OperatorKeyHash is no SHA-256"},
+		{"Token = secret", "Token", `entry.ini:15: "Token" is not a setting: write it as Key = Value`},
+		{"ba7816bf", "xyz", "entry.ini:6: OperatorKeyHash is not a SHA-256 hash"},
 		{"Token = secret", "Token =", "entry.ini:15: Token = : is empty"},
 		{"Prefer = Waiting", "FenceAtVM = yes", "entry.ini:7: FenceAtVM = yes: write true or false"},
 	} {
@@ -85,7 +87,7 @@
 Remove = true
 `
 
-// Declarations become teams, classes and services, and removals.
+// Guards against a valid declaration file being decoded wrongly.
 func TestDeclarations(t *testing.T) {
 	is := is.New(t)
 	d, err := DecodeDeclarations("cell.ini", []byte(declared))
@@ -96,7 +98,8 @@
 	is.Equal(len(d.Remove), 1)
 }
 
-// Each mistake in a declaration is named with its file, line and mend.
+// Guards against errors that do not name the file, the line and the fix of a mistake
+// in the declarations.
 func TestDeclarationMistakes(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"Share = 3", "Weight = 3", "cell.ini:2: unknown key Weight in [Team choir-north]: did you mean"},
@@ -113,7 +116,7 @@
 	}
 }
 
-// FuzzDecode looks for input that makes the reader of settings panic.
+// FuzzDecode searches for input that makes decoding panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte(declared))
@@ -139,6 +142,7 @@
 	// Output: Heartbeat
 }
 
+// Guards against the optional key Announce being required, ignored or not validated.
 func TestRegionAnnounces(t *testing.T) {
 	is := is.New(t)
 	text := func(announce string) []byte {
--- a/conf/declare.go
+++ b/conf/declare.go
@@ -11,7 +11,7 @@
 	"plantainwinch/winch"
 )
 
-// teamKeys, classKeys and serviceKeys are the keys of the declarations' sections.
+// teamKeys holds the keys of a [Team NAME] section.
 type teamKeys struct {
 	Share       int `conf:"required"`
 	Limit       int `conf:"required"`
@@ -19,6 +19,7 @@
 	Remove      bool
 }
 
+// classKeys holds the keys of a [Class NAME] section.
 type classKeys struct {
 	Wait        time.Duration
 	By          string
@@ -28,25 +29,26 @@
 	Remove      bool
 }
 
+// serviceKeys holds the keys of a [Service NAME] section.
 type serviceKeys struct {
 	MaxBody winch.Bytes
 	Remove  bool
 }
 
-// DefaultTrust is a team's CutOffTrust, and defaultBody a service's MaxBody,
-// where none is declared.
 const (
+	// DefaultTrust is the CutOffTrust of a team that declares none.
 	DefaultTrust = 10 * time.Minute
-	defaultBody  = 64 << 20
+	// defaultBody is the MaxBody of a service that declares none.
+	defaultBody = 64 << 20
 )
 
-// LoadDeclarations reads declarations from files, all taken together.
+// LoadDeclarations reads and merges the declarations in several files.
 func LoadDeclarations(paths []string) (config.Declared, error) {
 	out := newDeclared()
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return out, merry.Errorf("declarations cannot be read: %v", err)
+			return out, merry.Errorf("cannot read declarations: %v", err)
 		}
 		if err := decodeDeclarations(path, text, &out); err != nil {
 			return out, err
@@ -55,7 +57,7 @@
 	return out, nil
 }
 
-// DecodeDeclarations reads declarations from one text.
+// DecodeDeclarations decodes the declarations in one text. Name is used in errors.
 func DecodeDeclarations(name string, text []byte) (config.Declared, error) {
 	out := newDeclared()
 	return out, decodeDeclarations(name, text, &out)
@@ -104,8 +106,8 @@
 	return err
 }
 
-// removed reports whether a section only says that the object is to go; its
-// other keys are then not required.
+// onlyRemoves reports whether the only line of a section is Remove = true. The
+// object's other keys are then not required.
 func removed(f *File, section string) bool {
 	s, err := f.ini.GetSection(section)
 	return err == nil && s.HasKey("Remove") && len(s.Keys()) == 1 && s.Key("Remove").String() == "true"
--- a/conf/decode.go
+++ b/conf/decode.go
@@ -1,5 +1,5 @@
-// Package conf reads settings and declarations written in INI. Every key is
-// checked when it is read; an error names the file, the line and the fix.
+// Package conf decodes settings and declarations from INI files. It validates every
+// key while decoding; errors name the file, the line and the fix.
 package conf
 
 import (
@@ -15,14 +15,14 @@
 	"plantainwinch/winch"
 )
 
-// File is a parsed INI file that can name the line of each key.
+// File is a parsed INI file. It keeps the source lines to report the line of a key.
 type File struct {
 	Name  string
 	ini   *ini.File
 	lines []string
 }
 
-// Parse reads INI text. Name is used in errors.
+// Parse parses INI text. Name is used in errors.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{Name: name, lines: strings.Split(string(text), "\n")}
 	if err := f.checkLines(); err != nil {
@@ -36,9 +36,8 @@
 	return f, nil
 }
 
-// checkLines refuses what the library would pass over in silence: a line that
-// is no setting, and a key or section that stands twice, of which it would take
-// only the last.
+// checkLines rejects what the INI library accepts without an error: lines that are
+// not settings, and repeated keys or sections, of which it would use only the last.
 func (f *File) checkLines() error {
 	section := ""
 	seen := make(map[string]int)
@@ -56,12 +55,12 @@
 		} else {
 			key, _, ok := strings.Cut(line, "=")
 			if !ok {
-				return f.errorAt(i+1, "%q is no setting: write it as Key = Value", line)
+				return f.errorAt(i+1, "%q is not a setting: write it as Key = Value", line)
 			}
 			id = section + "." + strings.TrimSpace(key)
 		}
 		if first := seen[id]; first > 0 {
-			return f.errorAt(i+1, "%s stands on line %d already: keep one of both", strings.TrimPrefix(id, section+"."), first)
+			return f.errorAt(i+1, "%s already appears on line %d: keep one of the two", strings.TrimPrefix(id, section+"."), first)
 		}
 		seen[id] = i + 1
 	}
@@ -72,32 +71,33 @@
 	return merry.Errorf("%s:%d: %s", f.Name, line, fmt.Sprintf(format, args...))
 }
 
-// Errorf returns an error that names the line of a key, or of its section if
-// the key is empty or missing.
+// Errorf returns an error that names the line of a key, or the line of its section if
+// the key is empty or not found.
 func (f *File) Errorf(section, key, format string, args ...any) error {
 	return f.errorAt(f.line(section, key), format, args...)
 }
 
 func (f *File) line(section, key string) int {
-	in, at := section == "", 1
+	inSection, found := section == "", 1
 	for i, raw := range f.lines {
 		line := strings.TrimSpace(raw)
 		if strings.HasPrefix(line, "[") {
-			in = strings.TrimSpace(strings.Trim(line, "[]")) == section
-			if in {
-				at = i + 1
+			inSection = strings.TrimSpace(strings.Trim(line, "[]")) == section
+			if inSection {
+				found = i + 1
 			}
 			continue
 		}
 		name, _, ok := strings.Cut(line, "=")
-		if in && ok && strings.TrimSpace(name) == key {
+		if inSection && ok && strings.TrimSpace(name) == key {
 			return i + 1
 		}
 	}
-	return at
+	return found
 }
 
-// Sections returns the names of all sections in the order of the file.
+// Sections returns the names of all sections in the order of the file. The unnamed
+// default section is included only if it has keys.
 func (f *File) Sections() []string {
 	var out []string
 	for _, s := range f.ini.Sections() {
@@ -108,8 +108,8 @@
 	return out
 }
 
-// Section decodes one section into the struct that target points to. Keys are
-// the names of its fields; a field with the tag conf:"required" must be given.
+// Section decodes one section into the struct that target points to. The keys are the
+// names of the struct's fields; a field with the tag conf:"required" must have a key.
 func (f *File) Section(name string, target any) error {
 	v := reflect.ValueOf(target).Elem()
 	section, err := f.ini.GetSection(name)
@@ -178,7 +178,7 @@
 	case float64:
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || n < 0 {
-			return merry.New("not a number: write it such as 0.4")
+			return merry.New("not a number: write it as 0.4")
 		}
 		field.SetFloat(n)
 	default:
--- a/conf/region.go
+++ b/conf/region.go
@@ -12,54 +12,55 @@
 	"plantainwinch/winch"
 )
 
-// Adapters that [Platform] Adapter may name.
+// The values of [Platform] Adapter.
 const (
-	// AdapterCell is the project's own stand-in platform; it is the default.
+	// AdapterCell selects the project's own simulated platform and is the default.
 	AdapterCell = "Cell"
-	// AdapterRegion is the users' platform.
+	// AdapterRegion selects the users' platform.
 	AdapterRegion = "Region"
 )
 
-// RegionListen holds the addresses that an entry of a region serves on.
+// RegionListen holds the addresses on which an entry of a region listens.
 type RegionListen struct {
 	Callers string `conf:"required"`
-	// Ready is where the platform asks whether new callers may be sent here.
+	// Ready is where the platform asks whether it may send new callers to this entry.
 	Ready string `conf:"required"`
 	Peers string `conf:"required"`
-	// Announce is where other entries reach Peers, where that is another address. It
-	// has to lead to this VM alone: a new process there tells that the last has ended.
+	// Announce is the address at which other entries reach Peers, if it differs from
+	// Peers. It must lead to this VM only, because other entries conclude from a new
+	// process at the address that the previous one has ended.
 	Announce string
 	Metrics  string
-	// Jobs is where the program's own interface for jobs made of phases is served.
+	// Jobs is where the program's own HTTP interface for jobs with phases is served.
 	Jobs string
 }
 
-// RegionPlatform says where the platform's services are.
+// RegionPlatform holds the addresses of the platform's services.
 type RegionPlatform struct {
 	Adapter string `conf:"required"`
 	Address string `conf:"required"`
-	// Advice is the address of the advice service, where there is one.
+	// Advice is the address of the advice service, or empty if there is none.
 	Advice string
 }
 
-// RegionLimits are those of the VM.
+// RegionLimits holds the resource limits of the VM.
 type RegionLimits struct {
 	Memory winch.Bytes `conf:"required"`
-	// Processors is the part of a processor that the VM has.
+	// Processors is the number of processors of the VM, which may be a fraction of one.
 	Processors float64 `conf:"required"`
 }
 
-// RegionTiming holds the bounds that the platform's operator sets.
+// RegionTiming holds the times that the platform's operator sets.
 type RegionTiming struct {
-	// Lease is the longest lease that workers grant.
+	// Lease is the maximum duration of a lease that workers grant.
 	Lease time.Duration
-	// Keep is how long ended jobs are still known.
+	// Keep is the retention period of ended jobs.
 	Keep time.Duration
-	// Grace is the time between SIGTERM and SIGKILL.
+	// Grace is the time that the process has between SIGTERM and SIGKILL.
 	Grace time.Duration
 }
 
-// Region are all settings of one entry of a region.
+// Region holds all settings of one entry of a region.
 type Region struct {
 	Entry    Entry
 	Listen   RegionListen
@@ -69,11 +70,11 @@
 	Timing   RegionTiming
 }
 
-// Adapter returns what a settings file says in [Platform] Adapter.
+// Adapter returns the value of [Platform] Adapter in a settings file, or its default.
 func Adapter(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return "", merry.Errorf("settings cannot be read: %v", err)
+		return "", merry.Errorf("cannot read settings: %v", err)
 	}
 	f, err := Parse(path, text)
 	if err != nil {
@@ -91,16 +92,16 @@
 	return name, nil
 }
 
-// LoadRegion reads the settings of an entry of a region.
+// LoadRegion reads the settings of an entry of a region from a file.
 func LoadRegion(path string) (Region, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Region{}, merry.Errorf("settings cannot be read: %v", err)
+		return Region{}, merry.Errorf("cannot read settings: %v", err)
 	}
 	return DecodeRegion(path, text)
 }
 
-// DecodeRegion reads the settings of an entry of a region.
+// DecodeRegion decodes the settings of an entry of a region. Name is used in errors.
 func DecodeRegion(name string, text []byte) (Region, error) {
 	s := Region{Timing: RegionTiming{Lease: 6 * time.Second, Keep: 2 * time.Minute, Grace: 6 * time.Second}}
 	f, err := Parse(name, text)
@@ -144,36 +145,36 @@
 		return err
 	}
 	if s.Limits.Processors <= 0 {
-		return f.Errorf("Limits", "Processors", "Processors = %g: write the VM's part of a processor, such as 0.4", s.Limits.Processors)
+		return f.Errorf("Limits", "Processors", "Processors = %g: write the VM's number of processors, such as 0.4", s.Limits.Processors)
 	}
 	if s.Limits.Memory < 32<<20 {
-		return f.Errorf("Limits", "Memory", "Memory = %s: an entry needs 32MB at least", FormatBytes(s.Limits.Memory))
+		return f.Errorf("Limits", "Memory", "Memory = %s: an entry needs at least 32MB", FormatBytes(s.Limits.Memory))
 	}
 	if s.Timing.Lease < time.Second || s.Timing.Grace < time.Second {
-		return f.Errorf("Timing", "", "Lease and Grace: write one second at least")
+		return f.Errorf("Timing", "", "Lease and Grace: write at least one second")
 	}
 	return nil
 }
 
-// address is a key that must hold an IP number and a port.
+// addressSetting is a key that must hold an IP address and a port.
 type address struct{ section, key, value string }
 
 func (f *File) checkAddresses(list []address) error {
 	for _, a := range list {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return f.Errorf(a.section, a.key, "%s = %s: write an IP number and a port, such as 127.0.0.1:7001", a.key, a.value)
+			return f.Errorf(a.section, a.key, "%s = %s: write an IP address and a port, such as 127.0.0.1:7001", a.key, a.value)
 		}
 	}
 	return nil
 }
 
-// target is a section and the struct that it is decoded into.
+// target is a section and a pointer to the struct that it is decoded into.
 type target struct {
 	section string
 	into    any
 }
 
-// decode reads all sections and refuses unknown ones.
+// decode decodes all sections and rejects unknown ones.
 func (f *File) decode(targets []target) error {
 	var names []string
 	for _, t := range targets {
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -11,74 +11,75 @@
 	"plantainwinch/winch"
 )
 
-// Entry names this entry.
+// Entry holds the name of this entry and of its failure domain.
 type Entry struct {
 	Name   string `conf:"required"`
 	Domain string `conf:"required"`
 }
 
-// Cell is what all entries of a cell have in common.
+// Cell holds the settings that all entries of a cell share.
 type Cell struct {
 	Name string `conf:"required"`
-	// OperatorKeyHash is the SHA-256 of the first operator's key, in hexadecimal.
+	// OperatorKeyHash is the SHA-256 hash of the first operator's key, in hexadecimal.
 	OperatorKeyHash string `conf:"required"`
-	// Prefer is Packing or Waiting.
+	// Prefer is the placement preference, Packing or Waiting.
 	Prefer string
-	// FenceAtVM says that the workers refuse commands of older epochs.
+	// FenceAtVM states that the workers refuse commands of older epochs.
 	FenceAtVM bool
 	// Partitions is the number of partitions of each ledger. It must be the same
 	// in all entries and is fixed for the cell's life.
 	Partitions int
 }
 
-// Listen holds the addresses that the entry serves on.
+// Listen holds the addresses on which the entry listens.
 type Listen struct {
 	Callers   string `conf:"required"`
 	Operators string `conf:"required"`
 	Peers     string `conf:"required"`
 }
 
-// Platform says where the platform's service is.
+// Platform holds the address of the platform's service.
 type Platform struct {
-	// Adapter is AdapterCell in these settings.
+	// Adapter is always AdapterCell in these settings.
 	Adapter string
 	Address string `conf:"required"`
 }
 
-// Peers says how to reach the other entries.
+// Peers holds the addresses of the other entries and the token shared with them.
 type Peers struct {
 	Token     string `conf:"required"`
 	Addresses []string
 }
 
-// Limits bounds what callers can make the entry hold.
+// Limits holds the limits on what the entry holds for callers.
 type Limits struct {
-	// QueueLength bounds the waiting calls of one class and service.
+	// QueueLength limits the waiting calls of one class and service.
 	QueueLength int
-	// Connections bounds this entry's connections to one executor.
+	// Connections limits this entry's connections to one executor.
 	Connections int
-	// ReplayBody is the largest body that is kept for a retry.
+	// ReplayBody is the maximum size of a request body that is buffered for a retry.
 	ReplayBody winch.Bytes
-	// HoldAnswer is the largest answer that is read whole before its first byte
-	// is passed on; a longer one is streamed.
+	// HoldAnswer is the maximum size of a response that is buffered completely before
+	// it is forwarded; a larger one is streamed.
 	HoldAnswer winch.Bytes
 }
 
-// Timing holds the times of an entry.
+// Timing holds the intervals and timeouts of an entry.
 type Timing struct {
 	Heartbeat time.Duration
-	// Office and Tasks are the leases on the office and on tasks.
+	// Office and Tasks are the durations of the leases on the office (the planner's
+	// leadership lease in the store) and on tasks.
 	Office time.Duration
 	Tasks  time.Duration
-	// Drain bounds a planned stop, Ready is how long it goes on taking calls
-	// until the balancer has noticed.
+	// Drain limits the duration of a planned stop. Ready is how long the entry accepts
+	// calls after the stop begins, until the load balancer has noticed it.
 	Drain time.Duration
 	Ready time.Duration
-	// UnitTerm is how long an entry without the store may use its units.
+	// UnitTerm is how long an entry may use its units while it cannot reach the store.
 	UnitTerm time.Duration
 }
 
-// Settings are all settings of one entry.
+// Settings holds all settings of one entry of a cell.
 type Settings struct {
 	Entry    Entry
 	Cell     Cell
@@ -89,7 +90,7 @@
 	Timing   Timing
 }
 
-// Default returns settings with every optional key at its default.
+// Default returns settings with every optional key set to its default.
 func Default() Settings {
 	return Settings{
 		Cell:   Cell{Prefer: "Packing", FenceAtVM: true, Partitions: 256},
@@ -101,16 +102,16 @@
 	}
 }
 
-// Load reads the settings of an entry from a file.
+// Load reads the settings of an entry of a cell from a file.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, merry.Errorf("settings cannot be read: %v", err)
+		return Settings{}, merry.Errorf("cannot read settings: %v", err)
 	}
 	return Decode(path, text)
 }
 
-// Decode reads the settings of an entry.
+// Decode decodes the settings of an entry of a cell. Name is used in errors.
 func Decode(name string, text []byte) (Settings, error) {
 	s := Default()
 	f, err := Parse(name, text)
@@ -140,7 +141,7 @@
 		return f.Errorf("Cell", "Partitions", "Partitions = %d: write a number from 1 to 4096", s.Cell.Partitions)
 	}
 	if len(s.Cell.OperatorKeyHash) != 64 {
-		return f.Errorf("Cell", "OperatorKeyHash", "OperatorKeyHash is no SHA-256: write the 64 hexadecimal digits that `plantainwinch key hash` prints")
+		return f.Errorf("Cell", "OperatorKeyHash", "OperatorKeyHash is not a SHA-256 hash: write the 64 hexadecimal digits that `plantainwinch key hash` prints")
 	}
 	err := f.checkAddresses([]address{
 		{"Listen", "Callers", s.Listen.Callers},
@@ -153,7 +154,7 @@
 	}
 	for _, a := range s.Peers.Addresses {
 		if _, _, err := net.SplitHostPort(a); err != nil {
-			return f.Errorf("Peers", "Addresses", "%s: write IP numbers with ports, separated by commas", a)
+			return f.Errorf("Peers", "Addresses", "%s: write IP addresses with ports, separated by commas", a)
 		}
 	}
 	return s.checkTiming(f)
@@ -162,7 +163,7 @@
 func (s *Settings) checkTiming(f *File) error {
 	t := s.Timing
 	if t.Heartbeat < 100*time.Millisecond || t.Office < 3*t.Heartbeat/2 || t.Tasks < t.Office {
-		return f.Errorf("Timing", "", "times do not fit together: Heartbeat is at least 100ms, Office at least one and a half Heartbeat, Tasks at least Office")
+		return f.Errorf("Timing", "", "times are inconsistent: Heartbeat must be at least 100ms, Office at least one and a half times Heartbeat, Tasks at least Office")
 	}
 	return nil
 }
--- a/conf/units.go
+++ b/conf/units.go
@@ -9,6 +9,7 @@
 	"plantainwinch/winch"
 )
 
+// unit is a unit of an amount of memory.
 type unit struct {
 	name string
 	size winch.Bytes
@@ -16,7 +17,7 @@
 
 var units = []unit{{"GB", 1 << 30}, {"MB", 1 << 20}, {"KB", 1 << 10}, {"B", 1}}
 
-// ParseBytes reads an amount such as 64MB. The units are powers of 1024.
+// ParseBytes parses an amount such as 64MB. The units are powers of 1024.
 func ParseBytes(text string) (winch.Bytes, error) {
 	for _, u := range units {
 		number, ok := strings.CutSuffix(text, u.name)
@@ -32,7 +33,7 @@
 	return 0, merry.New("not an amount: write a whole number with its unit, such as 512KB, 64MB or 2GB")
 }
 
-// FormatBytes writes an amount so that ParseBytes reads it back.
+// FormatBytes formats an amount in the form that ParseBytes accepts.
 func FormatBytes(n winch.Bytes) string {
 	for _, u := range units {
 		if n >= u.size && n%u.size == 0 {
@@ -42,7 +43,8 @@
 	return strconv.FormatInt(int64(n), 10) + "B"
 }
 
-// Nearest returns the known name that differs least from the given one.
+// Nearest returns the known name with the smallest edit distance to the given one,
+// ignoring case.
 func Nearest(name string, known []string) string {
 	best, bestCost := "", 1<<30
 	for _, k := range known {
@@ -53,21 +55,21 @@
 	return best
 }
 
-// distance is the number of single-letter edits between two names.
+// editDistance returns the Levenshtein distance between two names.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := last
+			cost := diagonal
 			if a[i] != b[j] {
-				cost = 1 + min(last, row[j], row[j+1])
+				cost = 1 + min(diagonal, row[j], row[j+1])
 			}
-			last, row[j+1] = row[j+1], cost
+			diagonal, row[j+1] = row[j+1], cost
 		}
 	}
 	return row[len(b)]
