--- a/trans/agent/client.go
+++ b/trans/agent/client.go
@@ -16,10 +16,11 @@
 	"plantainwinch/winch"
 )
 
-// DefaultTimeout bounds a call beyond the wait it asks for.
+// DefaultTimeout limits the duration of a call, in addition to the wait that the call
+// requests.
 const DefaultTimeout = 2 * time.Second
 
-// Client implements winch.Worker.
+// Client implements winch.Worker over HTTP.
 type Client struct {
 	HTTP    *http.Client
 	Timeout time.Duration
@@ -29,7 +30,7 @@
 
 var _ winch.Worker = (*Client)(nil)
 
-// Cost returns the calls made and the bytes sent in bodies so far.
+// Cost returns the number of calls made and of bytes sent in request bodies so far.
 func (c *Client) Cost() (calls, bytes int64) {
 	return c.calls.Load(), c.bytes.Load()
 }
--- a/trans/exec/exec.go
+++ b/trans/exec/exec.go
@@ -1,4 +1,4 @@
-// Package exec sends calls to executors over HTTP/1.1.
+// Package exec sends callers' requests to executors over HTTP/1.1.
 package exec
 
 import (
@@ -14,40 +14,43 @@
 	"plantainwinch/winch"
 )
 
-// RequestIDHeader carries the id of an attempt; an executor that can echoes it.
+// RequestIDHeader carries the id of an attempt. Executors that support it return it in
+// the response.
 const RequestIDHeader = "Winch-Request-Id"
 
-// TeamHeader tells the executor whose request it is.
+// TeamHeader carries the name of the team that makes the request.
 const TeamHeader = "Winch-Team"
 
-// DialTimeout bounds how long connecting to an executor may take.
+// DialTimeout limits how long connecting to an executor may take.
 const DialTimeout = time.Second
 
-// Client implements winch.Executor. Its transport holds at most Connections
-// open to one executor, so that all entries together stay within its limit.
+// Client implements winch.Executor. Its transport opens only a limited number of
+// connections to each executor, so that all entries together stay within the
+// executor's limit.
 type Client struct {
 	HTTP *http.Transport
 }
 
 var _ winch.Executor = (*Client)(nil)
 
-// NewTransport returns a transport with at most conns connections to each executor.
-func NewTransport(conns int) *http.Transport {
+// NewTransport returns a transport that opens at most limit connections to each
+// executor.
+func NewTransport(limit int) *http.Transport {
 	return &http.Transport{
-		MaxConnsPerHost:     conns,
-		MaxIdleConnsPerHost: conns,
+		MaxConnsPerHost:     limit,
+		MaxIdleConnsPerHost: limit,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 		DialContext:         dial,
 	}
 }
 
-// Send implements winch.Executor. The transport gets no means to rewind the
-// body: were it to resend a request on a fresh connection by itself, the
-// executor could run it twice and only its own count would show it.
+// Send implements winch.Executor. GetBody is not set, so that the transport cannot
+// resend a request on a new connection by itself: the executor could run the request
+// twice, and only the executor's own count would show it.
 func (c *Client) Send(ctx context.Context, vm winch.VM, req winch.Request) (*winch.Response, bool, error) {
-	var left atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { left.Store(true) }}
+	var sent atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	url := "http://" + vm.Address + "/" + strings.TrimPrefix(req.Path, "/")
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, url, req.Body)
@@ -63,7 +66,7 @@
 	out.Header.Set(TeamHeader, req.Team)
 	resp, err := c.HTTP.RoundTrip(out)
 	if err != nil {
-		return nil, left.Load(), merry.Wrap(err)
+		return nil, sent.Load(), merry.Wrap(err)
 	}
 	return &winch.Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, true, nil
 }
--- a/trans/exec/exec_test.go
+++ b/trans/exec/exec_test.go
@@ -20,8 +20,8 @@
 	return c.Send(context.Background(), winch.VM{Address: address}, req)
 }
 
-// Nobody listens at the executor's address. No byte has left, so the request
-// may go elsewhere.
+// Guards against a request being reported as possibly sent when nothing listens at
+// the executor's address: it may still go to another executor.
 func TestNotReached(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,20 +30,20 @@
 	is.NoErr(ln.Close())
 	c := &Client{HTTP: NewTransport(2)}
 	defer c.HTTP.CloseIdleConnections()
-	_, left, err := send(c, address, "x")
+	_, sent, err := send(c, address, "x")
 	is.True(err != nil)
-	is.Equal(left, false)
+	is.Equal(sent, false)
 }
 
-// An executor closes its connection when it gets a second request on it, as one
-// does that is just being stopped. The transport must not send the request again
-// by itself, and the caller must learn that it may have run.
+// Guards against the transport resending a request by itself when the executor closes
+// the connection on the second request, as it does while it is being stopped. The
+// caller must learn that the request may have run.
 func TestNoSilentResend(t *testing.T) {
 	is := is.New(t)
-	var seen atomic.Int64
+	var requests atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
-		if seen.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			_, _ = w.Write(body)
 			return
 		}
@@ -53,20 +53,21 @@
 	c := &Client{HTTP: NewTransport(1)}
 	defer c.HTTP.CloseIdleConnections()
 	address := strings.TrimPrefix(s.URL, "http://")
-	a, left, err := send(c, address, "one")
+	a, sent, err := send(c, address, "one")
 	is.NoErr(err)
-	is.True(left)
+	is.True(sent)
 	body, err := io.ReadAll(a.Body)
 	is.NoErr(err)
 	is.Equal(string(body), "one")
 	_ = a.Body.Close()
-	_, left, err = send(c, address, "two")
+	_, sent, err = send(c, address, "two")
 	is.True(err != nil)
-	is.True(left)
-	is.Equal(seen.Load(), int64(2))
+	is.True(sent)
+	is.Equal(requests.Load(), int64(2))
 }
 
-// The request carries its id and team, and its body whole.
+// Guards against the request's id, team, path or body not reaching the executor, and
+// against the response's headers being lost.
 func TestSendCarries(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/trans/front/calls.go
+++ b/trans/front/calls.go
@@ -14,7 +14,7 @@
 	"plantainwinch/winch"
 )
 
-// Backend is what the callers' interface needs of an entry.
+// CallerBackend is the part of an entry that serves the callers' interface.
 type Backend interface {
 	Call(ctx context.Context, call entry.Call) *entry.Reply
 	Submit(ctx context.Context, s entry.Submission) (winch.Job, winch.Result)
@@ -24,7 +24,7 @@
 	Ready() bool
 }
 
-// Callers returns the handler of the callers' interface.
+// Callers returns the HTTP handler of the callers' interface.
 func Callers(b Backend, reg metrics.Registry) http.Handler {
 	c := &callers{backend: b}
 	r := httprouter.New()
@@ -38,22 +38,23 @@
 	return leaving(b, r)
 }
 
-// leaving asks callers to open a new connection for their next request once the
-// entry is not ready. If a connection that callers still use were closed at the
-// end of a planned stop, the request that is just being sent on it would be cut.
-func leaving(b interface{ Ready() bool }, next http.Handler) http.Handler {
+// closeWhenNotReady asks callers to open a new connection for their next request
+// once the entry is not ready. Otherwise, a request that is being sent on a
+// connection when the planned stop closes it would be interrupted.
+func leaving(backend interface{ Ready() bool }, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if !b.Ready() {
+		if !backend.Ready() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, req)
 	})
 }
 
-// common adds what both interfaces serve.
-func common(r *httprouter.Router, b interface{ Ready() bool }, reg metrics.Registry) {
+// addCommonRoutes adds the routes that the callers' and the operators' interfaces
+// share.
+func common(r *httprouter.Router, backend interface{ Ready() bool }, reg metrics.Registry) {
 	r.GET("/Ready", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		if !b.Ready() {
+		if !backend.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -79,8 +80,8 @@
 	return key
 }
 
-// own lists the headers that are the interface's own or the connection's, and
-// that are not passed on to executors.
+// notForwarded lists the headers that belong to the callers' interface or to the
+// connection, and are not forwarded between callers and executors.
 var own = map[string]bool{
 	"Authorization": true, ClassHeader: true, DeadlineHeader: true, RequestIDHeader: true,
 	"Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
@@ -97,7 +98,7 @@
 	return out
 }
 
-// deadline reads the deadline header: a time, or a duration from now.
+// parseDeadline parses the deadline header, which holds a time or a duration from now.
 func deadline(req *http.Request) (time.Time, winch.Result) {
 	text := req.Header.Get(DeadlineHeader)
 	if text == "" {
@@ -127,12 +128,12 @@
 	writeReply(w, reply)
 }
 
-// writeReply passes an answer on. A streamed one says that it is whole in a
-// trailer; if it breaks off, so does the connection to the caller, who else
-// would take half an answer for all of it.
+// writeReply forwards a response to the caller. A streamed response confirms in a
+// trailer that it is complete. If it breaks off, the connection to the caller is
+// aborted; otherwise the caller could take a truncated response for a complete one.
 func writeReply(w http.ResponseWriter, reply *entry.Reply) {
-	whole := false
-	defer func() { reply.Finish(whole) }()
+	complete := false
+	defer func() { reply.Finish(complete) }()
 	if !reply.Result.OK() || reply.Body == nil {
 		writeResult(w, reply.Result)
 		return
@@ -153,6 +154,6 @@
 		}
 		return
 	}
-	whole = true
+	complete = true
 	h.Set(OutcomeHeader, string(winch.Done))
 }
--- a/trans/front/codes.go
+++ b/trans/front/codes.go
@@ -1,4 +1,4 @@
-// Package front serves callers and operators over HTTP/1.1.
+// Package front serves the HTTP/1.1 interfaces for callers and operators.
 package front
 
 import (
@@ -11,7 +11,7 @@
 	"plantainwinch/winch"
 )
 
-// Headers of the callers' interface.
+// The headers of the callers' interface.
 const (
 	ClassHeader     = "Winch-Class"
 	RequestIDHeader = "Winch-Request-Id"
@@ -20,19 +20,19 @@
 	ReasonHeader    = "Winch-Reason"
 )
 
-// ErrorBody is the body of every answer that does not come from an executor.
+// ErrorBody is the body of every error response that does not come from an executor.
 type ErrorBody struct {
 	Outcome winch.Outcome
 	Reason  winch.Reason
 	Detail  string
-	// RetryAfter is a duration such as 1.5s, empty if asking again does not help.
+	// RetryAfter is a duration such as 1.5s, or empty if a retry does not help.
 	RetryAfter string `json:",omitempty"`
 }
 
-// status returns the HTTP status of a result. NotRun by the caller's own doing
-// is in the 400s, since the same request will be refused again; NotRun by the
-// state of the cell is 429 or 503, which clients take as a reason to come back;
-// Unknown is 502 or 504, which they must not take as leave to repeat.
+// status returns the HTTP status of a result. NotRun caused by the request itself is
+// in the 400s, since the same request would be refused again. NotRun caused by the
+// state of the cell is 429 or 503, after which clients retry. Unknown is 502 or 504,
+// after which clients must not simply repeat the request.
 func status(r winch.Result) int {
 	if r.Outcome == winch.Unknown {
 		if r.Reason == winch.ExecutorTimeout || r.Reason == winch.Stopping {
@@ -76,8 +76,8 @@
 	writeJSON(w, status(r), body)
 }
 
-func writeJSON(w http.ResponseWriter, code int, v any) {
+func writeJSON(w http.ResponseWriter, statusCode int, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(code)
+	w.WriteHeader(statusCode)
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/trans/front/front_test.go
+++ b/trans/front/front_test.go
@@ -18,12 +18,12 @@
 	"plantainwinch/winch"
 )
 
-// backend is a fake entry.
+// fakeBackend is a fake entry that records the last call and submission.
 type backend struct {
 	call entry.Call
 	body string
 	sub  entry.Submission
-	// reply answers calls.
+	// reply returns the response to a call with the given body.
 	reply func(body string) *entry.Reply
 	down  bool
 }
@@ -82,8 +82,8 @@
 	return &entry.Reply{Status: http.StatusTeapot, Header: http.Header{"X-From": {"executor"}, "Connection": {"close"}}, Body: body, Buffered: held}
 }
 
-// A call passes through with body, headers and status of the executor, and none
-// of the headers that are the interface's own.
+// Guards against a call losing its body, path, headers, status or deadline on the way
+// to or from the executor, and against the interface's own headers being forwarded.
 func TestCallPassesThrough(t *testing.T) {
 	is := is.New(t)
 	b := &backend{reply: func(body string) *entry.Reply { return answer(true, strings.NewReader("re "+body)) }}
@@ -103,12 +103,13 @@
 	is.True(time.Until(b.call.Deadline) > 4*time.Second)
 }
 
+// brokenReader fails at the first read.
 type breaks struct{}
 
 func (breaks) Read([]byte) (int, error) { return 0, errors.New("broken") }
 
-// A streamed answer is whole and says so in its trailer; one that breaks off
-// breaks the connection, and the caller's reader fails.
+// Guards against a truncated streamed response being taken for a complete one: only a
+// complete one has the trailer, and one that breaks off aborts the connection.
 func TestStream(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("a", 1<<20)
@@ -128,7 +129,7 @@
 	is.Equal(resp.Trailer.Get(OutcomeHeader), "")
 }
 
-// Every outcome has its status, reason and time to come back, as JSON.
+// Guards against a result being sent with the wrong status, reason or retry delay.
 func TestResults(t *testing.T) {
 	for _, c := range []struct {
 		result winch.Result
@@ -161,7 +162,8 @@
 	}
 }
 
-// Bodies and headers that cannot be read are refused with what is wrong.
+// Guards against malformed bodies and headers being accepted, or refused without
+// saying what is wrong.
 func TestBadRequests(t *testing.T) {
 	b := &backend{reply: func(string) *entry.Reply { t.Error("a bad request reached the entry"); return &entry.Reply{} }}
 	url := serve(t, b)
--- a/trans/front/jobs.go
+++ b/trans/front/jobs.go
@@ -14,13 +14,13 @@
 	"plantainwinch/winch"
 )
 
-// bodyMost bounds the JSON bodies of jobs and operators' requests.
+// maxBodySize limits the JSON bodies of callers' and operators' requests.
 const bodyMost = 1 << 20
 
-// waitMost bounds how long one request waits for a job's end.
+// maxWait limits how long one request waits for the end of a job.
 const waitMost = time.Minute
 
-// JobBody is what a caller posts to submit a job.
+// JobBody is the body of a request to submit a job.
 type JobBody struct {
 	RequestID string `json:"RequestId"`
 	Class     string
@@ -31,14 +31,14 @@
 	Command   string
 }
 
-// NeedBody is what each task needs.
+// NeedBody holds the resources that each task needs.
 type NeedBody struct {
 	Processors   int
 	Memory       string // Memory is an amount such as 2GB.
 	Accelerators int    `json:",omitempty"`
 }
 
-// spec checks the body and returns what it asks for.
+// spec checks the body and returns the specification of the job.
 func (b JobBody) spec() (winch.JobSpec, error) {
 	memory, err := conf.ParseBytes(b.Need.Memory)
 	if err != nil {
@@ -54,7 +54,9 @@
 	return winch.JobSpec{Kind: b.Kind, Tasks: b.Tasks, Need: need, RunTime: run, Command: b.Command}, nil
 }
 
-// readJSON decodes a body strictly: a misspelt field would else be a silent default.
+// readJSON decodes a request's body into the given value. If that fails, it writes
+// the error response and returns false. Unknown fields are errors, since a misspelt
+// field would otherwise silently get its default.
 func readJSON(w http.ResponseWriter, req *http.Request, into any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, req.Body, bodyMost))
 	d.DisallowUnknownFields()
--- a/trans/front/oper.go
+++ b/trans/front/oper.go
@@ -12,7 +12,7 @@
 	"plantainwinch/winch"
 )
 
-// Desk is what the operators' interface needs of an entry.
+// OperatorBackend is the part of an entry that serves the operators' interface.
 type Desk interface {
 	Operator(key string) (entry.Actor, winch.Result)
 	Document() (*winch.Document, winch.Result)
@@ -26,13 +26,13 @@
 
 // ApplyBody is the body of a request to apply declarations.
 type ApplyBody struct {
-	// Base is the version that the change is based on; zero for any.
+	// Base is the version that the change is based on, or zero for any version.
 	Base     uint64
 	DryRun   bool
 	Declared config.Declared
 }
 
-// ApplyReply answers an ApplyBody.
+// ApplyReply is the response to an ApplyBody.
 type ApplyReply struct {
 	entry.Applied
 	Changes []winch.Audit
@@ -44,15 +44,16 @@
 	Holder string
 }
 
-// KeyReply holds an issued key; it is shown here only.
+// KeyReply is the response to a KeyBody. It is the only place where the issued key is
+// shown.
 type KeyReply struct {
 	entry.Applied
 	Key string
 }
 
-// Operators returns the handler of the operators' interface.
-func Operators(d Desk, reg metrics.Registry) http.Handler {
-	o := &operators{desk: d}
+// Operators returns the HTTP handler of the operators' interface.
+func Operators(backend Desk, reg metrics.Registry) http.Handler {
+	o := &operators{desk: backend}
 	r := httprouter.New()
 	r.POST("/Operator/Apply", o.only(winch.KeyOperator, o.apply))
 	r.GET("/Operator/Document", o.only(winch.KeyOperator, o.document))
@@ -62,18 +63,19 @@
 	r.DELETE("/Operator/Services/:Service/Approved/:Team", o.only(winch.KeyOwner, o.approve(false)))
 	r.GET("/Operator/Audit", o.only(winch.KeyOperator, o.audit))
 	r.GET("/Operator/Status", o.only(winch.KeyOperator, o.status))
-	common(r, d, reg)
-	return leaving(d, r)
+	common(r, backend, reg)
+	return leaving(backend, r)
 }
 
 type operators struct {
 	desk Desk
 }
 
+// operatorHandler handles a request of an authenticated operator or owner.
 type action func(w http.ResponseWriter, req *http.Request, ps httprouter.Params, actor entry.Actor)
 
-// only lets holders of keys of one role through. An owner acts for the one
-// service that its key is for.
+// requireRole restricts a handler to holders of a key with the given role. An owner
+// may act only on the service that its key belongs to.
 func (o *operators) only(role winch.KeyRole, next action) httprouter.Handle {
 	return func(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
 		actor, r := o.desk.Operator(bearer(req))
--- a/trans/front/phases.go
+++ b/trans/front/phases.go
@@ -13,18 +13,19 @@
 	"plantainwinch/winch"
 )
 
-// PhasedBody is what a caller posts to hand a job made of phases in.
+// PhasedBody is the body of a request to submit a job with phases.
 type PhasedBody struct {
 	Command string
 	Phases  []PhaseBody
-	// Times is how often the phases run, the first time at First and then Every
-	// apart; zero stands for once, at once.
+	// Times is the number of repetitions of the phases. The first starts at First and
+	// the others follow at intervals of Every. Zero means once and immediately.
 	Times int       `json:",omitempty"`
 	First time.Time `json:",omitzero"`
 	Every string    `json:",omitempty"`
 }
 
-// PhaseBody is one phase. Durations are written as 90s, amounts of memory as 2GB.
+// PhaseBody describes one phase. Durations are written as 90s, amounts of memory as
+// 2GB.
 type PhaseBody struct {
 	Count       int
 	Need        PhaseNeed
@@ -44,32 +45,33 @@
 	Fills       bool   `json:",omitempty"`
 }
 
-// PhaseNeed is what each task of a phase needs.
+// PhaseNeed holds the resources that each task of a phase needs.
 type PhaseNeed struct {
 	Processors   float64
 	Memory       string
 	Accelerators int `json:",omitempty"`
 }
 
-// PhasedState is what a caller is told of a job.
+// PhasedState is the response to a request about a job.
 type PhasedState struct {
 	ID    string
 	State winch.JobState
 }
 
-// QueueState is what a caller is told of a queue.
+// QueueState is the response to a request about a queue.
 type QueueState struct {
 	Queue   string
-	Waiting int // Waiting counts the accepted jobs that have not begun.
+	Waiting int // Waiting is the number of accepted jobs that have not started.
 }
 
-// phasedID is what a caller may name a job: it makes handing it in idempotent.
+// jobIDPattern matches the ids that callers choose for their jobs. A resubmission has
+// the same id, which makes submitting idempotent.
 var phasedID = regexp.MustCompile(`^[0-9a-f]{16}$`)
 
-// milli is how many thousandths a processor has.
+// milliPerProcessor converts processors to thousandths of a processor.
 const milli = 1000
 
-// job checks the body's own forms and returns what it asks for.
+// job parses and checks the body and returns the job that it describes.
 func (b *PhasedBody) job() (*winch.PhasedJob, error) {
 	j := &winch.PhasedJob{Command: b.Command, Times: b.Times, First: b.First}
 	var err error
@@ -103,7 +105,7 @@
 	return p, err
 }
 
-// duration reads a duration that may be left out.
+// parseDuration parses a duration, which is zero if the text is empty.
 func duration(field, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -115,8 +117,8 @@
 	return d, nil
 }
 
-// Phases returns the callers' interface of a region: jobs made of phases, handed
-// in to queues.
+// Phases returns the HTTP handler of a region's callers' interface, through which
+// callers submit jobs with phases to queues.
 func Phases(region winch.Region) http.Handler {
 	p := phases{region}
 	r := httprouter.New()
@@ -129,15 +131,16 @@
 
 type phases struct{ region winch.Region }
 
-// phasedCall is a call whose queue, team and id were found.
+// phasesRequest is a request whose queue and team are known and whose job id is valid.
 type phasedCall struct {
 	w               http.ResponseWriter
 	r               *http.Request
 	queue, team, id string
 }
 
-// with finds queue and team in the configuration in force.
-func (p phases) with(f func(c phasedCall)) httprouter.Handle {
+// withQueue looks up the request's queue and team in the current configuration and
+// calls the handler, or writes an error response.
+func (p phases) with(handle func(c phasedCall)) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		config := p.region.Config()
 		if config == nil {
@@ -160,7 +163,7 @@
 			return
 		}
 		c.team = team
-		f(c)
+		handle(c)
 	}
 }
 
--- a/trans/lines/lines.go
+++ b/trans/lines/lines.go
@@ -1,5 +1,5 @@
-// Package lines writes log lines without ever making the writer of a line wait:
-// a reader of our standard output that has stopped must not stop requests.
+// Package lines writes log lines without blocking the code that logs: if the process
+// that reads the standard output has stopped, requests must not stop with it.
 package lines
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	// ringSize bounds the lines that wait to be written, a second's worth at the
-	// highest rate seen.
+	// queueSize limits the lines that wait to be written. The queue holds one second of
+	// lines at the peak rate.
 	ringSize = 4096
-	// gatherBytes bounds what goes out in one write.
+	// maxWriteSize is the number of bytes at which waiting lines are written out.
 	gatherBytes = 32 << 10
 )
 
-// Writer takes lines and writes them from a goroutine of its own. A line that
-// finds the ring full is dropped and counted.
+// Writer queues lines and writes them from a separate goroutine. If the queue is full,
+// lines are dropped and counted.
 type Writer struct {
 	Out     io.Writer
 	Dropped metrics.Counter
@@ -28,16 +28,16 @@
 	ring chan []byte
 }
 
-// New returns a writer; its Run must be called.
+// New returns a writer. Lines are written while its Run method runs.
 func New(out io.Writer, reg metrics.Registry) *Writer {
 	return &Writer{Out: out, Dropped: metrics.GetOrRegisterCounter("Log.Dropped", reg), ring: make(chan []byte, ringSize)}
 }
 
 // Write implements io.Writer.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case w.ring <- kept:
+	case w.ring <- copied:
 	default:
 		w.Dropped.Inc(1)
 	}
@@ -47,7 +47,7 @@
 // Sync implements zapcore.WriteSyncer.
 func (w *Writer) Sync() error { return nil }
 
-// Run writes until ctx ends, and then what still waits.
+// Run writes queued lines until ctx ends, and then the lines that remain in the queue.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
@@ -60,7 +60,7 @@
 	}
 }
 
-// flush writes a line with all that waits behind it.
+// flush writes out and all lines in the queue.
 func (w *Writer) flush(out []byte) {
 	for {
 		select {
@@ -71,7 +71,7 @@
 			}
 		default:
 			if len(out) > 0 {
-				_, _ = w.Out.Write(out) // There is nowhere else to say that it failed.
+				_, _ = w.Out.Write(out) // A failed write of the log cannot be logged.
 			}
 			return
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-// Logger returns a logger of structured lines.
+// Logger returns a logger that writes JSON lines to w.
 func (w *Writer) Logger() *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/trans/peer/link.go
+++ b/trans/peer/link.go
@@ -12,6 +12,8 @@
 	"plantainwinch/winch"
 )
 
+// link is a connection to one peer. Requests are sent on the links that this entry
+// dialled, and responses on those that it accepted.
 type link struct {
 	hello   proto.Hello
 	conn    *websocket.Conn
@@ -21,11 +23,11 @@
 	next    uint64
 	waiting map[uint64]chan proto.Frame
 	closed  chan struct{}
-	doubt   chan struct{} // doubt has the link pinged.
+	doubt   chan struct{} // pingRequested makes pingLoop check the link.
 }
 
-// run reads and writes frames until the link breaks. With a handler it answers
-// questions; without one it takes the answers to its own.
+// run reads and writes frames until the link breaks. With a handler it serves the
+// peer's requests; without one it only delivers responses to this entry's requests.
 func (l *link) run(ctx context.Context, handler winch.Handler) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -53,8 +55,8 @@
 		case <-ctx.Done():
 			return
 		case f := <-l.ring:
-			wctx, cancel := context.WithTimeout(ctx, sendTimeout)
-			err := l.mesh.write(wctx, l.conn, l.gather(f)...)
+			writeCtx, cancel := context.WithTimeout(ctx, sendTimeout)
+			err := l.mesh.write(writeCtx, l.conn, l.gather(f)...)
 			cancel()
 			if err != nil {
 				return
@@ -63,7 +65,7 @@
 	}
 }
 
-// suspect has the link checked: a question was not answered in time.
+// requestPing makes pingLoop check the link after a request that timed out.
 func (l *link) suspect() {
 	select {
 	case l.doubt <- struct{}{}:
@@ -71,7 +73,7 @@
 	}
 }
 
-// pingLoop ends the link when a ping is not answered.
+// pingLoop ends the link when a ping times out.
 func (l *link) pingLoop(ctx context.Context) {
 	for {
 		select {
@@ -79,8 +81,8 @@
 			return
 		case <-l.doubt:
 		}
-		pctx, cancel := context.WithTimeout(ctx, pingTime)
-		err := l.conn.Ping(pctx)
+		pingCtx, cancel := context.WithTimeout(ctx, pingTime)
+		err := l.conn.Ping(pingCtx)
 		cancel()
 		if err != nil {
 			metrics.GetOrRegisterCounter("Peer.Silent", l.mesh.Metrics).Inc(1)
@@ -89,8 +91,8 @@
 	}
 }
 
-// gather takes what else is ready to be sent, without waiting, so that a busy
-// link makes fewer system calls.
+// batch returns the first frame with others that are queued, without waiting for
+// more. Sending them in one message saves system calls on a busy link.
 func (l *link) gather(first proto.Frame) []proto.Frame {
 	out := []proto.Frame{first}
 	size := len(first.Body)
@@ -111,7 +113,7 @@
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	room := make(chan struct{}, handlers)
+	semaphore := make(chan struct{}, handlers)
 	for {
 		frames, err := l.mesh.read(ctx, l.conn)
 		if err != nil || l.mesh.refused(l.hello.Entry) {
@@ -123,11 +125,11 @@
 				l.deliver(f)
 			case handler == nil:
 			case f.ID == 0:
-				l.answer(ctx, handler, f) // Told messages keep their order.
+				l.answer(ctx, handler, f) // Messages without a response are handled in order.
 			default:
-				room <- struct{}{}
+				semaphore <- struct{}{}
 				group.Go(func() {
-					defer func() { <-room }()
+					defer func() { <-semaphore }()
 					l.answer(ctx, handler, f)
 				})
 			}
@@ -150,8 +152,8 @@
 	}
 }
 
-// deliver gives an answer to whoever asked. One that comes after its question
-// was given up is dropped and counted.
+// deliver passes a response to the goroutine that waits for it. A response to a
+// request that was abandoned is dropped and counted.
 func (l *link) deliver(f proto.Frame) {
 	l.mu.Lock()
 	ch := l.waiting[f.ID]
--- a/trans/peer/peer.go
+++ b/trans/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer keeps the links between entries: one WebSocket in each direction
-// between any two, carrying CBOR frames. An entry asks over the links that it
-// dialled and answers on those that it accepted.
+// Package peer maintains the links between entries. Each pair of entries has one
+// WebSocket in each direction, which carries CBOR frames. An entry sends requests on
+// the links that it dialled and responses on those that it accepted.
 package peer
 
 import (
@@ -23,51 +23,54 @@
 	"plantainwinch/winch"
 )
 
-// Path is where an entry accepts links.
+// Path is the URL path at which an entry accepts links.
 const Path = "/Peer"
 
 const (
-	// ringSize bounds the messages that wait to be sent on one link. An entry has a link each
-	// way to hundreds of others, and each ring takes its memory at once.
+	// sendQueueSize limits the messages that wait to be sent on one link. An entry has
+	// links in both directions to hundreds of others, and the memory of each queue is
+	// allocated with the link.
 	ringSize = 512
-	// handlers bounds the questions of one link that are answered at once.
+	// maxHandlers limits the requests of one link that are handled concurrently.
 	handlers = 4096
-	// frameLimit bounds one frame; a configuration document is the largest.
+	// maxFrameSize limits a WebSocket message; the largest frames carry a configuration
+	// document.
 	frameLimit = 4 << 20
-	// redialWait is the pause between tries to reach a peer.
+	// redialInterval is the delay between attempts to connect to a peer.
 	redialWait = 500 * time.Millisecond
-	// sendTimeout ends a link whose other side takes no more data.
+	// sendTimeout limits a write; it ends a link whose peer no longer reads.
 	sendTimeout = 5 * time.Second
-	// gatherMost and gatherBytes bound the frames that travel in one message.
+	// maxBatchFrames and maxBatchBytes limit the frames sent in one WebSocket message.
 	gatherMost   = 64
 	gatherBytes  = 64 << 10
 	helloTimeout = 2 * time.Second
-	// pingTime bounds the answer to a ping, which is sent when a question was not
-	// answered in time. After a partition has healed, a connection from before it
-	// sends again only seconds later, and some never do; a new one works at once.
-	// A peer that is merely busy answers pings without its handlers.
+	// pingTimeout limits the response time to a ping, which is sent after a request has
+	// timed out. After a network partition has healed, an old connection resumes only
+	// seconds later or never, while a new connection works immediately. A peer that is
+	// merely busy still responds, because pings do not pass through its handlers.
 	pingTime = time.Second
 )
 
-// Mesh keeps links to all peers. Set the fields before Run.
+// Mesh maintains links to all peers. Its exported fields must be set before Run.
 type Mesh struct {
 	Self    proto.Hello
 	Token   string
 	Handler winch.Handler
 	Log     *zap.Logger
 	Metrics metrics.Registry
-	// Addresses returns where peers may be; it is asked again and again.
+	// Addresses returns the possible addresses of peers. It is called periodically.
 	Addresses func() []string
-	// First returns the message that goes first on a new link to a peer.
+	// FirstMessage returns the first message to send on a new link to a peer.
 	First func(peer string) (winch.Kind, any)
-	// Linked is called when a link to a peer stands or has broken.
+	// OnLinkChange is called when a link to a peer has been established or lost.
 	Linked func(hello proto.Hello, up bool)
 
 	mu      sync.Mutex
 	links   map[string]*link
 	dialled map[string]bool
 	refuse  map[string]bool
-	// accepted holds the links that peers dialled; ended says that the mesh is done.
+	// accepted holds the links that peers dialled. After stopped is set no more are
+	// accepted.
 	accepted map[*link]bool
 	ended    bool
 	bytes    atomic.Int64
@@ -76,13 +79,13 @@
 
 var _ winch.Peers = (*Mesh)(nil)
 
-// Cost returns the frames and bytes sent and received so far.
+// Cost returns the number of frames and bytes sent and received so far.
 func (m *Mesh) Cost() (frames, bytes int64) {
 	return m.frames.Load(), m.bytes.Load()
 }
 
-// Cut refuses links with the named peers, in both directions, until it is
-// called again; tests and the stand-in cell bring about partitions with it.
+// Partition closes and refuses links with exactly the named peers, in both directions,
+// until the next call. Tests simulate network partitions with it.
 func (m *Mesh) Cut(names ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,7 +115,7 @@
 	return out
 }
 
-// Run dials peers until ctx ends.
+// Run connects to peers until ctx ends.
 func (m *Mesh) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -155,7 +158,7 @@
 	delete(m.dialled, address)
 }
 
-// keep dials one address once and serves the link until it breaks.
+// connect dials an address once and runs the link until it breaks.
 func (m *Mesh) keep(ctx context.Context, address string) {
 	l, err := m.dial(ctx, address)
 	if err != nil {
@@ -185,8 +188,9 @@
 	}
 }
 
-// add keeps a link unless there is one to the same peer, which is the case
-// when a peer stands under two addresses.
+// add registers a dialled link. It returns false if there already is a link to the
+// peer, which happens when a peer has two addresses, if the peer is this entry itself,
+// or if links with the peer are blocked.
 func (m *Mesh) add(l *link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,11 +228,11 @@
 	return m.greet(ctx, conn)
 }
 
-// greet reads the other side's hello and checks that both can work together.
+// readHello reads the peer's hello and checks that version and cell match.
 func (m *Mesh) greet(ctx context.Context, conn *websocket.Conn) (*link, error) {
 	frames, err := m.read(ctx, conn)
 	if err == nil && len(frames) != 1 {
-		err = merry.New("the hello is not alone")
+		err = merry.New("the first message is not a single hello frame")
 	}
 	if err != nil {
 		_ = conn.CloseNow()
@@ -241,7 +245,7 @@
 	}
 	if hello.Version != m.Self.Version || hello.Cell != m.Self.Cell {
 		_ = conn.Close(websocket.StatusPolicyViolation, "version or cell differs")
-		return nil, merry.Errorf("peer %s speaks version %d of cell %s", hello.Entry, hello.Version, hello.Cell)
+		return nil, merry.Errorf("peer %s has protocol version %d and belongs to cell %s", hello.Entry, hello.Version, hello.Cell)
 	}
 	return &link{
 		hello: hello, conn: conn, mesh: m,
@@ -250,10 +254,10 @@
 	}, nil
 }
 
-// ServeHTTP accepts a link.
+// ServeHTTP accepts a link and runs it until it breaks.
 func (m *Mesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	got := r.Header.Get("Authorization")
-	if subtle.ConstantTimeCompare([]byte(got), []byte("Bearer "+m.Token)) != 1 {
+	authorization := r.Header.Get("Authorization")
+	if subtle.ConstantTimeCompare([]byte(authorization), []byte("Bearer "+m.Token)) != 1 {
 		http.Error(w, "peer token is wrong: set [Peers] Token to the same value on all entries", http.StatusUnauthorized)
 		return
 	}
@@ -281,9 +285,10 @@
 	l.run(r.Context(), m.Handler)
 }
 
-// accept notes an accepted link, or its end. The HTTP server knows nothing of
-// links any more, so the mesh closes them when it ends: a peer would else go on
-// asking an entry that has stopped.
+// trackAccepted registers an accepted link, or unregisters it if open is false. It
+// returns whether the link may be used. The HTTP server does not track hijacked
+// connections, so the mesh closes them when it stops; otherwise a peer would continue
+// to send requests to an entry that has stopped.
 func (m *Mesh) accept(l *link, open bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -331,7 +336,7 @@
 	return frames, merry.Wrap(err)
 }
 
-// count counts frames and bytes, in all and by kind.
+// count adds to the totals of frames and bytes and to the counters by kind.
 func (m *Mesh) count(name string, frames []proto.Frame, bytes int) {
 	m.frames.Add(int64(len(frames)))
 	m.bytes.Add(int64(bytes))
@@ -340,7 +345,7 @@
 	}
 }
 
-// Notify implements winch.Peers. A full ring refuses the message.
+// Notify implements winch.Peers. It returns winch.ErrNoPeer if the send queue is full.
 func (m *Mesh) Notify(to string, kind winch.Kind, body any) error {
 	l := m.link(to)
 	if l == nil {
--- a/trans/peer/peer_test.go
+++ b/trans/peer/peer_test.go
@@ -19,7 +19,7 @@
 	"plantainwinch/winch"
 )
 
-// end is one entry's side of the links, on a port of the loopback interface.
+// testEntry is the mesh of one entry, listening on a loopback port.
 type end struct {
 	*Mesh
 	address string
@@ -35,12 +35,12 @@
 	return ln
 }
 
-// pair runs two ends that dial each other until the test ends.
+// startPair runs two entries that connect to each other until the test ends.
 func pair(t *testing.T, handler winch.Handler, change func(i int, m *Mesh)) [2]*end {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
-	var ends [2]*end
+	var entries [2]*end
 	var servers []*http.Server
 	lns := [2]net.Listener{listen(t), listen(t)}
 	for i, name := range []string{"a", "b"} {
@@ -57,7 +57,7 @@
 		}
 		server := &http.Server{Handler: e.Mesh, ReadHeaderTimeout: time.Minute}
 		servers = append(servers, server)
-		ends[i] = e
+		entries[i] = e
 		group.Go(func() { _ = server.Serve(lns[i]) })
 		group.Go(func() { e.Run(ctx) })
 	}
@@ -68,7 +68,7 @@
 		}
 		group.Wait()
 	})
-	return ends
+	return entries
 }
 
 func echo(_ context.Context, _ string, _ winch.Kind, decode func(any) error) any {
@@ -79,31 +79,31 @@
 	return s
 }
 
-// Questions and answers pass between two entries, many at once, and each answer
-// goes to its own question.
+// Guards against responses reaching the wrong request when many are in flight at the
+// same time.
 func TestAsk(t *testing.T) {
 	is := is.New(t)
-	ends := pair(t, echo, nil)
-	is.True(<-ends[0].up)
+	entries := pair(t, echo, nil)
+	is.True(<-entries[0].up)
 	var group conc.WaitGroup
 	for i := range 200 {
 		text := strings.Repeat("x", i)
 		group.Go(func() {
 			var got string
-			is.NoErr(ends[0].Request(context.Background(), "b", proto.KindConfig, text, &got))
+			is.NoErr(entries[0].Request(context.Background(), "b", proto.KindConfig, text, &got))
 			is.Equal(got, text)
 		})
 	}
 	group.Wait()
-	is.True(errors.Is(ends[0].Request(context.Background(), "c", proto.KindConfig, "x", new(string)), winch.ErrNoPeer))
+	is.True(errors.Is(entries[0].Request(context.Background(), "c", proto.KindConfig, "x", new(string)), winch.ErrNoPeer))
 }
 
-// The peer answers after its question was given up. The late answer reaches
-// nobody, and the next question gets its own.
+// Guards against the late response to an abandoned request being taken for the
+// response to a later one.
 func TestLateAnswer(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	ends := pair(t, func(_ context.Context, _ string, _ winch.Kind, decode func(any) error) any {
+	entries := pair(t, func(_ context.Context, _ string, _ winch.Kind, decode func(any) error) any {
 		var s string
 		_ = decode(&s)
 		if s == "slow" {
@@ -111,57 +111,57 @@
 		}
 		return s
 	}, nil)
-	is.True(<-ends[0].up)
+	is.True(<-entries[0].up)
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() {
-		is.True(errors.Is(ends[0].Request(ctx, "b", proto.KindConfig, "slow", new(string)), context.Canceled))
+		is.True(errors.Is(entries[0].Request(ctx, "b", proto.KindConfig, "slow", new(string)), context.Canceled))
 	})
 	var got string
-	is.NoErr(ends[0].Request(context.Background(), "b", proto.KindConfig, "one", &got))
+	is.NoErr(entries[0].Request(context.Background(), "b", proto.KindConfig, "one", &got))
 	cancel()
 	group.Wait()
 	close(hold)
-	is.NoErr(ends[0].Request(context.Background(), "b", proto.KindConfig, "two", &got))
+	is.NoErr(entries[0].Request(context.Background(), "b", proto.KindConfig, "two", &got))
 	is.Equal(got, "two")
 }
 
-// The link breaks while a question waits. The asker is told at once, and a new
-// link stands soon; its first message comes before any question.
+// Guards against a request waiting for its timeout when the link breaks: it must fail
+// immediately. A new link must follow soon, and begin with the first message.
 func TestLinkBreaks(t *testing.T) {
 	is := is.New(t)
-	asked := make(chan struct{}, 10)
+	received := make(chan struct{}, 10)
 	first := make(chan string, 10)
-	ends := pair(t, func(ctx context.Context, _ string, kind winch.Kind, decode func(any) error) any {
+	entries := pair(t, func(ctx context.Context, _ string, kind winch.Kind, decode func(any) error) any {
 		var s string
 		_ = decode(&s)
 		if kind == proto.KindHeldSlots {
 			first <- s
 			return nil
 		}
-		asked <- struct{}{}
+		received <- struct{}{}
 		<-ctx.Done()
 		return nil
 	}, func(_ int, m *Mesh) {
 		m.First = func(peer string) (winch.Kind, any) { return proto.KindHeldSlots, "hello " + peer }
 	})
-	is.True(<-ends[0].up)
+	is.True(<-entries[0].up)
 	var group conc.WaitGroup
 	group.Go(func() {
-		err := ends[0].Request(context.Background(), "b", proto.KindConfig, "x", new(string))
+		err := entries[0].Request(context.Background(), "b", proto.KindConfig, "x", new(string))
 		is.True(errors.Is(err, winch.ErrPeerLost))
 	})
-	<-asked
-	ends[0].Cut("b")
+	<-received
+	entries[0].Cut("b")
 	group.Wait()
-	is.Equal(<-ends[0].up, false)
-	ends[0].Cut()
-	is.True(<-ends[0].up)
+	is.Equal(<-entries[0].up, false)
+	entries[0].Cut()
+	is.True(<-entries[0].up)
 	is.True(strings.HasPrefix(<-first, "hello "))
 }
 
-// An entry of another cell, protocol version or token tries to link. It is
-// refused before it can say anything.
+// Guards against messages from an entry with another token, protocol version or cell:
+// its link must be refused before any message is handled.
 func TestStrangersRefused(t *testing.T) {
 	for name, change := range map[string]func(m *Mesh){
 		"token":   func(m *Mesh) { m.Token = "guess" },
@@ -169,30 +169,30 @@
 		"cell":    func(m *Mesh) { m.Self.Cell = "other" },
 	} {
 		is := is.New(t)
-		heard := make(chan struct{}, 1)
-		ends := pair(t, func(context.Context, string, winch.Kind, func(any) error) any {
-			heard <- struct{}{}
+		handled := make(chan struct{}, 1)
+		entries := pair(t, func(context.Context, string, winch.Kind, func(any) error) any {
+			handled <- struct{}{}
 			return nil
 		}, func(i int, m *Mesh) {
 			if i == 1 {
 				change(m)
 			}
 		})
-		failed := metrics.GetOrRegisterCounter("Peer.DialFailed", ends[1].Metrics)
+		failed := metrics.GetOrRegisterCounter("Peer.DialFailed", entries[1].Metrics)
 		for failed.Count() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		is.Equal(len(ends[0].Names())+len(ends[1].Names()), 0) // name
+		is.Equal(len(entries[0].Names())+len(entries[1].Names()), 0) // name
 		select {
-		case <-heard:
-			t.Errorf("%s: a stranger was heard", name)
+		case <-handled:
+			t.Errorf("%s: a message of an unauthorized peer was handled", name)
 		default:
 		}
 	}
 }
 
-// relay passes connections on. The ones that it has can be made to go silent: they
-// stay open and carry nothing any more, and new ones work.
+// relay forwards TCP connections to target. Its existing connections can be stalled:
+// they stay open but no longer carry data, while new connections work.
 type relay struct {
 	net.Listener
 	target string
@@ -212,15 +212,15 @@
 			continue
 		}
 		r.mu.Lock()
-		silent := r.silent
+		stalled := r.silent
 		r.mu.Unlock()
-		group.Go(func() { pass(in, out, silent) })
-		group.Go(func() { pass(out, in, silent) })
+		group.Go(func() { pass(in, out, stalled) })
+		group.Go(func() { pass(out, in, stalled) })
 	}
 }
 
-// pass copies until an end closes, or drops everything once it is to be silent.
-func pass(from, to net.Conn, silent chan struct{}) {
+// forward copies data until one side closes. Once stalled is closed, it drops the data.
+func pass(from, to net.Conn, stalled chan struct{}) {
 	defer func() { _, _ = from.Close(), to.Close() }()
 	buf := make([]byte, 4096)
 	for {
@@ -229,7 +229,7 @@
 			return
 		}
 		select {
-		case <-silent:
+		case <-stalled:
 			continue
 		default:
 		}
@@ -239,7 +239,7 @@
 	}
 }
 
-// hush silences the connections there are.
+// stall stalls the existing connections.
 func (r *relay) hush() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -247,15 +247,15 @@
 	r.silent = make(chan struct{})
 }
 
-// A link goes silent without a reset, as after a partition. Once a question is not
-// answered in time the link is pinged, given up and made anew, and the next
-// question is answered. Without that a keeper was seen to be lost for five seconds
-// after the partition had healed.
+// Guards against a link that stays open but no longer carries data, as after a network
+// partition: a keeper remained lost for five seconds after the partition had healed.
+// After a request times out, the link must be pinged, closed and replaced, and the
+// next request must succeed.
 func TestSilentLinkIsMadeAnew(t *testing.T) {
 	is := is.New(t)
 	var r *relay
 	var group conc.WaitGroup
-	ends := pair(t, echo, func(i int, m *Mesh) {
+	entries := pair(t, echo, func(i int, m *Mesh) {
 		if i == 1 {
 			m.Addresses = func() []string { return nil }
 			return
@@ -265,15 +265,15 @@
 		m.Addresses = func() []string { return []string{r.Addr().String()} }
 	})
 	t.Cleanup(func() { _ = r.Close() })
-	is.True(<-ends[0].up)
+	is.True(<-entries[0].up)
 	var got string
-	is.NoErr(ends[0].Request(t.Context(), "b", proto.KindConfig, "one", &got))
+	is.NoErr(entries[0].Request(t.Context(), "b", proto.KindConfig, "one", &got))
 	r.hush()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	is.True(errors.Is(ends[0].Request(ctx, "b", proto.KindConfig, "two", &got), context.DeadlineExceeded))
-	is.Equal(<-ends[0].up, false)
-	is.Equal(<-ends[0].up, true)
-	is.NoErr(ends[0].Request(t.Context(), "b", proto.KindConfig, "three", &got))
+	is.True(errors.Is(entries[0].Request(ctx, "b", proto.KindConfig, "two", &got), context.DeadlineExceeded))
+	is.Equal(<-entries[0].up, false)
+	is.Equal(<-entries[0].up, true)
+	is.NoErr(entries[0].Request(t.Context(), "b", proto.KindConfig, "three", &got))
 	is.Equal(got, "three")
 }
--- a/trans/store/client.go
+++ b/trans/store/client.go
@@ -16,10 +16,10 @@
 	"plantainwinch/winch"
 )
 
-// DefaultTimeout bounds a call that does not wait for a change.
+// DefaultTimeout limits the duration of all calls but Watch.
 const DefaultTimeout = 2 * time.Second
 
-// watchTimeout is longer than any service holds a watch open.
+// watchTimeout is longer than the time for which the service holds a watch open.
 const watchTimeout = 60 * time.Second
 
 // Client implements winch.Store and winch.Lister against the service at Address.
@@ -36,13 +36,14 @@
 	_ winch.Lister = (*Client)(nil)
 )
 
-// Cost returns the calls made and the bytes sent and received in bodies so far.
+// Cost returns the number of calls made and of bytes sent and received in bodies so
+// far.
 func (c *Client) Cost() (calls, bytes int64) {
 	return c.calls.Load(), c.bytes.Load()
 }
 
-// call makes one request. A failure to connect surely had no effect; any later
-// failure may have had one, so it is reported as uncertain.
+// call makes one request. A failure to connect is known to have had no effect. Any
+// later failure may have had one and is reported as winch.ErrUncertain.
 func (c *Client) call(ctx context.Context, op Op, in Call, timeout time.Duration) (Reply, error) {
 	if timeout == 0 {
 		timeout = DefaultTimeout
@@ -65,11 +66,11 @@
 	}
 	defer resp.Body.Close()
 	var out Reply
-	counted := &countReader{r: resp.Body}
-	if err := json.NewDecoder(counted).Decode(&out); err != nil {
+	bodyReader := &countReader{r: resp.Body}
+	if err := json.NewDecoder(bodyReader).Decode(&out); err != nil {
 		return Reply{}, fmt.Errorf("%w: %s: %w", winch.ErrUncertain, op, err)
 	}
-	c.bytes.Add(counted.n)
+	c.bytes.Add(bodyReader.n)
 	return out, codeError(op, out.Code)
 }
 
@@ -158,6 +159,7 @@
 	return out.VMs, out.Version, err
 }
 
+// countingReader counts the bytes read from r.
 type countReader struct {
 	r interface{ Read([]byte) (int, error) }
 	n int64
--- a/trans/store/wire.go
+++ b/trans/store/wire.go
@@ -1,5 +1,6 @@
-// Package store reaches the platform's key-value service and VM list over HTTP
-// with JSON bodies. It also defines that wire form, which the stand-in serves.
+// Package store calls the platform's key-value service and VM list over HTTP with
+// JSON bodies. It also defines the wire format, which the simulated platform serves
+// as well.
 package store
 
 import (
@@ -8,10 +9,10 @@
 	"plantainwinch/winch"
 )
 
-// Op names a call of the service; it is the last part of the URL's path.
+// Op is the name of a call of the service. It is the last element of the URL's path.
 type Op string
 
-// Calls of the service.
+// The calls of the service.
 const (
 	OpGet    Op = "Get"
 	OpPut    Op = "Put"
@@ -24,10 +25,10 @@
 	OpVMs    Op = "VMs"
 )
 
-// PathPrefix comes before the Op in the URL's path.
+// PathPrefix precedes the Op in the URL's path.
 const PathPrefix = "/Store/"
 
-// Call is the body of every request; each Op uses the fields it needs.
+// Call is the body of every request. Each Op uses the fields that it needs.
 type Call struct {
 	Key      string        `json:",omitempty"`
 	Data     []byte        `json:",omitempty"`
@@ -37,17 +38,17 @@
 	Prefixes []string      `json:",omitempty"`
 }
 
-// Code is the kind of failure in a Reply.
+// Code is the kind of failure reported in a Reply.
 type Code string
 
-// Codes of failures.
+// The kinds of failures.
 const (
 	CodeMissing     Code = "Missing"
 	CodeConflict    Code = "Conflict"
 	CodeUnavailable Code = "Unavailable"
 )
 
-// Reply is the body of every answer.
+// Reply is the body of every response.
 type Reply struct {
 	Code    Code           `json:",omitempty"`
 	Values  []winch.Value  `json:",omitempty"`
