--- a/conf/declare.go
+++ b/conf/declare.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	// DefaultTrust is the CutOffTrust of a team that declares none.
+	// DefaultCutOffTrust is the CutOffTrust of a team that declares none.
 	DefaultTrust = 10 * time.Minute
-	// defaultBody is the MaxBody of a service that declares none.
+	// defaultMaxBody is the MaxBody of a service that declares none.
 	defaultBody = 64 << 20
 )
 
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -38,9 +38,9 @@
 }
 
 // Error implements the error interface.
-func (l *Lost) Error() string {
-	msg := fmt.Sprintf("configuration is at version %d, not %d", l.Now, l.Base)
-	for _, a := range l.Between {
+func (e *Lost) Error() string {
+	msg := fmt.Sprintf("configuration is at version %d, not %d", e.Now, e.Base)
+	for _, a := range e.Between {
 		msg += fmt.Sprintf("; version %d by %s: %s %s", a.Version, a.Actor, a.Action, a.Object)
 	}
 	return msg
--- a/state/config/latest.go
+++ b/state/config/latest.go
@@ -19,13 +19,13 @@
 
 // Get returns the current document, or nil if there is none yet. The caller must
 // not modify it.
-func (h *Held) Get() *winch.Document {
-	return h.cur.Load()
+func (l *Held) Get() *winch.Document {
+	return l.cur.Load()
 }
 
 // Version returns the version of the current document, or zero if there is none.
-func (h *Held) Version() uint64 {
-	if doc := h.cur.Load(); doc != nil {
+func (l *Held) Version() uint64 {
+	if doc := l.cur.Load(); doc != nil {
 		return doc.Version
 	}
 	return 0
@@ -35,30 +35,30 @@
 // whether it did. An older document comes from a delayed message or from a store
 // restored from an old copy; adopting it would make withdrawn keys valid again,
 // so that calls succeed that must fail.
-func (h *Held) Offer(doc *winch.Document) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	current := h.Version()
+func (l *Held) Offer(doc *winch.Document) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	current := l.Version()
 	if doc.Version <= current {
 		if doc.Version < current {
-			h.Behind.Add(1)
+			l.Behind.Add(1)
 		}
 		return false
 	}
-	h.cur.Store(doc)
-	if h.wake != nil {
-		close(h.wake)
-		h.wake = nil
+	l.cur.Store(doc)
+	if l.wake != nil {
+		close(l.wake)
+		l.wake = nil
 	}
 	return true
 }
 
 // Changed returns a channel that is closed when a newer document is adopted.
-func (h *Held) Changed() <-chan struct{} {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.wake == nil {
-		h.wake = make(chan struct{})
+func (l *Held) Changed() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.wake == nil {
+		l.wake = make(chan struct{})
 	}
-	return h.wake
+	return l.wake
 }
--- a/trans/front/calls.go
+++ b/trans/front/calls.go
@@ -25,8 +25,8 @@
 }
 
 // Callers returns the HTTP handler of the callers' interface.
-func Callers(b Backend, reg metrics.Registry) http.Handler {
-	c := &callers{backend: b}
+func Callers(backend Backend, reg metrics.Registry) http.Handler {
+	c := &callers{backend: backend}
 	r := httprouter.New()
 	r.POST("/Call/:Service", c.call)
 	r.POST("/Call/:Service/*Path", c.call)
@@ -34,8 +34,8 @@
 	r.GET("/Jobs", c.list)
 	r.GET("/Jobs/:ID", c.job)
 	r.DELETE("/Jobs/:ID", c.cancel)
-	common(r, b, reg)
-	return leaving(b, r)
+	common(r, backend, reg)
+	return leaving(backend, r)
 }
 
 // closeWhenNotReady asks callers to open a new connection for their next request
