--- a/cmds/team.go
+++ b/cmds/team.go
@@ -41,7 +41,7 @@
 	}
 	cmd.Flags().IntVar(&t.Share, "share", 1, "part of a full fleet, relative to the other teams")
 	cmd.Flags().IntVar(&t.Limit, "limit", 0, "most requests and tasks running at once over the fleet")
-	cmd.Flags().DurationVar(&t.CutOffTrust, "cut-off-trust", conf.DefaultTrust, "how long its keys work in a failure domain that is cut off")
+	cmd.Flags().DurationVar(&t.CutOffTrust, "cut-off-trust", conf.DefaultCutOffTrust, "how long its keys work in a failure domain that is cut off")
 	_ = cmd.MarkFlagRequired("limit")
 	return cmd
 }
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -11,7 +11,7 @@
 	"plantainwinch/winch"
 )
 
-const good = `[Entry]
+const validSettings = `[Entry]
 Name = d1-1
 Domain = d1
 [Cell]
@@ -37,7 +37,7 @@
 // optional keys not getting their defaults.
 func TestDecode(t *testing.T) {
 	is := is.New(t)
-	s, err := Decode("entry.ini", []byte(good))
+	s, err := Decode("entry.ini", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Cell.Prefer, "Waiting")
 	is.Equal(s.Peers.Addresses, []string{"127.0.0.1:3", "127.0.0.1:5"})
@@ -48,7 +48,7 @@
 
 // Guards against errors that do not name the file, the line and the fix of a mistake
 // in the settings.
-func TestDecodeMistakes(t *testing.T) {
+func TestDecodeErrorsNameLineAndFix(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"Prefer = Waiting", "Prefre = Waiting", "entry.ini:7: unknown key Prefre in [Cell]: did you mean Prefer?"},
 		{"Prefer = Waiting", "Prefer = Speed", "entry.ini:7: Prefer = Speed: write Packing or Waiting"},
@@ -67,14 +67,14 @@
 		{"Token = secret", "Token =", "entry.ini:15: Token = : is empty"},
 		{"Prefer = Waiting", "FenceAtVM = yes", "entry.ini:7: FenceAtVM = yes: write true or false"},
 	} {
-		_, err := Decode("entry.ini", []byte(strings.Replace(good, c.old, c.new, 1)))
+		_, err := Decode("entry.ini", []byte(strings.Replace(validSettings, c.old, c.new, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s:\n got %v\nwant %s", c.new, err, c.want)
 		}
 	}
 }
 
-const declared = `[Team choir-north]
+const validDeclarations = `[Team choir-north]
 Share = 3
 Limit = 40
 [Class preview]
@@ -88,11 +88,11 @@
 `
 
 // Guards against a valid declaration file being decoded wrongly.
-func TestDeclarations(t *testing.T) {
+func TestDecodeDeclarations(t *testing.T) {
 	is := is.New(t)
-	d, err := DecodeDeclarations("cell.ini", []byte(declared))
+	d, err := DecodeDeclarations("cell.ini", []byte(validDeclarations))
 	is.NoErr(err)
-	is.Equal(d.Teams["choir-north"], winch.Team{Name: "choir-north", Share: 3, Limit: 40, CutOffTrust: DefaultTrust})
+	is.Equal(d.Teams["choir-north"], winch.Team{Name: "choir-north", Share: 3, Limit: 40, CutOffTrust: DefaultCutOffTrust})
 	is.Equal(d.Classes["preview"].Wait, 4*time.Second)
 	is.Equal(d.Services["render"].MaxBody, winch.Bytes(8<<20))
 	is.Equal(len(d.Remove), 1)
@@ -100,7 +100,7 @@
 
 // Guards against errors that do not name the file, the line and the fix of a mistake
 // in the declarations.
-func TestDeclarationMistakes(t *testing.T) {
+func TestDeclarationErrorsNameLineAndFix(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"Share = 3", "Weight = 3", "cell.ini:2: unknown key Weight in [Team choir-north]: did you mean"},
 		{"Share = 3\n", "", "cell.ini:1: key Share is missing"},
@@ -109,7 +109,7 @@
 		{"[Team choir-north]", "[Team Choir]", "cell.ini:1: "},
 		{"[Service render]", "[Service]", "cell.ini:8: section [Service]: write [Team NAME]"},
 	} {
-		_, err := DecodeDeclarations("cell.ini", []byte(strings.Replace(declared, c.old, c.new, 1)))
+		_, err := DecodeDeclarations("cell.ini", []byte(strings.Replace(validDeclarations, c.old, c.new, 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s:\n got %v\nwant %s", c.new, err, c.want)
 		}
@@ -118,8 +118,8 @@
 
 // FuzzDecode searches for input that makes decoding panic.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(good))
-	f.Add([]byte(declared))
+	f.Add([]byte(validSettings))
+	f.Add([]byte(validDeclarations))
 	f.Add([]byte("[a]\n=\n[DEFAULT]\nx=`\n"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		_, _ = Decode("f", text)
@@ -143,7 +143,7 @@
 }
 
 // Guards against the optional key Announce being required, ignored or not validated.
-func TestRegionAnnounces(t *testing.T) {
+func TestDecodeRegionAnnounce(t *testing.T) {
 	is := is.New(t)
 	text := func(announce string) []byte {
 		return []byte("[Entry]\nName = e1\nDomain = d1\n[Listen]\nCallers = 127.0.0.1:1\nReady = 127.0.0.1:2\nPeers = 127.0.0.1:3\n" +
--- a/conf/declare.go
+++ b/conf/declare.go
@@ -37,9 +37,9 @@
 
 const (
 	// DefaultCutOffTrust is the CutOffTrust of a team that declares none.
-	DefaultTrust = 10 * time.Minute
+	DefaultCutOffTrust = 10 * time.Minute
 	// defaultMaxBody is the MaxBody of a service that declares none.
-	defaultBody = 64 << 20
+	defaultMaxBody = 64 << 20
 )
 
 // LoadDeclarations reads and merges the declarations in several files.
@@ -108,16 +108,16 @@
 
 // onlyRemoves reports whether the only line of a section is Remove = true. The
 // object's other keys are then not required.
-func removed(f *File, section string) bool {
+func onlyRemoves(f *File, section string) bool {
 	s, err := f.ini.GetSection(section)
 	return err == nil && s.HasKey("Remove") && len(s.Keys()) == 1 && s.Key("Remove").String() == "true"
 }
 
 func decodeTeam(f *File, section, name string, out *config.Declared) (bool, error) {
-	if removed(f, section) {
+	if onlyRemoves(f, section) {
 		return true, nil
 	}
-	k := teamKeys{CutOffTrust: DefaultTrust}
+	k := teamKeys{CutOffTrust: DefaultCutOffTrust}
 	if err := f.Section(section, &k); err != nil {
 		return false, err
 	}
@@ -130,7 +130,7 @@
 }
 
 func decodeClass(f *File, section, name string, out *config.Declared) (bool, error) {
-	if removed(f, section) {
+	if onlyRemoves(f, section) {
 		return true, nil
 	}
 	var k classKeys
@@ -146,10 +146,10 @@
 }
 
 func decodeService(f *File, section, name string, out *config.Declared) (bool, error) {
-	if removed(f, section) {
+	if onlyRemoves(f, section) {
 		return true, nil
 	}
-	k := serviceKeys{MaxBody: defaultBody}
+	k := serviceKeys{MaxBody: defaultMaxBody}
 	if err := f.Section(section, &k); err != nil {
 		return false, err
 	}
--- a/conf/decode.go
+++ b/conf/decode.go
@@ -74,10 +74,10 @@
 // Errorf returns an error that names the line of a key, or the line of its section if
 // the key is empty or not found.
 func (f *File) Errorf(section, key, format string, args ...any) error {
-	return f.errorAt(f.line(section, key), format, args...)
+	return f.errorAt(f.lineOf(section, key), format, args...)
 }
 
-func (f *File) line(section, key string) int {
+func (f *File) lineOf(section, key string) int {
 	inSection, found := section == "", 1
 	for i, raw := range f.lines {
 		line := strings.TrimSpace(raw)
--- a/conf/region.go
+++ b/conf/region.go
@@ -123,23 +123,23 @@
 }
 
 func (s *Region) check(f *File) error {
-	addresses := []address{
+	addresses := []addressSetting{
 		{"Listen", "Callers", s.Listen.Callers},
 		{"Listen", "Ready", s.Listen.Ready},
 		{"Listen", "Peers", s.Listen.Peers},
 		{"Platform", "Address", s.Platform.Address},
 	}
 	if s.Listen.Announce != "" {
-		addresses = append(addresses, address{"Listen", "Announce", s.Listen.Announce})
+		addresses = append(addresses, addressSetting{"Listen", "Announce", s.Listen.Announce})
 	}
 	if s.Listen.Metrics != "" {
-		addresses = append(addresses, address{"Listen", "Metrics", s.Listen.Metrics})
+		addresses = append(addresses, addressSetting{"Listen", "Metrics", s.Listen.Metrics})
 	}
 	if s.Listen.Jobs != "" {
-		addresses = append(addresses, address{"Listen", "Jobs", s.Listen.Jobs})
+		addresses = append(addresses, addressSetting{"Listen", "Jobs", s.Listen.Jobs})
 	}
 	if s.Platform.Advice != "" {
-		addresses = append(addresses, address{"Platform", "Advice", s.Platform.Advice})
+		addresses = append(addresses, addressSetting{"Platform", "Advice", s.Platform.Advice})
 	}
 	if err := f.checkAddresses(addresses); err != nil {
 		return err
@@ -157,9 +157,9 @@
 }
 
 // addressSetting is a key that must hold an IP address and a port.
-type address struct{ section, key, value string }
+type addressSetting struct{ section, key, value string }
 
-func (f *File) checkAddresses(list []address) error {
+func (f *File) checkAddresses(list []addressSetting) error {
 	for _, a := range list {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
 			return f.Errorf(a.section, a.key, "%s = %s: write an IP address and a port, such as 127.0.0.1:7001", a.key, a.value)
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -143,7 +143,7 @@
 	if len(s.Cell.OperatorKeyHash) != 64 {
 		return f.Errorf("Cell", "OperatorKeyHash", "OperatorKeyHash is not a SHA-256 hash: write the 64 hexadecimal digits that `plantainwinch key hash` prints")
 	}
-	err := f.checkAddresses([]address{
+	err := f.checkAddresses([]addressSetting{
 		{"Listen", "Callers", s.Listen.Callers},
 		{"Listen", "Operators", s.Listen.Operators},
 		{"Listen", "Peers", s.Listen.Peers},
--- a/conf/units.go
+++ b/conf/units.go
@@ -48,7 +48,7 @@
 func Nearest(name string, known []string) string {
 	best, bestCost := "", 1<<30
 	for _, k := range known {
-		if cost := distance(strings.ToLower(name), strings.ToLower(k)); cost < bestCost {
+		if cost := editDistance(strings.ToLower(name), strings.ToLower(k)); cost < bestCost {
 			best, bestCost = k, cost
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // editDistance returns the Levenshtein distance between two names.
-func distance(a, b string) int {
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/entry/call.go
+++ b/entry/call.go
@@ -291,7 +291,7 @@
 		return replyWith(winch.RefuseFor(winch.StoreUnavailable, "the request could not be recorded, so it was not sent", time.Second))
 	}
 	old = p.awaitCompletion(ctx, old)
-	r := ledger.Judge(old, time.Now())
+	r := ledger.ResultOf(old, time.Now())
 	if !r.OK() {
 		return replyWith(r)
 	}
@@ -308,7 +308,7 @@
 // awaitCompletion waits for an earlier attempt that may still be running, for example when a caller lost its
 // connection and sent the request again.
 func (p *pendingCall) awaitCompletion(ctx context.Context, rec winch.CallRecord) winch.CallRecord {
-	for rec.Finished.IsZero() && ledger.Judge(rec, time.Now()).RetryAfter > 0 && time.Now().Before(p.latestStart()) {
+	for rec.Finished.IsZero() && ledger.ResultOf(rec, time.Now()).RetryAfter > 0 && time.Now().Before(p.latestStart()) {
 		if !sleep(ctx, statusPollInterval/4) {
 			break
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -42,7 +42,7 @@
 	Seed uint64
 
 	incarnation string
-	config      config.Held
+	config      config.Latest
 	editor      config.Editor
 	members     *member.Tracker
 	table       *slots.Table
--- a/entry/oper.go
+++ b/entry/oper.go
@@ -71,13 +71,13 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	doc, err := e.editor.Edit(ctx, actor.Name, base, change)
-	var lost *config.Lost
+	var lost *config.ConflictError
 	switch {
 	case errors.Is(err, swap.ErrUnchanged):
 		return Applied{Version: e.config.Version(), Unchanged: true, InForce: true}, winch.Result{}
 	case errors.As(err, &lost):
 		return Applied{}, winch.Refuse(winch.VersionConflict, lost.Error())
-	case errors.Is(err, config.ErrBad):
+	case errors.Is(err, config.ErrInvalid):
 		return Applied{}, winch.Refuse(winch.BadRequest, err.Error())
 	case errors.Is(err, winch.ErrUncertain):
 		return Applied{}, winch.Uncertain(winch.StoreUnavailable, "the change may have been written: look at the audit trail")
--- a/server/region.go
+++ b/server/region.go
@@ -76,9 +76,9 @@
 	s.Node.Prepare()
 	s.table.Heard = s.Node.NoteStoreResponse
 	s.Mesh.Handler = s.Node.Handle
-	s.Mesh.First = s.Node.First
+	s.Mesh.FirstMessage = s.Node.First
 	s.Mesh.Addresses = s.Node.PeerAddresses
-	s.Mesh.Linked = func(hello proto.Hello, up bool) {
+	s.Mesh.OnLinkChange = func(hello proto.Hello, up bool) {
 		s.Log.Info("peer link", zap.String("peer", hello.Entry), zap.String("domain", hello.Domain), zap.Bool("up", up))
 		s.Node.LinkChanged()
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -78,8 +78,8 @@
 	}
 	s.Entry.Prepare()
 	s.Mesh.Handler = s.Entry.Handle
-	s.Mesh.First = s.Entry.First
-	s.Mesh.Linked = s.linked
+	s.Mesh.FirstMessage = s.Entry.First
+	s.Mesh.OnLinkChange = s.linked
 	s.gauges()
 	return nil
 }
--- a/state/config/changes.go
+++ b/state/config/changes.go
@@ -44,18 +44,18 @@
 
 // ErrInvalid is wrapped by errors about a change that is invalid whatever the
 // state of the document.
-var ErrBad = merry.New("bad declaration")
+var ErrInvalid = merry.New("bad declaration")
 
-func bad(format string, args ...any) error {
-	return merry.Prependf(ErrBad, format, args...)
+func invalid(format string, args ...any) error {
+	return merry.Prependf(ErrInvalid, format, args...)
 }
 
-var nameRule = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
 // CheckName returns an error if the name of a team, class or service is malformed.
 func CheckName(name string) error {
-	if !nameRule.MatchString(name) {
-		return bad("name %q: write a lower-case letter, then letters, digits and hyphens, 63 at most", name)
+	if !namePattern.MatchString(name) {
+		return invalid("name %q: write a lower-case letter, then letters, digits and hyphens, 63 at most", name)
 	}
 	return nil
 }
@@ -63,10 +63,10 @@
 // CheckTeam returns an error if a declared team is invalid.
 func CheckTeam(t winch.Team) error {
 	if t.Share < 1 {
-		return bad("team %s: Share is %d: write 1 or more", t.Name, t.Share)
+		return invalid("team %s: Share is %d: write 1 or more", t.Name, t.Share)
 	}
 	if t.Limit < 0 {
-		return bad("team %s: Limit is %d: write 0 or more", t.Name, t.Limit)
+		return invalid("team %s: Limit is %d: write 0 or more", t.Name, t.Limit)
 	}
 	return CheckName(t.Name)
 }
@@ -74,13 +74,13 @@
 // CheckClass returns an error if a declared class is invalid.
 func CheckClass(c winch.Class) error {
 	if (c.Wait > 0) == (c.By != "") {
-		return bad("class %s: give it one target, either Wait = 4s or By = 06:00", c.Name)
+		return invalid("class %s: give it one target, either Wait = 4s or By = 06:00", c.Name)
 	}
 	if _, err := time.Parse("15:04", c.By); c.By != "" && err != nil {
-		return bad("class %s: By = %s is no time of day: write it as 06:00, in UTC", c.Name, c.By)
+		return invalid("class %s: By = %s is no time of day: write it as 06:00, in UTC", c.Name, c.By)
 	}
 	if c.MaxRun <= 0 {
-		return bad("class %s: MaxRun is missing: write the longest time that one request or task runs, such as 2m", c.Name)
+		return invalid("class %s: MaxRun is missing: write the longest time that one request or task runs, such as 2m", c.Name)
 	}
 	return CheckName(c.Name)
 }
@@ -93,13 +93,13 @@
 			if err := CheckTeam(d.Teams[name]); err != nil {
 				return nil, err
 			}
-			records = put(records, doc.Teams, KindTeam, name, d.Teams[name])
+			records = setObject(records, doc.Teams, KindTeam, name, d.Teams[name])
 		}
 		for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 			if err := CheckClass(d.Classes[name]); err != nil {
 				return nil, err
 			}
-			records = put(records, doc.Classes, KindClass, name, d.Classes[name])
+			records = setObject(records, doc.Classes, KindClass, name, d.Classes[name])
 		}
 		for _, name := range slices.Sorted(maps.Keys(d.Services)) {
 			if err := CheckName(name); err != nil {
@@ -107,7 +107,7 @@
 			}
 			service := d.Services[name]
 			service.Approved = doc.Services[name].Approved // Only the service's owner changes approvals.
-			records = put(records, doc.Services, KindService, name, service)
+			records = setObject(records, doc.Services, KindService, name, service)
 		}
 		return d.remove(doc, records)
 	}
@@ -115,7 +115,7 @@
 
 // setObject stores an object if it differs from the stored one and adds an audit
 // record of the difference.
-func put[T any](records []winch.Audit, objects map[string]T, kind Kind, name string, value T) []winch.Audit {
+func setObject[T any](records []winch.Audit, objects map[string]T, kind Kind, name string, value T) []winch.Audit {
 	old, exists := objects[name]
 	before, after := fmt.Sprintf("%+v", old), fmt.Sprintf("%+v", value)
 	if exists && before == after {
@@ -124,13 +124,13 @@
 	objects[name] = value
 	record := winch.Audit{Action: "add", Object: Named{kind, name}.String(), Detail: after}
 	if exists {
-		record.Action, record.Detail = "change", difference(before, after)
+		record.Action, record.Detail = "change", changedFields(before, after)
 	}
 	return append(records, record)
 }
 
 // changedFields lists the fields that differ between two structs printed with %+v.
-func difference(before, after string) string {
+func changedFields(before, after string) string {
 	a, b := strings.Fields(strings.Trim(before, "{}")), strings.Fields(strings.Trim(after, "{}"))
 	var out []string
 	for i := range min(len(a), len(b)) {
@@ -149,17 +149,17 @@
 		case KindTeam:
 			_, found = doc.Teams[n.Name]
 			delete(doc.Teams, n.Name)
-			dropKeys(doc, winch.KeyTeam, n.Name)
-			dropApprovals(doc, n.Name)
+			withdrawKeys(doc, winch.KeyTeam, n.Name)
+			removeApprovals(doc, n.Name)
 		case KindClass:
 			_, found = doc.Classes[n.Name]
 			delete(doc.Classes, n.Name)
 		case KindService:
 			_, found = doc.Services[n.Name]
 			delete(doc.Services, n.Name)
-			dropKeys(doc, winch.KeyOwner, n.Name)
+			withdrawKeys(doc, winch.KeyOwner, n.Name)
 		default:
-			return nil, bad("kind %q: write Team, Class or Service", n.Kind)
+			return nil, invalid("kind %q: write Team, Class or Service", n.Kind)
 		}
 		if found {
 			records = append(records, winch.Audit{Action: "remove", Object: n.String()})
@@ -170,7 +170,7 @@
 
 // withdrawKeys withdraws the keys of a removed holder. Otherwise a team declared
 // later under the same name would inherit them.
-func dropKeys(doc *winch.Document, role winch.KeyRole, holder string) {
+func withdrawKeys(doc *winch.Document, role winch.KeyRole, holder string) {
 	for id, k := range doc.Keys {
 		if k.Role == role && k.Holder == holder {
 			delete(doc.Keys, id)
@@ -178,7 +178,7 @@
 	}
 }
 
-func dropApprovals(doc *winch.Document, team string) {
+func removeApprovals(doc *winch.Document, team string) {
 	for name, s := range doc.Services {
 		if i, ok := slices.BinarySearch(s.Approved, team); ok {
 			s.Approved = slices.Delete(slices.Clone(s.Approved), i, i+1)
@@ -204,18 +204,18 @@
 		switch key.Role {
 		case winch.KeyTeam:
 			if _, ok := doc.Teams[key.Holder]; !ok {
-				return nil, bad("team %q is not declared", key.Holder)
+				return nil, invalid("team %q is not declared", key.Holder)
 			}
 		case winch.KeyOwner:
 			if _, ok := doc.Services[key.Holder]; !ok {
-				return nil, bad("service %q is not declared", key.Holder)
+				return nil, invalid("service %q is not declared", key.Holder)
 			}
 		case winch.KeyOperator:
 			if err := CheckName(key.Holder); err != nil {
 				return nil, err
 			}
 		default:
-			return nil, bad("role %q: write Team, Owner or Operator", key.Role)
+			return nil, invalid("role %q: write Team, Owner or Operator", key.Role)
 		}
 		doc.Keys[key.ID] = key
 		return []winch.Audit{{Action: "issue", Object: "Key " + key.ID, Detail: string(key.Role) + " " + key.Holder}}, nil
@@ -227,7 +227,7 @@
 	return func(doc *winch.Document) ([]winch.Audit, error) {
 		key, ok := doc.Keys[id]
 		if !ok {
-			return nil, bad("key %q does not exist: it is named by the part before the dot", id)
+			return nil, invalid("key %q does not exist: it is named by the part before the dot", id)
 		}
 		delete(doc.Keys, id)
 		return []winch.Audit{{Action: "withdraw", Object: "Key " + id, Detail: string(key.Role) + " " + key.Holder}}, nil
@@ -240,10 +240,10 @@
 	return func(doc *winch.Document) ([]winch.Audit, error) {
 		service, ok := doc.Services[name]
 		if !ok {
-			return nil, bad("service %q is not declared", name)
+			return nil, invalid("service %q is not declared", name)
 		}
 		if _, ok := doc.Teams[team]; !ok {
-			return nil, bad("team %q is not declared", team)
+			return nil, invalid("team %q is not declared", team)
 		}
 		i, approved := slices.BinarySearch(service.Approved, team)
 		action := "approve"
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -23,8 +23,8 @@
 // maxTrail is the number of audit records in the document at which the oldest
 // archiveBatch of them are moved to a key of their own.
 const (
-	trailKept = 400
-	trailRoll = 200
+	maxTrail     = 400
+	archiveBatch = 200
 )
 
 // AuditPrefix is the prefix of the store keys that hold archived audit records.
@@ -32,14 +32,14 @@
 
 // ConflictError is returned when the document is no longer at the version that a
 // change was based on. It lists the changes since that version.
-type Lost struct {
-	Base, Now uint64
-	Between   []winch.Audit
+type ConflictError struct {
+	Base, Current uint64
+	Between       []winch.Audit
 }
 
 // Error implements the error interface.
-func (e *Lost) Error() string {
-	msg := fmt.Sprintf("configuration is at version %d, not %d", e.Now, e.Base)
+func (e *ConflictError) Error() string {
+	msg := fmt.Sprintf("configuration is at version %d, not %d", e.Current, e.Base)
 	for _, a := range e.Between {
 		msg += fmt.Sprintf("; version %d by %s: %s %s", a.Version, a.Actor, a.Action, a.Object)
 	}
@@ -58,20 +58,20 @@
 // Edit writes a change and its audit records in one update. If base is not zero
 // and not the current version, the change fails with a *ConflictError.
 func (e *Editor) Edit(ctx context.Context, actor string, base uint64, change Change) (winch.Document, error) {
-	if err := e.roll(ctx); err != nil {
+	if err := e.archiveTrail(ctx); err != nil {
 		return winch.Document{}, err
 	}
 	v, err := swap.Update(ctx, e.Store, Key, func(doc *winch.Document) error {
 		if base != 0 && doc.Version != base {
-			return &Lost{Base: base, Now: doc.Version, Between: between(doc.Trail, base)}
+			return &ConflictError{Base: base, Current: doc.Version, Between: recordsAfter(doc.Trail, base)}
 		}
-		return edit(doc, actor, change)
+		return applyChange(doc, actor, change)
 	})
 	return v.Body, err
 }
 
-func edit(doc *winch.Document, actor string, change Change) error {
-	fill(doc)
+func applyChange(doc *winch.Document, actor string, change Change) error {
+	initMaps(doc)
 	records, err := change(doc)
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func fill(doc *winch.Document) {
+func initMaps(doc *winch.Document) {
 	if doc.Teams == nil {
 		doc.Teams = make(map[string]winch.Team)
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func between(trail []winch.Audit, base uint64) []winch.Audit {
+func recordsAfter(trail []winch.Audit, base uint64) []winch.Audit {
 	i := slices.IndexFunc(trail, func(a winch.Audit) bool { return a.Version > base })
 	if i < 0 {
 		return nil
@@ -116,12 +116,12 @@
 // document holds maxTrail of them. It copies the records before it removes them
 // from the document, so that a crash in between duplicates records instead of
 // losing them; Trail drops the duplicates.
-func (e *Editor) roll(ctx context.Context) error {
+func (e *Editor) archiveTrail(ctx context.Context) error {
 	cur, err := swap.Read[winch.Document](ctx, e.Store, Key)
-	if err != nil || len(cur.Body.Trail) < trailKept {
+	if err != nil || len(cur.Body.Trail) < maxTrail {
 		return err
 	}
-	old := cur.Body.Trail[:trailRoll]
+	old := cur.Body.Trail[:archiveBatch]
 	key := fmt.Sprintf("%s%012d", AuditPrefix, old[0].Version)
 	_, err = swap.Update(ctx, e.Store, key, func(records *[]winch.Audit) error {
 		*records = old
@@ -131,10 +131,10 @@
 		return err
 	}
 	_, err = swap.Update(ctx, e.Store, Key, func(doc *winch.Document) error {
-		if len(doc.Trail) < trailKept || doc.Trail[0].Version != old[0].Version {
+		if len(doc.Trail) < maxTrail || doc.Trail[0].Version != old[0].Version {
 			return swap.ErrUnchanged
 		}
-		doc.Trail = slices.Clone(doc.Trail[trailRoll:])
+		doc.Trail = slices.Clone(doc.Trail[archiveBatch:])
 		return nil
 	})
 	if errors.Is(err, swap.ErrUnchanged) {
@@ -161,14 +161,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return append(out, dropRepeated(out, cur.Body.Trail)...), nil
+	return append(out, dropDuplicates(out, cur.Body.Trail)...), nil
 }
 
-func dropRepeated(archived, trail []winch.Audit) []winch.Audit {
+func dropDuplicates(archived, trail []winch.Audit) []winch.Audit {
 	if len(archived) == 0 {
 		return trail
 	}
-	return between(trail, archived[len(archived)-1].Version)
+	return recordsAfter(trail, archived[len(archived)-1].Version)
 }
 
 // Clone returns a deep copy of a document.
@@ -181,6 +181,6 @@
 	if err := json.Unmarshal(data, out); err != nil {
 		return nil, merry.Wrap(err)
 	}
-	fill(out)
+	initMaps(out)
 	return out, nil
 }
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -17,37 +17,37 @@
 	"plantainwinch/winch"
 )
 
-func team(name string, limit int) Declared {
+func declareTeam(name string, limit int) Declared {
 	return Declared{Teams: map[string]winch.Team{name: {Name: name, Share: 1, Limit: limit}}}
 }
 
 // Guards against one operator overwriting another's change: both edit the same
 // version, and the second must get an error that names the change since then.
-func TestEditLostRace(t *testing.T) {
+func TestEditOfOutdatedVersionIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := Editor{Store: &stand.Platform{}}
-		_, err := e.Edit(context.Background(), "ana", 0, team("choir", 4).Change())
+		_, err := e.Edit(context.Background(), "ana", 0, declareTeam("choir", 4).Change())
 		is.NoErr(err)
-		_, err = e.Edit(context.Background(), "ben", 1, team("choir", 5).Change())
+		_, err = e.Edit(context.Background(), "ben", 1, declareTeam("choir", 5).Change())
 		is.NoErr(err)
-		_, err = e.Edit(context.Background(), "ana", 1, team("choir", 6).Change())
-		var conflict *Lost
+		_, err = e.Edit(context.Background(), "ana", 1, declareTeam("choir", 6).Change())
+		var conflict *ConflictError
 		is.True(errors.As(err, &conflict))
 		is.True(strings.Contains(err.Error(), "version 2 by ben: change Team choir"))
-		is.Equal(conflict.Now, uint64(2))
+		is.Equal(conflict.Current, uint64(2))
 	})
 }
 
 // Guards against a change being applied twice after the store's response to the
 // write is lost: it must be in the document and in the audit trail exactly once.
-func TestEditLostReply(t *testing.T) {
+func TestEditIsAppliedOnceAfterLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
 		e := Editor{Store: p}
 		p.Set(stand.Faults{LoseReplies: 1, LosePrefix: Key})
-		doc, err := e.Edit(context.Background(), "ana", 0, team("choir", 4).Change())
+		doc, err := e.Edit(context.Background(), "ana", 0, declareTeam("choir", 4).Change())
 		is.NoErr(err)
 		is.Equal(doc.Version, uint64(1))
 		trail, err := e.Trail(context.Background())
@@ -59,13 +59,13 @@
 
 // Guards against audit records being lost or duplicated when the oldest ones are
 // archived under keys of their own.
-func TestTrailRolls(t *testing.T) {
+func TestArchivedTrailIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		e := Editor{Store: &stand.Platform{}}
-		const changes = trailKept + trailRoll + 7
+		const changes = maxTrail + archiveBatch + 7
 		for i := range changes {
-			_, err := e.Edit(context.Background(), "ana", 0, team("choir", i+1).Change())
+			_, err := e.Edit(context.Background(), "ana", 0, declareTeam("choir", i+1).Change())
 			is.NoErr(err)
 		}
 		trail, err := e.Trail(context.Background())
@@ -79,14 +79,14 @@
 
 // Guards against an entry adopting an older document, which arrives when the store
 // was restored from an old copy or a message was delayed.
-func TestHeldNeverFalls(t *testing.T) {
+func TestLatestRejectsOlderDocument(t *testing.T) {
 	is := is.New(t)
-	var h Held
+	var h Latest
 	is.True(h.Offer(&winch.Document{Version: 5}))
 	is.Equal(h.Offer(&winch.Document{Version: 4}), false)
 	is.Equal(h.Offer(&winch.Document{Version: 5}), false)
 	is.Equal(h.Version(), uint64(5))
-	is.Equal(h.Behind.Load(), int64(1))
+	is.Equal(h.Outdated.Load(), int64(1))
 }
 
 // Guards against a key being accepted when only part of it is presented, and
@@ -105,7 +105,7 @@
 }
 
 // Guards against invalid declarations being accepted.
-func TestDeclaredBad(t *testing.T) {
+func TestInvalidDeclarationsAreRefused(t *testing.T) {
 	for _, d := range []Declared{
 		{Teams: map[string]winch.Team{"x": {Name: "x", Share: 0}}},
 		{Teams: map[string]winch.Team{"x": {Name: "x", Share: 1, Limit: -1}}},
@@ -117,7 +117,7 @@
 		{Remove: []Named{{"Host", "x"}}},
 	} {
 		_, err := d.Plan(&winch.Document{})
-		if !errors.Is(err, ErrBad) {
+		if !errors.Is(err, ErrInvalid) {
 			t.Errorf("%+v: got %v", d, err)
 		}
 	}
@@ -125,29 +125,29 @@
 
 // Guards against a team inheriting the keys and approvals of a removed team when
 // it is declared later under the same name.
-func TestRemoveTeam(t *testing.T) {
+func TestRemovedTeamLosesKeysAndApprovals(t *testing.T) {
 	is := is.New(t)
 	doc := &winch.Document{}
-	fill(doc)
+	initMaps(doc)
 	apply := func(c Change) {
 		_, err := c(doc)
 		is.NoErr(err)
 	}
-	apply(team("choir", 1).Change())
+	apply(declareTeam("choir", 1).Change())
 	apply(Declared{Services: map[string]winch.Service{"render": {Name: "render"}}}.Change())
 	apply(Approve("render", "choir", true))
 	apply(AddKey(winch.Key{ID: "K1", Role: winch.KeyTeam, Holder: "choir"}))
 	apply(Declared{Services: map[string]winch.Service{"render": {Name: "render", MaxBody: 5}}}.Change())
 	is.Equal(doc.Services["render"].Approved, []string{"choir"}) // a declaration does not change approvals
 	apply(Declared{Remove: []Named{{KindTeam, "choir"}}}.Change())
-	apply(team("choir", 1).Change())
+	apply(declareTeam("choir", 1).Change())
 	is.Equal(len(doc.Keys), 0)
 	is.Equal(len(doc.Services["render"].Approved), 0)
 }
 
 // operation is the input of one operation in the history that porcupine checks: an
 // edit of the version base, or a read.
-type step struct {
+type operation struct {
 	edit bool
 	base uint64
 }
@@ -190,7 +190,7 @@
 
 func editOnce(e *Editor, client, i int) porcupine.Operation {
 	begin := time.Now()
-	in := step{edit: true}
+	in := operation{edit: true}
 	doc, err := e.Edit(context.Background(), fmt.Sprint(client), 0, func(doc *winch.Document) ([]winch.Audit, error) {
 		in.base = doc.Version
 		doc.Teams[fmt.Sprintf("t%d-%d", client, i)] = winch.Team{}
--- a/state/config/latest.go
+++ b/state/config/latest.go
@@ -9,23 +9,23 @@
 
 // Latest holds the newest configuration document that an entry has received, and
 // by which it acts. Reading the document takes no lock.
-type Held struct {
-	cur  atomic.Pointer[winch.Document]
-	mu   sync.Mutex
-	wake chan struct{}
+type Latest struct {
+	document atomic.Pointer[winch.Document]
+	mu       sync.Mutex
+	changed  chan struct{}
 	// Outdated counts documents that were rejected because they were older.
-	Behind atomic.Int64
+	Outdated atomic.Int64
 }
 
 // Get returns the current document, or nil if there is none yet. The caller must
 // not modify it.
-func (l *Held) Get() *winch.Document {
-	return l.cur.Load()
+func (l *Latest) Get() *winch.Document {
+	return l.document.Load()
 }
 
 // Version returns the version of the current document, or zero if there is none.
-func (l *Held) Version() uint64 {
-	if doc := l.cur.Load(); doc != nil {
+func (l *Latest) Version() uint64 {
+	if doc := l.document.Load(); doc != nil {
 		return doc.Version
 	}
 	return 0
@@ -35,30 +35,30 @@
 // whether it did. An older document comes from a delayed message or from a store
 // restored from an old copy; adopting it would make withdrawn keys valid again,
 // so that calls succeed that must fail.
-func (l *Held) Offer(doc *winch.Document) bool {
+func (l *Latest) Offer(doc *winch.Document) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	current := l.Version()
 	if doc.Version <= current {
 		if doc.Version < current {
-			l.Behind.Add(1)
+			l.Outdated.Add(1)
 		}
 		return false
 	}
-	l.cur.Store(doc)
-	if l.wake != nil {
-		close(l.wake)
-		l.wake = nil
+	l.document.Store(doc)
+	if l.changed != nil {
+		close(l.changed)
+		l.changed = nil
 	}
 	return true
 }
 
 // Changed returns a channel that is closed when a newer document is adopted.
-func (l *Held) Changed() <-chan struct{} {
+func (l *Latest) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.wake == nil {
-		l.wake = make(chan struct{})
+	if l.changed == nil {
+		l.changed = make(chan struct{})
 	}
-	return l.wake
+	return l.changed
 }
--- a/state/ledger/calls.go
+++ b/state/ledger/calls.go
@@ -24,7 +24,7 @@
 			}
 			return ErrFinal
 		}
-		if !ok && p.size() > sizeMost {
+		if !ok && p.estimateSize() > maxPartitionSize {
 			return ErrFull
 		}
 		p.Calls[call.ID] = call
@@ -70,7 +70,7 @@
 // ResultOf returns the result that a resubmission of a recorded call gets. If the
 // call's result was not recorded, the outcome is unknown: with a delay for a retry
 // while the call may still run, and finally after that.
-func Judge(rec winch.CallRecord, now time.Time) winch.Result {
+func ResultOf(rec winch.CallRecord, now time.Time) winch.Result {
 	if !rec.Finished.IsZero() {
 		return rec.Result
 	}
--- a/state/ledger/expire.go
+++ b/state/ledger/expire.go
@@ -15,8 +15,8 @@
 	for id, j := range p.Jobs {
 		age := now.Sub(j.Finished)
 		switch {
-		case !j.State.Final() || age < l.Keep:
-		case age < l.Remember:
+		case !j.State.Final() || age < l.Retention:
+		case age < l.IDRetention:
 			j.Spec.Command, j.Output, j.EndedTasks, j.Intent = "", nil, nil, nil
 			p.Jobs[id] = j
 		default:
@@ -26,20 +26,20 @@
 	for id, c := range p.Calls {
 		age := now.Sub(c.Finished)
 		switch {
-		case c.Finished.IsZero() || age < l.Keep:
-		case age < l.Remember:
+		case c.Finished.IsZero() || age < l.Retention:
+		case age < l.IDRetention:
 			c.Answer = nil
 			p.Calls[id] = c
 		default:
 			delete(p.Calls, id)
 		}
 	}
-	dropAnswers(p)
+	dropOldResponses(p)
 }
 
 // dropOldResponses drops the stored responses of the calls that ended first until
 // the rest takes no more than maxResponsesSize.
-func dropAnswers(p *Partition) {
+func dropOldResponses(p *Partition) {
 	sum := 0
 	var calls []winch.CallRecord
 	for _, c := range p.Calls {
@@ -48,12 +48,12 @@
 			calls = append(calls, c)
 		}
 	}
-	if sum <= answersMost {
+	if sum <= maxResponsesSize {
 		return
 	}
 	slices.SortFunc(calls, func(a, b winch.CallRecord) int { return a.Finished.Compare(b.Finished) })
 	for _, c := range calls {
-		if sum <= answersMost {
+		if sum <= maxResponsesSize {
 			return
 		}
 		sum -= len(c.Answer)
@@ -63,16 +63,16 @@
 }
 
 // estimateSize estimates the size of the partition's value in the store, in bytes.
-func (p *Partition) size() int {
+func (p *Partition) estimateSize() int {
 	sum := 0
 	for _, j := range p.Jobs {
-		sum += recordSize + len(j.Spec.Command) + 6*(len(j.EndedTasks)+len(j.Intent))
+		sum += recordOverhead + len(j.Spec.Command) + 6*(len(j.EndedTasks)+len(j.Intent))
 		for _, out := range j.Output {
 			sum += len(out)
 		}
 	}
 	for _, c := range p.Calls {
-		sum += recordSize + 4*len(c.Answer)/3
+		sum += recordOverhead + 4*len(c.Answer)/3
 	}
 	return sum
 }
--- a/state/ledger/jobs.go
+++ b/state/ledger/jobs.go
@@ -23,7 +23,7 @@
 	out := job
 	err := l.Commit(ctx, job.ID, func(p *Partition) error {
 		old, ok := p.Jobs[job.ID]
-		if !ok && p.size() > sizeMost {
+		if !ok && p.estimateSize() > maxPartitionSize {
 			return ErrFull
 		}
 		if !ok {
--- a/state/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -36,17 +36,17 @@
 const (
 	// DefaultRetention is how long a complete record is kept after its job or call
 	// has ended.
-	DefaultKeep = time.Hour
+	DefaultRetention = time.Hour
 	// DefaultIDRetention is how long a reduced record is kept after the end, so that
 	// a late resubmission is recognized and does not run again.
-	DefaultRemember = 24 * time.Hour
+	DefaultIDRetention = 24 * time.Hour
 	// maxPartitionSize stays below the store's limit of one megabyte for a value.
-	sizeMost = 700 << 10
+	maxPartitionSize = 700 << 10
 	// maxResponsesSize limits the stored responses in a partition; the oldest are
 	// dropped first.
-	answersMost = 200 << 10
+	maxResponsesSize = 200 << 10
 	// recordOverhead is the approximate size of a record without its texts.
-	recordSize = 450
+	recordOverhead = 450
 )
 
 // ErrFull is returned when a partition has no capacity for another record. Records
@@ -56,7 +56,7 @@
 
 // maxGroupSize limits the changes in one write and the changes queued for a
 // partition.
-const groupSize = 512
+const maxGroupSize = 512
 
 // Partition is the content of one store value.
 type Partition struct {
@@ -71,24 +71,24 @@
 // ErrBusy is returned immediately when the queue of a partition is full.
 var ErrBusy = errors.New("ledger is busy")
 
-type pending struct {
+type pendingChange struct {
 	change Change
 	done   chan error
 }
 
 // Ledger commits changes of records. Its exported fields must be set before Prepare.
 type Ledger struct {
-	Store      winch.Store
-	Prefix     string
-	Partitions int
-	Keep       time.Duration
-	Remember   time.Duration
+	Store       winch.Store
+	Prefix      string
+	Partitions  int
+	Retention   time.Duration
+	IDRetention time.Duration
 	// Timeout limits the duration of one group's write, so that a slow store does not
 	// block the callers of Commit for longer.
 	Timeout time.Duration
 	Metrics metrics.Registry
 
-	rings   []chan pending
+	queues  []chan pendingChange
 	stopped chan struct{}
 	changes metrics.Counter
 	writes  metrics.Counter
@@ -100,11 +100,11 @@
 	if l.Partitions == 0 {
 		l.Partitions = DefaultPartitions
 	}
-	if l.Keep == 0 {
-		l.Keep = DefaultKeep
+	if l.Retention == 0 {
+		l.Retention = DefaultRetention
 	}
-	if l.Remember == 0 {
-		l.Remember = DefaultRemember
+	if l.IDRetention == 0 {
+		l.IDRetention = DefaultIDRetention
 	}
 	if l.Timeout == 0 {
 		l.Timeout = 5 * time.Second
@@ -115,9 +115,9 @@
 	l.changes = metrics.GetOrRegisterCounter("Ledger.Changes", l.Metrics)
 	l.writes = metrics.GetOrRegisterCounter("Ledger.Writes", l.Metrics)
 	l.stopped = make(chan struct{})
-	l.rings = make([]chan pending, l.Partitions)
-	for i := range l.rings {
-		l.rings[i] = make(chan pending, groupSize)
+	l.queues = make([]chan pendingChange, l.Partitions)
+	for i := range l.queues {
+		l.queues[i] = make(chan pendingChange, maxGroupSize)
 	}
 }
 
@@ -125,7 +125,7 @@
 func (l *Ledger) Run(ctx context.Context) {
 	defer close(l.stopped)
 	var group conc.WaitGroup
-	for i := range l.rings {
+	for i := range l.queues {
 		group.Go(func() { l.runPartition(ctx, i) })
 	}
 	group.Wait()
@@ -160,9 +160,9 @@
 // returns the change's own error. winch.ErrUncertain means that the change may have
 // been stored; winch.ErrUnavailable and ErrBusy mean that it was not.
 func (l *Ledger) Commit(ctx context.Context, id string, change Change) error {
-	p := pending{change: change, done: make(chan error, 1)}
+	p := pendingChange{change: change, done: make(chan error, 1)}
 	select {
-	case l.rings[l.PartitionOf(id)] <- p:
+	case l.queues[l.PartitionOf(id)] <- p:
 	default:
 		return ErrBusy
 	}
@@ -187,7 +187,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-l.rings[partition]:
+		case first := <-l.queues[partition]:
 			l.commitGroup(ctx, partition, l.collect(partition, first))
 		}
 	}
@@ -195,11 +195,11 @@
 
 // collect returns the first change with all others in the queue. It does not wait
 // for more, since the next group accumulates while this one is written.
-func (l *Ledger) collect(partition int, first pending) []pending {
-	group := []pending{first}
-	for len(group) < groupSize {
+func (l *Ledger) collect(partition int, first pendingChange) []pendingChange {
+	group := []pendingChange{first}
+	for len(group) < maxGroupSize {
 		select {
-		case p := <-l.rings[partition]:
+		case p := <-l.queues[partition]:
 			group = append(group, p)
 		default:
 			return group
@@ -208,7 +208,7 @@
 	return group
 }
 
-func (l *Ledger) commitGroup(ctx context.Context, partition int, group []pending) {
+func (l *Ledger) commitGroup(ctx context.Context, partition int, group []pendingChange) {
 	ctx, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
 	errs := make([]error, len(group))
@@ -231,7 +231,7 @@
 
 // applyGroup applies the changes of a group and stores their errors in errs. A
 // failed change does not affect the others.
-func (l *Ledger) applyGroup(p *Partition, group []pending, errs []error) error {
+func (l *Ledger) applyGroup(p *Partition, group []pendingChange, errs []error) error {
 	if p.Jobs == nil {
 		p.Jobs = make(map[string]winch.Job)
 	}
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 )
 
 // startLedger runs a ledger until the returned function is called.
-func start(p winch.Store, partitions int) (*Ledger, func()) {
+func startLedger(p winch.Store, partitions int) (*Ledger, func()) {
 	l := &Ledger{Store: p, Prefix: JobsPrefix, Partitions: partitions}
 	l.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -29,7 +29,7 @@
 	}
 }
 
-func job(i int) winch.Job {
+func testJob(i int) winch.Job {
 	id := fmt.Sprint("request-", i)
 	return winch.Job{ID: ID("J", "choir", id), Team: "choir", RequestID: id, State: winch.JobQueued, Digest: "d"}
 }
@@ -41,12 +41,12 @@
 		is := is.New(t)
 		p := &stand.Platform{}
 		p.Set(stand.Faults{Latency: 5 * time.Millisecond})
-		l, stop := start(p, 2)
+		l, stop := startLedger(p, 2)
 		defer stop()
 		var group conc.WaitGroup
 		for i := range 200 {
 			group.Go(func() {
-				_, err := l.Accept(context.Background(), job(i))
+				_, err := l.Accept(context.Background(), testJob(i))
 				is.NoErr(err)
 			})
 		}
@@ -60,16 +60,16 @@
 
 // Guards against two records of one request when two entries accept it at the same
 // time and the store's response to one of them is lost.
-func TestAcceptTwice(t *testing.T) {
+func TestConcurrentAcceptsReturnTheSameRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
 		p.Set(stand.Faults{LoseReplies: 1, LosePrefix: JobsPrefix, Latency: time.Millisecond})
-		a, stopA := start(p, 4)
-		b, stopB := start(p, 4)
+		a, stopA := startLedger(p, 4)
+		b, stopB := startLedger(p, 4)
 		defer stopA()
 		defer stopB()
-		first, second := job(1), job(1)
+		first, second := testJob(1), testJob(1)
 		first.Domain, second.Domain = "d1", "d2"
 		var one, two winch.Job
 		var group conc.WaitGroup
@@ -77,7 +77,7 @@
 		group.Go(func() { two, _ = b.Accept(context.Background(), second) })
 		group.Wait()
 		is.Equal(one.Domain, two.Domain)
-		other := job(1)
+		other := testJob(1)
 		other.Digest = "another"
 		_, err := a.Accept(context.Background(), other)
 		is.True(errors.Is(err, ErrDuplicate))
@@ -86,18 +86,18 @@
 
 // Guards against an unbounded backlog while the store is slow: changes beyond the
 // capacity of the queue must be refused immediately.
-func TestRingFull(t *testing.T) {
+func TestFullQueueRefusesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
 		p.Set(stand.Faults{Latency: time.Second})
-		l, stop := start(p, 1)
+		l, stop := startLedger(p, 1)
 		defer stop()
 		var group conc.WaitGroup
-		results := make(chan error, 3*groupSize)
-		for i := range 3 * groupSize {
+		results := make(chan error, 3*maxGroupSize)
+		for i := range 3 * maxGroupSize {
 			group.Go(func() {
-				_, err := l.Accept(context.Background(), job(i))
+				_, err := l.Accept(context.Background(), testJob(i))
 				results <- err
 			})
 		}
@@ -111,18 +111,18 @@
 				is.NoErr(err)
 			}
 		}
-		is.True(busy >= groupSize-1)
+		is.True(busy >= maxGroupSize-1)
 	})
 }
 
 // Guards against a late change altering the record of a job that has ended.
-func TestFinalStays(t *testing.T) {
+func TestEndedJobIsNotChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l, stop := start(&stand.Platform{}, 1)
+		l, stop := startLedger(&stand.Platform{}, 1)
 		defer stop()
 		ctx := context.Background()
-		j, err := l.Accept(ctx, job(1))
+		j, err := l.Accept(ctx, testJob(1))
 		is.NoErr(err)
 		is.NoErr(l.AddIntent(ctx, winch.TaskID{Job: j.ID, Index: 0}))
 		j.State, j.Finished = winch.JobDone, time.Now()
@@ -141,22 +141,22 @@
 func TestRecordsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l, stop := start(&stand.Platform{}, 1)
+		l, stop := startLedger(&stand.Platform{}, 1)
 		defer stop()
 		ctx := context.Background()
-		j, err := l.Accept(ctx, job(1))
+		j, err := l.Accept(ctx, testJob(1))
 		is.NoErr(err)
 		j.State, j.Finished, j.Output = winch.JobDone, time.Now(), []string{"mixed"}
 		is.NoErr(l.Finish(ctx, j))
-		time.Sleep(2 * DefaultKeep)
-		_, err = l.Accept(ctx, job(2)) // expired records are removed with the next write
+		time.Sleep(2 * DefaultRetention)
+		_, err = l.Accept(ctx, testJob(2)) // expired records are removed with the next write
 		is.NoErr(err)
-		again, err := l.Accept(ctx, job(1))
+		again, err := l.Accept(ctx, testJob(1))
 		is.NoErr(err)
 		is.Equal(again.State, winch.JobDone)
 		is.Equal(len(again.Output), 0)
-		time.Sleep(DefaultRemember)
-		_, err = l.Accept(ctx, job(3))
+		time.Sleep(DefaultIDRetention)
+		_, err = l.Accept(ctx, testJob(3))
 		is.NoErr(err)
 		_, err = l.Job(ctx, j.ID)
 		is.True(errors.Is(err, winch.ErrNotFound))
@@ -165,15 +165,15 @@
 
 // Guards against accepted jobs being dropped when a partition reaches the size limit
 // of a store value: new requests must be refused instead.
-func TestPartitionFull(t *testing.T) {
+func TestFullPartitionRefusesNewRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		l, stop := start(p, 1)
+		l, stop := startLedger(p, 1)
 		defer stop()
 		accepted := 0
 		for i := range 120 {
-			j := job(i)
+			j := testJob(i)
 			j.Spec.Command = strings.Repeat("x", 8000)
 			if _, err := l.Accept(context.Background(), j); err == nil {
 				accepted++
@@ -191,14 +191,14 @@
 // Guards against a non-repeatable call being sent twice by attempts on different
 // entries while responses of the store are lost. Another attempt is allowed only
 // once the result NotRun is recorded.
-func TestBeginOnce(t *testing.T) {
+func TestOnlyOneAttemptMaySendACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
 		p.Set(stand.Faults{LoseReplies: 2, LosePrefix: JobsPrefix, Latency: time.Millisecond})
 		var ledgers []*Ledger
 		for range 3 {
-			l, stop := start(p, 1)
+			l, stop := startLedger(p, 1)
 			defer stop()
 			ledgers = append(ledgers, l)
 		}
@@ -233,13 +233,13 @@
 
 // Guards against a data race on the result variables when a caller's context ends
 // at the moment at which its change is applied. Only the race detector finds it.
-func TestGivenUpWhileTheChangeIsApplied(t *testing.T) {
+func TestCallerLeavesWhileItsChangeIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const latency = 100 * time.Millisecond
 		p := &stand.Platform{}
 		p.Set(stand.Faults{Latency: latency})
-		l, stop := start(p, 1)
+		l, stop := startLedger(p, 1)
 		defer stop()
 		for i := range 30 {
 			ctx, cancel := context.WithTimeout(t.Context(), latency)
@@ -247,7 +247,7 @@
 				_, owned, err := l.Begin(ctx, winch.CallRecord{ID: fmt.Sprint("C", i), Owner: "o", Digest: "d"})
 				is.Equal(owned, err == nil)
 			} else {
-				_, err := l.Accept(ctx, job(i))
+				_, err := l.Accept(ctx, testJob(i))
 				is.True(err == nil || errors.Is(err, winch.ErrUncertain))
 			}
 			cancel()
--- a/state/swap/swap.go
+++ b/state/swap/swap.go
@@ -18,13 +18,13 @@
 // maxMarks is the number of marks that a value keeps. If more than this many other
 // writes come between a lost response and the read that looks for its mark, the mark
 // is no longer found and the change is applied a second time.
-const marksKept = 64
+const maxMarks = 64
 
 // MaxAttempts limits the attempts of one update.
-const Attempts = 20
+const MaxAttempts = 20
 
 // resolveInterval is the delay between failed reads after a lost response.
-const resolveWait = 20 * time.Millisecond
+const resolveInterval = 20 * time.Millisecond
 
 // Envelope is the stored form of a value. Marks holds the random ids of the newest
 // writes: a writer whose response was lost reads the value back and finds its mark
@@ -74,10 +74,10 @@
 	mark := rand.Text()
 	var lastErr error
 	var written Value[T]
-	for range Attempts {
+	for range MaxAttempts {
 		cur, err := Read[T](ctx, store, key)
 		if err != nil {
-			return cur, notWritten(err)
+			return cur, unavailable(err)
 		}
 		if slices.Contains(cur.marks, mark) {
 			return written, nil // The previous attempt's write took effect after resolve had read the value.
@@ -97,7 +97,7 @@
 
 // unavailable converts an uncertain error of a read, which writes nothing, to
 // winch.ErrUnavailable.
-func notWritten(err error) error {
+func unavailable(err error) error {
 	if errors.Is(err, winch.ErrUncertain) {
 		return merry.Prepend(winch.ErrUnavailable, err.Error())
 	}
@@ -106,8 +106,8 @@
 
 func write[T any](ctx context.Context, store winch.Store, key, mark string, cur Value[T]) (Value[T], bool, error) {
 	marks := append(slices.Clone(cur.marks), mark)
-	if len(marks) > marksKept {
-		marks = marks[len(marks)-marksKept:]
+	if len(marks) > maxMarks {
+		marks = marks[len(marks)-maxMarks:]
 	}
 	data, err := json.Marshal(Envelope[T]{Marks: marks, Body: cur.Body})
 	if err != nil {
@@ -143,7 +143,7 @@
 		select {
 		case <-ctx.Done():
 			return Value[T]{}, true, merry.Prepend(winch.ErrUncertain, err.Error())
-		case <-time.After(resolveWait):
+		case <-time.After(resolveInterval):
 		}
 	}
 }
--- a/state/swap/swap_test.go
+++ b/state/swap/swap_test.go
@@ -13,27 +13,27 @@
 	"plantainwinch/winch"
 )
 
-type tally struct{ N int }
+type counter struct{ N int }
 
-func add(t *tally) error {
+func increment(t *counter) error {
 	t.N++
 	return nil
 }
 
 // Guards against lost updates when several writers change one value concurrently.
-func TestUpdateRace(t *testing.T) {
+func TestConcurrentUpdatesAreAllApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
 		var group conc.WaitGroup
 		for range 8 {
 			group.Go(func() {
-				_, err := Update(context.Background(), p, "k", add)
+				_, err := Update(context.Background(), p, "k", increment)
 				is.NoErr(err)
 			})
 		}
 		group.Wait()
-		v, err := Read[tally](context.Background(), p, "k")
+		v, err := Read[counter](context.Background(), p, "k")
 		is.NoErr(err)
 		is.Equal(v.Body.N, 8)
 	})
@@ -41,16 +41,16 @@
 
 // Guards against a change being applied twice when the store's response to a
 // successful write is lost and the writer tries again.
-func TestUpdateLostReply(t *testing.T) {
+func TestUpdateIsAppliedOnceAfterLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
 		for i := range 10 {
 			p.Set(stand.Faults{LoseReplies: i % 3})
-			_, err := Update(context.Background(), p, "k", add)
+			_, err := Update(context.Background(), p, "k", increment)
 			is.NoErr(err)
 		}
-		v, err := Read[tally](context.Background(), p, "k")
+		v, err := Read[counter](context.Background(), p, "k")
 		is.NoErr(err)
 		is.Equal(v.Body.N, 10)
 	})
@@ -58,37 +58,37 @@
 
 // delayedStore delays the first write: it reports an uncertain result, and the write
 // takes effect at the third read, when the writer has already looked for its mark.
-type lateStore struct {
+type delayedStore struct {
 	*stand.Platform
-	late func()
-	gets int
+	delayedPut func()
+	gets       int
 }
 
-func (s *lateStore) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
-	if s.late == nil {
-		s.late = func() { _, _ = s.Platform.Put(ctx, key, data, version, lease) }
+func (s *delayedStore) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
+	if s.delayedPut == nil {
+		s.delayedPut = func() { _, _ = s.Platform.Put(ctx, key, data, version, lease) }
 		return 0, winch.ErrUncertain
 	}
 	return s.Platform.Put(ctx, key, data, version, lease)
 }
 
-func (s *lateStore) Get(ctx context.Context, key string) (winch.Value, error) {
+func (s *delayedStore) Get(ctx context.Context, key string) (winch.Value, error) {
 	s.gets++
 	if s.gets == 3 {
-		s.late()
+		s.delayedPut()
 	}
 	return s.Platform.Get(ctx, key)
 }
 
 // Guards against a change being applied twice when a delayed write takes effect after
 // its writer has looked for it and tries again.
-func TestUpdateLateWrite(t *testing.T) {
+func TestUpdateIsAppliedOnceAfterDelayedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &lateStore{Platform: &stand.Platform{}}
-		_, err := Update(context.Background(), s, "k", add)
+		s := &delayedStore{Platform: &stand.Platform{}}
+		_, err := Update(context.Background(), s, "k", increment)
 		is.NoErr(err)
-		v, err := Read[tally](context.Background(), s, "k")
+		v, err := Read[counter](context.Background(), s, "k")
 		is.NoErr(err)
 		is.Equal(v.Body.N, 1)
 	})
@@ -96,25 +96,25 @@
 
 // Guards against reporting that nothing was written when the store goes down right
 // after a write with a lost response: the outcome is uncertain.
-func TestUpdateUncertain(t *testing.T) {
+func TestUpdateReportsUncertainOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		s := &thenDown{Platform: p}
+		s := &failingStore{Platform: p}
 		ctx, cancel := context.WithTimeout(context.Background(), 1e9)
 		defer cancel()
-		_, err := Update(ctx, s, "k", add)
+		_, err := Update(ctx, s, "k", increment)
 		is.True(errors.Is(err, winch.ErrUncertain))
 		p.Set(stand.Faults{Down: true})
-		_, err = Update(ctx, p, "k", add)
+		_, err = Update(ctx, p, "k", increment)
 		is.True(errors.Is(err, winch.ErrUnavailable)) // nothing was sent
 	})
 }
 
 // failingStore applies a write, loses the response and goes down.
-type thenDown struct{ *stand.Platform }
+type failingStore struct{ *stand.Platform }
 
-func (s *thenDown) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
+func (s *failingStore) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
 	_, _ = s.Platform.Put(ctx, key, data, version, lease)
 	s.Set(stand.Faults{Down: true})
 	return 0, winch.ErrUncertain
--- a/trans/exec/exec_test.go
+++ b/trans/exec/exec_test.go
@@ -22,7 +22,7 @@
 
 // Guards against a request being reported as possibly sent when nothing listens at
 // the executor's address: it may still go to another executor.
-func TestNotReached(t *testing.T) {
+func TestUnreachableExecutorGetsNothing(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -38,7 +38,7 @@
 // Guards against the transport resending a request by itself when the executor closes
 // the connection on the second request, as it does while it is being stopped. The
 // caller must learn that the request may have run.
-func TestNoSilentResend(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	is := is.New(t)
 	var requests atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -68,7 +68,7 @@
 
 // Guards against the request's id, team, path or body not reaching the executor, and
 // against the response's headers being lost.
-func TestSendCarries(t *testing.T) {
+func TestSendForwardsIDTeamPathAndBody(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
--- a/trans/front/calls.go
+++ b/trans/front/calls.go
@@ -15,7 +15,7 @@
 )
 
 // CallerBackend is the part of an entry that serves the callers' interface.
-type Backend interface {
+type CallerBackend interface {
 	Call(ctx context.Context, call entry.Call) *entry.Reply
 	Submit(ctx context.Context, s entry.Submission) (winch.Job, winch.Result)
 	Job(ctx context.Context, key, id string, wait time.Duration) (entry.JobView, winch.Result)
@@ -25,7 +25,7 @@
 }
 
 // Callers returns the HTTP handler of the callers' interface.
-func Callers(backend Backend, reg metrics.Registry) http.Handler {
+func Callers(backend CallerBackend, reg metrics.Registry) http.Handler {
 	c := &callers{backend: backend}
 	r := httprouter.New()
 	r.POST("/Call/:Service", c.call)
@@ -34,14 +34,14 @@
 	r.GET("/Jobs", c.list)
 	r.GET("/Jobs/:ID", c.job)
 	r.DELETE("/Jobs/:ID", c.cancel)
-	common(r, backend, reg)
-	return leaving(backend, r)
+	addCommonRoutes(r, backend, reg)
+	return closeWhenNotReady(backend, r)
 }
 
 // closeWhenNotReady asks callers to open a new connection for their next request
 // once the entry is not ready. Otherwise, a request that is being sent on a
 // connection when the planned stop closes it would be interrupted.
-func leaving(backend interface{ Ready() bool }, next http.Handler) http.Handler {
+func closeWhenNotReady(backend interface{ Ready() bool }, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if !backend.Ready() {
 			w.Header().Set("Connection", "close")
@@ -52,7 +52,7 @@
 
 // addCommonRoutes adds the routes that the callers' and the operators' interfaces
 // share.
-func common(r *httprouter.Router, backend interface{ Ready() bool }, reg metrics.Registry) {
+func addCommonRoutes(r *httprouter.Router, backend interface{ Ready() bool }, reg metrics.Registry) {
 	r.GET("/Ready", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		if !backend.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -72,26 +72,26 @@
 }
 
 type callers struct {
-	backend Backend
+	backend CallerBackend
 }
 
-func bearer(req *http.Request) string {
+func bearerToken(req *http.Request) string {
 	key, _ := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
 	return key
 }
 
 // notForwarded lists the headers that belong to the callers' interface or to the
 // connection, and are not forwarded between callers and executors.
-var own = map[string]bool{
+var notForwarded = map[string]bool{
 	"Authorization": true, ClassHeader: true, DeadlineHeader: true, RequestIDHeader: true,
 	"Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Expect": true, "Content-Length": true,
 }
 
-func passed(in http.Header) http.Header {
+func forwardedHeaders(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	for name, values := range in {
-		if !own[name] {
+		if !notForwarded[name] {
 			out[name] = values
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // parseDeadline parses the deadline header, which holds a time or a duration from now.
-func deadline(req *http.Request) (time.Time, winch.Result) {
+func parseDeadline(req *http.Request) (time.Time, winch.Result) {
 	text := req.Header.Get(DeadlineHeader)
 	if text == "" {
 		return time.Time{}, winch.Result{}
@@ -115,15 +115,15 @@
 }
 
 func (c *callers) call(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
-	at, r := deadline(req)
+	at, r := parseDeadline(req)
 	if !r.OK() {
 		writeResult(w, r)
 		return
 	}
 	reply := c.backend.Call(req.Context(), entry.Call{
-		Key: bearer(req), Service: ps.ByName("Service"), Class: req.Header.Get(ClassHeader),
+		Key: bearerToken(req), Service: ps.ByName("Service"), Class: req.Header.Get(ClassHeader),
 		RequestID: req.Header.Get(RequestIDHeader), Deadline: at, Path: ps.ByName("Path"),
-		Header: passed(req.Header), Body: req.Body, Length: req.ContentLength,
+		Header: forwardedHeaders(req.Header), Body: req.Body, Length: req.ContentLength,
 	})
 	writeReply(w, reply)
 }
@@ -139,7 +139,7 @@
 		return
 	}
 	h := w.Header()
-	for name, values := range passed(reply.Header) {
+	for name, values := range forwardedHeaders(reply.Header) {
 		h[name] = values
 	}
 	if reply.Buffered {
--- a/trans/front/front_test.go
+++ b/trans/front/front_test.go
@@ -19,48 +19,48 @@
 )
 
 // fakeBackend is a fake entry that records the last call and submission.
-type backend struct {
-	call entry.Call
-	body string
-	sub  entry.Submission
+type fakeBackend struct {
+	call       entry.Call
+	body       string
+	submission entry.Submission
 	// reply returns the response to a call with the given body.
-	reply func(body string) *entry.Reply
-	down  bool
+	reply    func(body string) *entry.Reply
+	notReady bool
 }
 
-func (b *backend) Call(_ context.Context, call entry.Call) *entry.Reply {
+func (b *fakeBackend) Call(_ context.Context, call entry.Call) *entry.Reply {
 	data, _ := io.ReadAll(call.Body)
 	b.call, b.body = call, string(data)
 	return b.reply(b.body)
 }
 
-func (b *backend) Submit(_ context.Context, s entry.Submission) (winch.Job, winch.Result) {
-	b.sub = s
+func (b *fakeBackend) Submit(_ context.Context, s entry.Submission) (winch.Job, winch.Result) {
+	b.submission = s
 	return winch.Job{ID: "J1", State: winch.JobQueued}, winch.Result{}
 }
 
-func (b *backend) Job(_ context.Context, _, id string, wait time.Duration) (entry.JobView, winch.Result) {
+func (b *fakeBackend) Job(_ context.Context, _, id string, wait time.Duration) (entry.JobView, winch.Result) {
 	return entry.JobView{Job: winch.Job{ID: id}, Why: wait.String()}, winch.Result{}
 }
 
-func (b *backend) CancelJob(context.Context, string, string) (entry.JobView, winch.Result) {
+func (b *fakeBackend) CancelJob(context.Context, string, string) (entry.JobView, winch.Result) {
 	return entry.JobView{}, winch.Uncertain(winch.StoreUnavailable, "may be recorded")
 }
 
-func (b *backend) ListJobs(context.Context, string) ([]winch.Job, winch.Result) {
+func (b *fakeBackend) ListJobs(context.Context, string) ([]winch.Job, winch.Result) {
 	return nil, winch.RefuseFor(winch.StoreUnavailable, "down", 1500*time.Millisecond)
 }
 
-func (b *backend) Ready() bool { return !b.down }
+func (b *fakeBackend) Ready() bool { return !b.notReady }
 
-func serve(t *testing.T, b *backend) string {
+func startServer(t *testing.T, b *fakeBackend) string {
 	t.Helper()
 	s := httptest.NewServer(Callers(b, metrics.NewRegistry()))
 	t.Cleanup(s.Close)
 	return s.URL
 }
 
-func do(t *testing.T, method, url, body string, header ...string) (*http.Response, string, error) {
+func doRequest(t *testing.T, method, url, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
@@ -78,17 +78,17 @@
 	return resp, string(data), err
 }
 
-func answer(held bool, body io.Reader) *entry.Reply {
+func executorResponse(held bool, body io.Reader) *entry.Reply {
 	return &entry.Reply{Status: http.StatusTeapot, Header: http.Header{"X-From": {"executor"}, "Connection": {"close"}}, Body: body, Buffered: held}
 }
 
 // Guards against a call losing its body, path, headers, status or deadline on the way
 // to or from the executor, and against the interface's own headers being forwarded.
-func TestCallPassesThrough(t *testing.T) {
+func TestCallIsForwarded(t *testing.T) {
 	is := is.New(t)
-	b := &backend{reply: func(body string) *entry.Reply { return answer(true, strings.NewReader("re "+body)) }}
-	url := serve(t, b)
-	resp, body, err := do(t, http.MethodPost, url+"/Call/render/a/b", "part", "Authorization", "Bearer K1.x",
+	b := &fakeBackend{reply: func(body string) *entry.Reply { return executorResponse(true, strings.NewReader("re "+body)) }}
+	url := startServer(t, b)
+	resp, body, err := doRequest(t, http.MethodPost, url+"/Call/render/a/b", "part", "Authorization", "Bearer K1.x",
 		ClassHeader, "preview", RequestIDHeader, "r1", DeadlineHeader, "5s", "X-Mine", "yes")
 	is.NoErr(err)
 	is.Equal(body, "re part")
@@ -104,33 +104,33 @@
 }
 
 // brokenReader fails at the first read.
-type breaks struct{}
+type brokenReader struct{}
 
-func (breaks) Read([]byte) (int, error) { return 0, errors.New("broken") }
+func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("broken") }
 
 // Guards against a truncated streamed response being taken for a complete one: only a
 // complete one has the trailer, and one that breaks off aborts the connection.
-func TestStream(t *testing.T) {
+func TestStreamedResponseConfirmsItsEnd(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("a", 1<<20)
-	b := &backend{reply: func(body string) *entry.Reply {
+	b := &fakeBackend{reply: func(body string) *entry.Reply {
 		if body == "cut" {
-			return answer(false, io.MultiReader(strings.NewReader(long), breaks{}))
+			return executorResponse(false, io.MultiReader(strings.NewReader(long), brokenReader{}))
 		}
-		return answer(false, strings.NewReader(long))
+		return executorResponse(false, strings.NewReader(long))
 	}}
-	url := serve(t, b)
-	resp, body, err := do(t, http.MethodPost, url+"/Call/render", "whole")
+	url := startServer(t, b)
+	resp, body, err := doRequest(t, http.MethodPost, url+"/Call/render", "whole")
 	is.NoErr(err)
 	is.Equal(body, long)
 	is.Equal(resp.Trailer.Get(OutcomeHeader), "Done")
-	resp, _, err = do(t, http.MethodPost, url+"/Call/render", "cut")
+	resp, _, err = doRequest(t, http.MethodPost, url+"/Call/render", "cut")
 	is.True(err != nil)
 	is.Equal(resp.Trailer.Get(OutcomeHeader), "")
 }
 
 // Guards against a result being sent with the wrong status, reason or retry delay.
-func TestResults(t *testing.T) {
+func TestResultStatusAndReason(t *testing.T) {
 	for _, c := range []struct {
 		result winch.Result
 		status int
@@ -147,8 +147,8 @@
 		{winch.Result{Outcome: winch.Done, Reason: winch.AnswerNotKept}, 410},
 	} {
 		is := is.New(t)
-		url := serve(t, &backend{reply: func(string) *entry.Reply { return &entry.Reply{Result: c.result} }})
-		resp, text, err := do(t, http.MethodPost, url+"/Call/render", "")
+		url := startServer(t, &fakeBackend{reply: func(string) *entry.Reply { return &entry.Reply{Result: c.result} }})
+		resp, text, err := doRequest(t, http.MethodPost, url+"/Call/render", "")
 		is.NoErr(err)
 		is.Equal(resp.StatusCode, c.status)
 		var body ErrorBody
@@ -164,9 +164,9 @@
 
 // Guards against malformed bodies and headers being accepted, or refused without
 // saying what is wrong.
-func TestBadRequests(t *testing.T) {
-	b := &backend{reply: func(string) *entry.Reply { t.Error("a bad request reached the entry"); return &entry.Reply{} }}
-	url := serve(t, b)
+func TestMalformedRequestsAreRefused(t *testing.T) {
+	b := &fakeBackend{reply: func(string) *entry.Reply { t.Error("a bad request reached the entry"); return &entry.Reply{} }}
+	url := startServer(t, b)
 	good := `{"RequestId":"j","Class":"mix","Kind":"Batch","Tasks":1,"Need":{"Processors":1,"Memory":"1GB"},"RunTime":"90s"}`
 	for _, c := range []struct {
 		method, path, body, want string
@@ -185,7 +185,7 @@
 		{"GET", "/Nothing", "", "nothing is served", 404, nil},
 	} {
 		is := is.New(t)
-		resp, body, err := do(t, c.method, url+c.path, c.body, c.header...)
+		resp, body, err := doRequest(t, c.method, url+c.path, c.body, c.header...)
 		is.NoErr(err)
 		is.Equal(resp.StatusCode, c.status) // status
 		if !strings.Contains(body, c.want) {
@@ -193,16 +193,16 @@
 		}
 	}
 	is := is.New(t)
-	resp, _, err := do(t, http.MethodPost, url+"/Jobs", good)
+	resp, _, err := doRequest(t, http.MethodPost, url+"/Jobs", good)
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, http.StatusAccepted)
-	is.Equal(b.sub.Spec.Need.Memory, winch.Bytes(1<<30))
-	is.Equal(b.sub.Spec.RunTime, 90*time.Second)
-	_, body, _ := do(t, http.MethodGet, url+"/Jobs/J1?Wait=2m", "")
+	is.Equal(b.submission.Spec.Need.Memory, winch.Bytes(1<<30))
+	is.Equal(b.submission.Spec.RunTime, 90*time.Second)
+	_, body, _ := doRequest(t, http.MethodGet, url+"/Jobs/J1?Wait=2m", "")
 	is.True(strings.Contains(body, `"Why":"1m0s"`)) // the wait is bounded
-	resp, _, _ = do(t, http.MethodDelete, url+"/Jobs/J1", "")
+	resp, _, _ = doRequest(t, http.MethodDelete, url+"/Jobs/J1", "")
 	is.Equal(resp.StatusCode, http.StatusBadGateway)
-	b.down = true
-	resp, _, _ = do(t, http.MethodGet, url+"/Ready", "")
+	b.notReady = true
+	resp, _, _ = doRequest(t, http.MethodGet, url+"/Ready", "")
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 }
--- a/trans/front/jobs.go
+++ b/trans/front/jobs.go
@@ -15,10 +15,10 @@
 )
 
 // maxBodySize limits the JSON bodies of callers' and operators' requests.
-const bodyMost = 1 << 20
+const maxBodySize = 1 << 20
 
 // maxWait limits how long one request waits for the end of a job.
-const waitMost = time.Minute
+const maxWait = time.Minute
 
 // JobBody is the body of a request to submit a job.
 type JobBody struct {
@@ -58,7 +58,7 @@
 // the error response and returns false. Unknown fields are errors, since a misspelt
 // field would otherwise silently get its default.
 func readJSON(w http.ResponseWriter, req *http.Request, into any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, req.Body, bodyMost))
+	d := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxBodySize))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
 	if err == nil && d.More() {
@@ -90,7 +90,7 @@
 		return
 	}
 	job, r := c.backend.Submit(req.Context(), entry.Submission{
-		Key: bearer(req), Class: body.Class, RequestID: body.RequestID, Spec: spec,
+		Key: bearerToken(req), Class: body.Class, RequestID: body.RequestID, Spec: spec,
 	})
 	if !r.OK() {
 		writeResult(w, r)
@@ -108,13 +108,13 @@
 			writeResult(w, winch.Refuse(winch.BadRequest, "Wait is no duration: write it as 10s"))
 			return
 		}
-		wait = min(d, waitMost)
+		wait = min(d, maxWait)
 	}
-	view, r := c.backend.Job(req.Context(), bearer(req), ps.ByName("ID"), wait)
-	writeOr(w, r, view)
+	view, r := c.backend.Job(req.Context(), bearerToken(req), ps.ByName("ID"), wait)
+	writeJSONOrError(w, r, view)
 }
 
-func writeOr(w http.ResponseWriter, r winch.Result, v any) {
+func writeJSONOrError(w http.ResponseWriter, r winch.Result, v any) {
 	if !r.OK() {
 		writeResult(w, r)
 		return
@@ -123,11 +123,11 @@
 }
 
 func (c *callers) cancel(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
-	view, r := c.backend.CancelJob(req.Context(), bearer(req), ps.ByName("ID"))
-	writeOr(w, r, view)
+	view, r := c.backend.CancelJob(req.Context(), bearerToken(req), ps.ByName("ID"))
+	writeJSONOrError(w, r, view)
 }
 
 func (c *callers) list(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
-	jobs, r := c.backend.ListJobs(req.Context(), bearer(req))
-	writeOr(w, r, jobs)
+	jobs, r := c.backend.ListJobs(req.Context(), bearerToken(req))
+	writeJSONOrError(w, r, jobs)
 }
--- a/trans/front/oper.go
+++ b/trans/front/oper.go
@@ -13,7 +13,7 @@
 )
 
 // OperatorBackend is the part of an entry that serves the operators' interface.
-type Desk interface {
+type OperatorBackend interface {
 	Operator(key string) (entry.Actor, winch.Result)
 	Document() (*winch.Document, winch.Result)
 	Change(ctx context.Context, actor entry.Actor, base uint64, change config.Change) (entry.Applied, winch.Result)
@@ -52,46 +52,46 @@
 }
 
 // Operators returns the HTTP handler of the operators' interface.
-func Operators(backend Desk, reg metrics.Registry) http.Handler {
-	o := &operators{desk: backend}
+func Operators(backend OperatorBackend, reg metrics.Registry) http.Handler {
+	o := &operators{backend: backend}
 	r := httprouter.New()
-	r.POST("/Operator/Apply", o.only(winch.KeyOperator, o.apply))
-	r.GET("/Operator/Document", o.only(winch.KeyOperator, o.document))
-	r.POST("/Operator/Keys", o.only(winch.KeyOperator, o.issue))
-	r.DELETE("/Operator/Keys/:ID", o.only(winch.KeyOperator, o.withdraw))
-	r.PUT("/Operator/Services/:Service/Approved/:Team", o.only(winch.KeyOwner, o.approve(true)))
-	r.DELETE("/Operator/Services/:Service/Approved/:Team", o.only(winch.KeyOwner, o.approve(false)))
-	r.GET("/Operator/Audit", o.only(winch.KeyOperator, o.audit))
-	r.GET("/Operator/Status", o.only(winch.KeyOperator, o.status))
-	common(r, backend, reg)
-	return leaving(backend, r)
+	r.POST("/Operator/Apply", o.requireRole(winch.KeyOperator, o.apply))
+	r.GET("/Operator/Document", o.requireRole(winch.KeyOperator, o.document))
+	r.POST("/Operator/Keys", o.requireRole(winch.KeyOperator, o.issue))
+	r.DELETE("/Operator/Keys/:ID", o.requireRole(winch.KeyOperator, o.withdraw))
+	r.PUT("/Operator/Services/:Service/Approved/:Team", o.requireRole(winch.KeyOwner, o.approve(true)))
+	r.DELETE("/Operator/Services/:Service/Approved/:Team", o.requireRole(winch.KeyOwner, o.approve(false)))
+	r.GET("/Operator/Audit", o.requireRole(winch.KeyOperator, o.audit))
+	r.GET("/Operator/Status", o.requireRole(winch.KeyOperator, o.status))
+	addCommonRoutes(r, backend, reg)
+	return closeWhenNotReady(backend, r)
 }
 
 type operators struct {
-	desk Desk
+	backend OperatorBackend
 }
 
 // operatorHandler handles a request of an authenticated operator or owner.
-type action func(w http.ResponseWriter, req *http.Request, ps httprouter.Params, actor entry.Actor)
+type operatorHandler func(w http.ResponseWriter, req *http.Request, ps httprouter.Params, actor entry.Actor)
 
 // requireRole restricts a handler to holders of a key with the given role. An owner
 // may act only on the service that its key belongs to.
-func (o *operators) only(role winch.KeyRole, next action) httprouter.Handle {
+func (o *operators) requireRole(role winch.KeyRole, next operatorHandler) httprouter.Handle {
 	return func(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
-		actor, r := o.desk.Operator(bearer(req))
+		actor, r := o.backend.Operator(bearerToken(req))
 		if !r.OK() {
 			writeResult(w, r)
 			return
 		}
 		if actor.Role != role || role == winch.KeyOwner && actor.Service != ps.ByName("Service") {
-			writeResult(w, winch.Refuse(winch.Forbidden, "this needs the key of "+needed(role, ps)))
+			writeResult(w, winch.Refuse(winch.Forbidden, "this needs the key of "+requiredHolder(role, ps)))
 			return
 		}
 		next(w, req, ps, actor)
 	}
 }
 
-func needed(role winch.KeyRole, ps httprouter.Params) string {
+func requiredHolder(role winch.KeyRole, ps httprouter.Params) string {
 	if role == winch.KeyOwner {
 		return "the owner of service " + ps.ByName("Service")
 	}
@@ -103,24 +103,24 @@
 	if !readJSON(w, req, &body) {
 		return
 	}
-	version, lines, r := o.desk.Plan(req.Context(), body.Declared)
+	version, lines, r := o.backend.Plan(req.Context(), body.Declared)
 	if r.OK() && body.DryRun {
 		writeJSON(w, http.StatusOK, ApplyReply{Applied: entry.Applied{Version: version, Unchanged: true}, Changes: lines})
 		return
 	}
 	var applied entry.Applied
 	if r.OK() {
-		applied, r = o.desk.Change(req.Context(), actor, body.Base, body.Declared.Change())
+		applied, r = o.backend.Change(req.Context(), actor, body.Base, body.Declared.Change())
 	}
-	writeOr(w, r, ApplyReply{Applied: applied, Changes: lines})
+	writeJSONOrError(w, r, ApplyReply{Applied: applied, Changes: lines})
 }
 
 func (o *operators) document(w http.ResponseWriter, _ *http.Request, _ httprouter.Params, _ entry.Actor) {
-	doc, r := o.desk.Document()
+	doc, r := o.backend.Document()
 	if r.Reason == winch.NoConfiguration {
 		doc, r = &winch.Document{}, winch.Result{}
 	}
-	writeOr(w, r, doc)
+	writeJSONOrError(w, r, doc)
 }
 
 func (o *operators) issue(w http.ResponseWriter, req *http.Request, _ httprouter.Params, actor entry.Actor) {
@@ -128,28 +128,28 @@
 	if !readJSON(w, req, &body) {
 		return
 	}
-	key, applied, r := o.desk.IssueKey(req.Context(), actor, body.Role, body.Holder)
-	writeOr(w, r, KeyReply{Applied: applied, Key: key})
+	key, applied, r := o.backend.IssueKey(req.Context(), actor, body.Role, body.Holder)
+	writeJSONOrError(w, r, KeyReply{Applied: applied, Key: key})
 }
 
 func (o *operators) withdraw(w http.ResponseWriter, req *http.Request, ps httprouter.Params, actor entry.Actor) {
-	applied, r := o.desk.Change(req.Context(), actor, 0, config.WithdrawKey(ps.ByName("ID")))
-	writeOr(w, r, applied)
+	applied, r := o.backend.Change(req.Context(), actor, 0, config.WithdrawKey(ps.ByName("ID")))
+	writeJSONOrError(w, r, applied)
 }
 
-func (o *operators) approve(allow bool) action {
+func (o *operators) approve(allow bool) operatorHandler {
 	return func(w http.ResponseWriter, req *http.Request, ps httprouter.Params, actor entry.Actor) {
 		change := config.Approve(ps.ByName("Service"), ps.ByName("Team"), allow)
-		applied, r := o.desk.Change(req.Context(), actor, 0, change)
-		writeOr(w, r, applied)
+		applied, r := o.backend.Change(req.Context(), actor, 0, change)
+		writeJSONOrError(w, r, applied)
 	}
 }
 
 func (o *operators) audit(w http.ResponseWriter, req *http.Request, _ httprouter.Params, _ entry.Actor) {
-	trail, r := o.desk.Trail(req.Context())
-	writeOr(w, r, trail)
+	trail, r := o.backend.Trail(req.Context())
+	writeJSONOrError(w, r, trail)
 }
 
 func (o *operators) status(w http.ResponseWriter, req *http.Request, _ httprouter.Params, _ entry.Actor) {
-	writeJSON(w, http.StatusOK, o.desk.Status(req.Context()))
+	writeJSON(w, http.StatusOK, o.backend.Status(req.Context()))
 }
--- a/trans/front/phases.go
+++ b/trans/front/phases.go
@@ -66,16 +66,16 @@
 
 // jobIDPattern matches the ids that callers choose for their jobs. A resubmission has
 // the same id, which makes submitting idempotent.
-var phasedID = regexp.MustCompile(`^[0-9a-f]{16}$`)
+var jobIDPattern = regexp.MustCompile(`^[0-9a-f]{16}$`)
 
 // milliPerProcessor converts processors to thousandths of a processor.
-const milli = 1000
+const milliPerProcessor = 1000
 
 // job parses and checks the body and returns the job that it describes.
 func (b *PhasedBody) job() (*winch.PhasedJob, error) {
 	j := &winch.PhasedJob{Command: b.Command, Times: b.Times, First: b.First}
 	var err error
-	if j.Every, err = duration("Every", b.Every); err != nil {
+	if j.Every, err = parseDuration("Every", b.Every); err != nil {
 		return nil, err
 	}
 	for i := range b.Phases {
@@ -97,16 +97,16 @@
 	if err != nil {
 		return p, errors.New("Need.Memory is " + err.Error())
 	}
-	p.Need = winch.Capacity{Milli: int64(milli * b.Need.Processors), Memory: memory, Accelerators: b.Need.Accelerators}
-	if p.Estimate, err = duration("Estimate", b.Estimate); err != nil {
+	p.Need = winch.Capacity{Milli: int64(milliPerProcessor * b.Need.Processors), Memory: memory, Accelerators: b.Need.Accelerators}
+	if p.Estimate, err = parseDuration("Estimate", b.Estimate); err != nil {
 		return p, err
 	}
-	p.Target, err = duration("Target", b.Target)
+	p.Target, err = parseDuration("Target", b.Target)
 	return p, err
 }
 
 // parseDuration parses a duration, which is zero if the text is empty.
-func duration(field, text string) (time.Duration, error) {
+func parseDuration(field, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -120,19 +120,19 @@
 // Phases returns the HTTP handler of a region's callers' interface, through which
 // callers submit jobs with phases to queues.
 func Phases(region winch.Region) http.Handler {
-	p := phases{region}
+	p := phasesHandler{region}
 	r := httprouter.New()
-	r.GET("/Queues/:Queue", p.with(p.queue))
-	r.POST("/Queues/:Queue/Jobs/:ID", p.with(p.submit))
-	r.GET("/Queues/:Queue/Jobs/:ID", p.with(p.state))
-	r.DELETE("/Queues/:Queue/Jobs/:ID", p.with(p.cancel))
+	r.GET("/Queues/:Queue", p.withQueue(p.queue))
+	r.POST("/Queues/:Queue/Jobs/:ID", p.withQueue(p.submit))
+	r.GET("/Queues/:Queue/Jobs/:ID", p.withQueue(p.state))
+	r.DELETE("/Queues/:Queue/Jobs/:ID", p.withQueue(p.cancel))
 	return r
 }
 
-type phases struct{ region winch.Region }
+type phasesHandler struct{ region winch.Region }
 
 // phasesRequest is a request whose queue and team are known and whose job id is valid.
-type phasedCall struct {
+type phasesRequest struct {
 	w               http.ResponseWriter
 	r               *http.Request
 	queue, team, id string
@@ -140,25 +140,25 @@
 
 // withQueue looks up the request's queue and team in the current configuration and
 // calls the handler, or writes an error response.
-func (p phases) with(handle func(c phasedCall)) httprouter.Handle {
+func (p phasesHandler) withQueue(handle func(c phasesRequest)) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		config := p.region.Config()
 		if config == nil {
 			writeResult(w, winch.RefuseFor(winch.StoreUnavailable, "no configuration has been read yet", time.Second))
 			return
 		}
-		c := phasedCall{w: w, r: r, queue: ps.ByName("Queue"), id: ps.ByName("ID")}
+		c := phasesRequest{w: w, r: r, queue: ps.ByName("Queue"), id: ps.ByName("ID")}
 		i := slices.IndexFunc(config.Queues, func(q winch.Queue) bool { return q.Name == c.queue })
 		if i < 0 {
 			writeResult(w, winch.Refuse(winch.UnknownService, "no queue "+c.queue))
 			return
 		}
-		team, known := config.TeamOf(bearer(r))
+		team, known := config.TeamOf(bearerToken(r))
 		if !known && !config.Queues[i].Public {
 			writeResult(w, winch.Refuse(winch.UnknownKey, "the key is not known"))
 			return
 		}
-		if c.id != "" && !phasedID.MatchString(c.id) {
+		if c.id != "" && !jobIDPattern.MatchString(c.id) {
 			writeResult(w, winch.Refuse(winch.BadRequest, "a job's name has 16 hexadecimal digits"))
 			return
 		}
@@ -167,12 +167,12 @@
 	}
 }
 
-func (p phases) queue(c phasedCall) {
+func (p phasesHandler) queue(c phasesRequest) {
 	n, r := p.region.Waiting(c.r.Context(), c.queue)
-	writeOr(c.w, r, QueueState{Queue: c.queue, Waiting: n})
+	writeJSONOrError(c.w, r, QueueState{Queue: c.queue, Waiting: n})
 }
 
-func (p phases) submit(c phasedCall) {
+func (p phasesHandler) submit(c phasesRequest) {
 	var body PhasedBody
 	if !readJSON(c.w, c.r, &body) {
 		return
@@ -183,14 +183,14 @@
 		return
 	}
 	job.ID, job.Queue, job.Team, job.Accepted = c.id, c.queue, c.team, time.Now()
-	writeOr(c.w, p.region.Submit(c.r.Context(), job), PhasedState{ID: c.id, State: winch.JobQueued})
+	writeJSONOrError(c.w, p.region.Submit(c.r.Context(), job), PhasedState{ID: c.id, State: winch.JobQueued})
 }
 
-func (p phases) state(c phasedCall) {
+func (p phasesHandler) state(c phasesRequest) {
 	state, r := p.region.State(c.r.Context(), c.id)
-	writeOr(c.w, r, PhasedState{ID: c.id, State: state})
+	writeJSONOrError(c.w, r, PhasedState{ID: c.id, State: state})
 }
 
-func (p phases) cancel(c phasedCall) {
-	writeOr(c.w, p.region.Cancel(c.r.Context(), c.id), PhasedState{ID: c.id, State: winch.JobCancelled})
+func (p phasesHandler) cancel(c phasesRequest) {
+	writeJSONOrError(c.w, p.region.Cancel(c.r.Context(), c.id), PhasedState{ID: c.id, State: winch.JobCancelled})
 }
--- a/trans/lines/lines.go
+++ b/trans/lines/lines.go
@@ -14,9 +14,9 @@
 const (
 	// queueSize limits the lines that wait to be written. The queue holds one second of
 	// lines at the peak rate.
-	ringSize = 4096
+	queueSize = 4096
 	// maxWriteSize is the number of bytes at which waiting lines are written out.
-	gatherBytes = 32 << 10
+	maxWriteSize = 32 << 10
 )
 
 // Writer queues lines and writes them from a separate goroutine. If the queue is full,
@@ -25,19 +25,19 @@
 	Out     io.Writer
 	Dropped metrics.Counter
 
-	ring chan []byte
+	queue chan []byte
 }
 
 // New returns a writer. Lines are written while its Run method runs.
 func New(out io.Writer, reg metrics.Registry) *Writer {
-	return &Writer{Out: out, Dropped: metrics.GetOrRegisterCounter("Log.Dropped", reg), ring: make(chan []byte, ringSize)}
+	return &Writer{Out: out, Dropped: metrics.GetOrRegisterCounter("Log.Dropped", reg), queue: make(chan []byte, queueSize)}
 }
 
 // Write implements io.Writer.
 func (w *Writer) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
-	case w.ring <- copied:
+	case w.queue <- copied:
 	default:
 		w.Dropped.Inc(1)
 	}
@@ -54,7 +54,7 @@
 		case <-ctx.Done():
 			w.flush(nil)
 			return
-		case line := <-w.ring:
+		case line := <-w.queue:
 			w.flush(line)
 		}
 	}
@@ -64,9 +64,9 @@
 func (w *Writer) flush(out []byte) {
 	for {
 		select {
-		case line := <-w.ring:
+		case line := <-w.queue:
 			out = append(out, line...)
-			if len(out) < gatherBytes {
+			if len(out) < maxWriteSize {
 				continue
 			}
 		default:
--- a/trans/peer/link.go
+++ b/trans/peer/link.go
@@ -15,15 +15,15 @@
 // link is a connection to one peer. Requests are sent on the links that this entry
 // dialled, and responses on those that it accepted.
 type link struct {
-	hello   proto.Hello
-	conn    *websocket.Conn
-	ring    chan proto.Frame
-	mesh    *Mesh
-	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]chan proto.Frame
-	closed  chan struct{}
-	doubt   chan struct{} // pingRequested makes pingLoop check the link.
+	hello         proto.Hello
+	conn          *websocket.Conn
+	queue         chan proto.Frame
+	mesh          *Mesh
+	mu            sync.Mutex
+	lastID        uint64
+	waiting       map[uint64]chan proto.Frame
+	closed        chan struct{}
+	pingRequested chan struct{} // pingRequested makes pingLoop check the link.
 }
 
 // run reads and writes frames until the link breaks. With a handler it serves the
@@ -54,9 +54,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-l.ring:
+		case f := <-l.queue:
 			writeCtx, cancel := context.WithTimeout(ctx, sendTimeout)
-			err := l.mesh.write(writeCtx, l.conn, l.gather(f)...)
+			err := l.mesh.write(writeCtx, l.conn, l.batch(f)...)
 			cancel()
 			if err != nil {
 				return
@@ -66,9 +66,9 @@
 }
 
 // requestPing makes pingLoop check the link after a request that timed out.
-func (l *link) suspect() {
+func (l *link) requestPing() {
 	select {
-	case l.doubt <- struct{}{}:
+	case l.pingRequested <- struct{}{}:
 	default:
 	}
 }
@@ -79,9 +79,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.doubt:
+		case <-l.pingRequested:
 		}
-		pingCtx, cancel := context.WithTimeout(ctx, pingTime)
+		pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 		err := l.conn.Ping(pingCtx)
 		cancel()
 		if err != nil {
@@ -93,12 +93,12 @@
 
 // batch returns the first frame with others that are queued, without waiting for
 // more. Sending them in one message saves system calls on a busy link.
-func (l *link) gather(first proto.Frame) []proto.Frame {
+func (l *link) batch(first proto.Frame) []proto.Frame {
 	out := []proto.Frame{first}
 	size := len(first.Body)
-	for len(out) < gatherMost && size < gatherBytes {
+	for len(out) < maxBatchFrames && size < maxBatchBytes {
 		select {
-		case f := <-l.ring:
+		case f := <-l.queue:
 			size += len(f.Body)
 			out = append(out, f)
 		default:
@@ -113,10 +113,10 @@
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	semaphore := make(chan struct{}, handlers)
+	semaphore := make(chan struct{}, maxHandlers)
 	for {
 		frames, err := l.mesh.read(ctx, l.conn)
-		if err != nil || l.mesh.refused(l.hello.Entry) {
+		if err != nil || l.mesh.isBlocked(l.hello.Entry) {
 			return
 		}
 		for _, f := range frames {
@@ -125,19 +125,19 @@
 				l.deliver(f)
 			case handler == nil:
 			case f.ID == 0:
-				l.answer(ctx, handler, f) // Messages without a response are handled in order.
+				l.handle(ctx, handler, f) // Messages without a response are handled in order.
 			default:
 				semaphore <- struct{}{}
 				group.Go(func() {
 					defer func() { <-semaphore }()
-					l.answer(ctx, handler, f)
+					l.handle(ctx, handler, f)
 				})
 			}
 		}
 	}
 }
 
-func (l *link) answer(ctx context.Context, handler winch.Handler, f proto.Frame) {
+func (l *link) handle(ctx context.Context, handler winch.Handler, f proto.Frame) {
 	reply := handler(ctx, l.hello.Entry, f.Kind, func(into any) error { return proto.Decode(f.Body, into) })
 	if f.ID == 0 {
 		return
@@ -147,7 +147,7 @@
 		out.Body = encode(reply)
 	}
 	select {
-	case l.ring <- out:
+	case l.queue <- out:
 	case <-ctx.Done():
 	}
 }
@@ -166,15 +166,15 @@
 	ch <- f
 }
 
-func (m *Mesh) link(to string) *link {
+func (m *Mesh) linkTo(to string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.links[to]
 }
 
-func (l *link) put(f proto.Frame) error {
+func (l *link) enqueue(f proto.Frame) error {
 	select {
-	case l.ring <- f:
+	case l.queue <- f:
 		return nil
 	default:
 		metrics.GetOrRegisterCounter("Peer.RingFull", l.mesh.Metrics).Inc(1)
@@ -185,9 +185,9 @@
 func (l *link) register(ch chan proto.Frame) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	l.waiting[l.next] = ch
-	return l.next
+	l.lastID++
+	l.waiting[l.lastID] = ch
+	return l.lastID
 }
 
 func (l *link) unregister(id uint64) {
--- a/trans/peer/peer.go
+++ b/trans/peer/peer.go
@@ -30,25 +30,25 @@
 	// sendQueueSize limits the messages that wait to be sent on one link. An entry has
 	// links in both directions to hundreds of others, and the memory of each queue is
 	// allocated with the link.
-	ringSize = 512
+	sendQueueSize = 512
 	// maxHandlers limits the requests of one link that are handled concurrently.
-	handlers = 4096
+	maxHandlers = 4096
 	// maxFrameSize limits a WebSocket message; the largest frames carry a configuration
 	// document.
-	frameLimit = 4 << 20
+	maxFrameSize = 4 << 20
 	// redialInterval is the delay between attempts to connect to a peer.
-	redialWait = 500 * time.Millisecond
+	redialInterval = 500 * time.Millisecond
 	// sendTimeout limits a write; it ends a link whose peer no longer reads.
 	sendTimeout = 5 * time.Second
 	// maxBatchFrames and maxBatchBytes limit the frames sent in one WebSocket message.
-	gatherMost   = 64
-	gatherBytes  = 64 << 10
-	helloTimeout = 2 * time.Second
+	maxBatchFrames = 64
+	maxBatchBytes  = 64 << 10
+	helloTimeout   = 2 * time.Second
 	// pingTimeout limits the response time to a ping, which is sent after a request has
 	// timed out. After a network partition has healed, an old connection resumes only
 	// seconds later or never, while a new connection works immediately. A peer that is
 	// merely busy still responds, because pings do not pass through its handlers.
-	pingTime = time.Second
+	pingTimeout = time.Second
 )
 
 // Mesh maintains links to all peers. Its exported fields must be set before Run.
@@ -61,18 +61,18 @@
 	// Addresses returns the possible addresses of peers. It is called periodically.
 	Addresses func() []string
 	// FirstMessage returns the first message to send on a new link to a peer.
-	First func(peer string) (winch.Kind, any)
+	FirstMessage func(peer string) (winch.Kind, any)
 	// OnLinkChange is called when a link to a peer has been established or lost.
-	Linked func(hello proto.Hello, up bool)
+	OnLinkChange func(hello proto.Hello, up bool)
 
 	mu      sync.Mutex
 	links   map[string]*link
-	dialled map[string]bool
-	refuse  map[string]bool
+	claimed map[string]bool
+	blocked map[string]bool
 	// accepted holds the links that peers dialled. After stopped is set no more are
 	// accepted.
 	accepted map[*link]bool
-	ended    bool
+	stopped  bool
 	bytes    atomic.Int64
 	frames   atomic.Int64
 }
@@ -86,22 +86,22 @@
 
 // Partition closes and refuses links with exactly the named peers, in both directions,
 // until the next call. Tests simulate network partitions with it.
-func (m *Mesh) Cut(names ...string) {
+func (m *Mesh) Partition(names ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.refuse = make(map[string]bool, len(names))
+	m.blocked = make(map[string]bool, len(names))
 	for _, name := range names {
-		m.refuse[name] = true
+		m.blocked[name] = true
 		if l := m.links[name]; l != nil {
 			_ = l.conn.CloseNow()
 		}
 	}
 }
 
-func (m *Mesh) refused(name string) bool {
+func (m *Mesh) isBlocked(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.refuse[name]
+	return m.blocked[name]
 }
 
 // Names implements winch.Peers.
@@ -120,14 +120,14 @@
 	var group conc.WaitGroup
 	defer group.Wait()
 	defer m.closeAccepted()
-	tick := time.NewTicker(redialWait)
+	tick := time.NewTicker(redialInterval)
 	defer tick.Stop()
 	for {
 		for _, address := range m.Addresses() {
 			if m.claim(address) {
 				group.Go(func() {
 					defer m.unclaim(address)
-					m.keep(ctx, address)
+					m.connect(ctx, address)
 				})
 			}
 		}
@@ -142,46 +142,46 @@
 func (m *Mesh) claim(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dialled == nil {
-		m.dialled = make(map[string]bool)
+	if m.claimed == nil {
+		m.claimed = make(map[string]bool)
 	}
-	if m.dialled[address] {
+	if m.claimed[address] {
 		return false
 	}
-	m.dialled[address] = true
+	m.claimed[address] = true
 	return true
 }
 
 func (m *Mesh) unclaim(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.dialled, address)
+	delete(m.claimed, address)
 }
 
 // connect dials an address once and runs the link until it breaks.
-func (m *Mesh) keep(ctx context.Context, address string) {
+func (m *Mesh) connect(ctx context.Context, address string) {
 	l, err := m.dial(ctx, address)
 	if err != nil {
 		metrics.GetOrRegisterCounter("Peer.DialFailed", m.Metrics).Inc(1)
-		wait(ctx, redialWait)
+		sleep(ctx, redialInterval)
 		return
 	}
-	if m.First != nil {
-		kind, body := m.First(l.hello.Entry)
-		_ = l.put(proto.Frame{Kind: kind, Body: encode(body)})
+	if m.FirstMessage != nil {
+		kind, body := m.FirstMessage(l.hello.Entry)
+		_ = l.enqueue(proto.Frame{Kind: kind, Body: encode(body)})
 	}
 	if !m.add(l) {
 		_ = l.conn.CloseNow()
-		wait(ctx, 10*redialWait)
+		sleep(ctx, 10*redialInterval)
 		return
 	}
-	m.Linked(l.hello, true)
+	m.OnLinkChange(l.hello, true)
 	l.run(ctx, nil)
 	m.remove(l)
-	m.Linked(l.hello, false)
+	m.OnLinkChange(l.hello, false)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -197,7 +197,7 @@
 	if m.links == nil {
 		m.links = make(map[string]*link)
 	}
-	if m.links[l.hello.Entry] != nil || l.hello.Entry == m.Self.Entry || m.refuse[l.hello.Entry] {
+	if m.links[l.hello.Entry] != nil || l.hello.Entry == m.Self.Entry || m.blocked[l.hello.Entry] {
 		return false
 	}
 	m.links[l.hello.Entry] = l
@@ -220,16 +220,16 @@
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	conn.SetReadLimit(frameLimit)
+	conn.SetReadLimit(maxFrameSize)
 	if err := m.write(ctx, conn, proto.Frame{Kind: proto.KindHello, Body: encode(m.Self)}); err != nil {
 		_ = conn.CloseNow()
 		return nil, err
 	}
-	return m.greet(ctx, conn)
+	return m.readHello(ctx, conn)
 }
 
 // readHello reads the peer's hello and checks that version and cell match.
-func (m *Mesh) greet(ctx context.Context, conn *websocket.Conn) (*link, error) {
+func (m *Mesh) readHello(ctx context.Context, conn *websocket.Conn) (*link, error) {
 	frames, err := m.read(ctx, conn)
 	if err == nil && len(frames) != 1 {
 		err = merry.New("the first message is not a single hello frame")
@@ -249,8 +249,8 @@
 	}
 	return &link{
 		hello: hello, conn: conn, mesh: m,
-		ring: make(chan proto.Frame, ringSize), waiting: make(map[uint64]chan proto.Frame), closed: make(chan struct{}),
-		doubt: make(chan struct{}, 1),
+		queue: make(chan proto.Frame, sendQueueSize), waiting: make(map[uint64]chan proto.Frame), closed: make(chan struct{}),
+		pingRequested: make(chan struct{}, 1),
 	}, nil
 }
 
@@ -265,11 +265,11 @@
 	if err != nil {
 		return
 	}
-	conn.SetReadLimit(frameLimit)
+	conn.SetReadLimit(maxFrameSize)
 	ctx, cancel := context.WithTimeout(r.Context(), helloTimeout)
 	defer cancel()
-	l, err := m.greet(ctx, conn)
-	if err != nil || m.refused(l.hello.Entry) {
+	l, err := m.readHello(ctx, conn)
+	if err != nil || m.isBlocked(l.hello.Entry) {
 		_ = conn.CloseNow()
 		return
 	}
@@ -277,11 +277,11 @@
 		_ = conn.CloseNow()
 		return
 	}
-	if !m.accept(l, true) {
+	if !m.trackAccepted(l, true) {
 		_ = conn.CloseNow()
 		return
 	}
-	defer m.accept(l, false)
+	defer m.trackAccepted(l, false)
 	l.run(r.Context(), m.Handler)
 }
 
@@ -289,7 +289,7 @@
 // returns whether the link may be used. The HTTP server does not track hijacked
 // connections, so the mesh closes them when it stops; otherwise a peer would continue
 // to send requests to an entry that has stopped.
-func (m *Mesh) accept(l *link, open bool) bool {
+func (m *Mesh) trackAccepted(l *link, open bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.accepted == nil {
@@ -300,13 +300,13 @@
 		return false
 	}
 	m.accepted[l] = true
-	return !m.ended
+	return !m.stopped
 }
 
 func (m *Mesh) closeAccepted() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = true
+	m.stopped = true
 	for l := range m.accepted {
 		_ = l.conn.CloseNow()
 	}
@@ -347,23 +347,23 @@
 
 // Notify implements winch.Peers. It returns winch.ErrNoPeer if the send queue is full.
 func (m *Mesh) Notify(to string, kind winch.Kind, body any) error {
-	l := m.link(to)
+	l := m.linkTo(to)
 	if l == nil {
 		return winch.ErrNoPeer
 	}
-	return l.put(proto.Frame{Kind: kind, Body: encode(body)})
+	return l.enqueue(proto.Frame{Kind: kind, Body: encode(body)})
 }
 
 // Request implements winch.Peers.
 func (m *Mesh) Request(ctx context.Context, to string, kind winch.Kind, body, reply any) error {
-	l := m.link(to)
+	l := m.linkTo(to)
 	if l == nil {
 		return winch.ErrNoPeer
 	}
 	ch := make(chan proto.Frame, 1)
 	id := l.register(ch)
 	defer l.unregister(id)
-	if err := l.put(proto.Frame{ID: id, Kind: kind, Body: encode(body)}); err != nil {
+	if err := l.enqueue(proto.Frame{ID: id, Kind: kind, Body: encode(body)}); err != nil {
 		return err
 	}
 	select {
@@ -373,7 +373,7 @@
 		return winch.ErrPeerLost
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			l.suspect()
+			l.requestPing()
 		}
 		return ctx.Err()
 	}
--- a/trans/peer/peer_test.go
+++ b/trans/peer/peer_test.go
@@ -20,7 +20,7 @@
 )
 
 // testEntry is the mesh of one entry, listening on a loopback port.
-type end struct {
+type testEntry struct {
 	*Mesh
 	address string
 	up      chan bool
@@ -36,21 +36,21 @@
 }
 
 // startPair runs two entries that connect to each other until the test ends.
-func pair(t *testing.T, handler winch.Handler, change func(i int, m *Mesh)) [2]*end {
+func startPair(t *testing.T, handler winch.Handler, change func(i int, m *Mesh)) [2]*testEntry {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
-	var entries [2]*end
+	var entries [2]*testEntry
 	var servers []*http.Server
 	lns := [2]net.Listener{listen(t), listen(t)}
 	for i, name := range []string{"a", "b"} {
-		e := &end{address: lns[i].Addr().String(), up: make(chan bool, 100)}
+		e := &testEntry{address: lns[i].Addr().String(), up: make(chan bool, 100)}
 		other := lns[1-i].Addr().String()
 		e.Mesh = &Mesh{
 			Self: proto.Hello{Version: proto.Version, Cell: "test", Entry: name}, Token: "secret",
 			Handler: handler, Log: zap.NewNop(), Metrics: metrics.NewRegistry(),
-			Addresses: func() []string { return []string{other} },
-			Linked:    func(_ proto.Hello, up bool) { e.up <- up },
+			Addresses:    func() []string { return []string{other} },
+			OnLinkChange: func(_ proto.Hello, up bool) { e.up <- up },
 		}
 		if change != nil {
 			change(i, e.Mesh)
@@ -81,9 +81,9 @@
 
 // Guards against responses reaching the wrong request when many are in flight at the
 // same time.
-func TestAsk(t *testing.T) {
+func TestConcurrentRequestsGetTheirOwnResponses(t *testing.T) {
 	is := is.New(t)
-	entries := pair(t, echo, nil)
+	entries := startPair(t, echo, nil)
 	is.True(<-entries[0].up)
 	var group conc.WaitGroup
 	for i := range 200 {
@@ -100,10 +100,10 @@
 
 // Guards against the late response to an abandoned request being taken for the
 // response to a later one.
-func TestLateAnswer(t *testing.T) {
+func TestLateResponseIsDropped(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	entries := pair(t, func(_ context.Context, _ string, _ winch.Kind, decode func(any) error) any {
+	entries := startPair(t, func(_ context.Context, _ string, _ winch.Kind, decode func(any) error) any {
 		var s string
 		_ = decode(&s)
 		if s == "slow" {
@@ -128,11 +128,11 @@
 
 // Guards against a request waiting for its timeout when the link breaks: it must fail
 // immediately. A new link must follow soon, and begin with the first message.
-func TestLinkBreaks(t *testing.T) {
+func TestBrokenLinkFailsRequestsAndIsReplaced(t *testing.T) {
 	is := is.New(t)
 	received := make(chan struct{}, 10)
 	first := make(chan string, 10)
-	entries := pair(t, func(ctx context.Context, _ string, kind winch.Kind, decode func(any) error) any {
+	entries := startPair(t, func(ctx context.Context, _ string, kind winch.Kind, decode func(any) error) any {
 		var s string
 		_ = decode(&s)
 		if kind == proto.KindHeldSlots {
@@ -143,7 +143,7 @@
 		<-ctx.Done()
 		return nil
 	}, func(_ int, m *Mesh) {
-		m.First = func(peer string) (winch.Kind, any) { return proto.KindHeldSlots, "hello " + peer }
+		m.FirstMessage = func(peer string) (winch.Kind, any) { return proto.KindHeldSlots, "hello " + peer }
 	})
 	is.True(<-entries[0].up)
 	var group conc.WaitGroup
@@ -152,17 +152,17 @@
 		is.True(errors.Is(err, winch.ErrPeerLost))
 	})
 	<-received
-	entries[0].Cut("b")
+	entries[0].Partition("b")
 	group.Wait()
 	is.Equal(<-entries[0].up, false)
-	entries[0].Cut()
+	entries[0].Partition()
 	is.True(<-entries[0].up)
 	is.True(strings.HasPrefix(<-first, "hello "))
 }
 
 // Guards against messages from an entry with another token, protocol version or cell:
 // its link must be refused before any message is handled.
-func TestStrangersRefused(t *testing.T) {
+func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	for name, change := range map[string]func(m *Mesh){
 		"token":   func(m *Mesh) { m.Token = "guess" },
 		"version": func(m *Mesh) { m.Self.Version++ },
@@ -170,7 +170,7 @@
 	} {
 		is := is.New(t)
 		handled := make(chan struct{}, 1)
-		entries := pair(t, func(context.Context, string, winch.Kind, func(any) error) any {
+		entries := startPair(t, func(context.Context, string, winch.Kind, func(any) error) any {
 			handled <- struct{}{}
 			return nil
 		}, func(i int, m *Mesh) {
@@ -195,9 +195,9 @@
 // they stay open but no longer carry data, while new connections work.
 type relay struct {
 	net.Listener
-	target string
-	mu     sync.Mutex
-	silent chan struct{}
+	target  string
+	mu      sync.Mutex
+	stalled chan struct{}
 }
 
 func (r *relay) serve(group *conc.WaitGroup) {
@@ -212,15 +212,15 @@
 			continue
 		}
 		r.mu.Lock()
-		stalled := r.silent
+		stalled := r.stalled
 		r.mu.Unlock()
-		group.Go(func() { pass(in, out, stalled) })
-		group.Go(func() { pass(out, in, stalled) })
+		group.Go(func() { forward(in, out, stalled) })
+		group.Go(func() { forward(out, in, stalled) })
 	}
 }
 
 // forward copies data until one side closes. Once stalled is closed, it drops the data.
-func pass(from, to net.Conn, stalled chan struct{}) {
+func forward(from, to net.Conn, stalled chan struct{}) {
 	defer func() { _, _ = from.Close(), to.Close() }()
 	buf := make([]byte, 4096)
 	for {
@@ -240,27 +240,27 @@
 }
 
 // stall stalls the existing connections.
-func (r *relay) hush() {
+func (r *relay) stall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.silent)
-	r.silent = make(chan struct{})
+	close(r.stalled)
+	r.stalled = make(chan struct{})
 }
 
 // Guards against a link that stays open but no longer carries data, as after a network
 // partition: a keeper remained lost for five seconds after the partition had healed.
 // After a request times out, the link must be pinged, closed and replaced, and the
 // next request must succeed.
-func TestSilentLinkIsMadeAnew(t *testing.T) {
+func TestUnresponsiveLinkIsReplaced(t *testing.T) {
 	is := is.New(t)
 	var r *relay
 	var group conc.WaitGroup
-	entries := pair(t, echo, func(i int, m *Mesh) {
+	entries := startPair(t, echo, func(i int, m *Mesh) {
 		if i == 1 {
 			m.Addresses = func() []string { return nil }
 			return
 		}
-		r = &relay{Listener: listen(t), target: m.Addresses()[0], silent: make(chan struct{})}
+		r = &relay{Listener: listen(t), target: m.Addresses()[0], stalled: make(chan struct{})}
 		group.Go(func() { r.serve(&group) })
 		m.Addresses = func() []string { return []string{r.Addr().String()} }
 	})
@@ -268,7 +268,7 @@
 	is.True(<-entries[0].up)
 	var got string
 	is.NoErr(entries[0].Request(t.Context(), "b", proto.KindConfig, "one", &got))
-	r.hush()
+	r.stall()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	is.True(errors.Is(entries[0].Request(ctx, "b", proto.KindConfig, "two", &got), context.DeadlineExceeded))
--- a/trans/store/client.go
+++ b/trans/store/client.go
@@ -60,13 +60,13 @@
 	}
 	c.calls.Add(1)
 	c.bytes.Add(int64(len(body)))
-	resp, err := c.client().Do(req)
+	resp, err := c.httpClient().Do(req)
 	if err != nil {
 		return Reply{}, sendError(op, err)
 	}
 	defer resp.Body.Close()
 	var out Reply
-	bodyReader := &countReader{r: resp.Body}
+	bodyReader := &countingReader{r: resp.Body}
 	if err := json.NewDecoder(bodyReader).Decode(&out); err != nil {
 		return Reply{}, fmt.Errorf("%w: %s: %w", winch.ErrUncertain, op, err)
 	}
@@ -74,7 +74,7 @@
 	return out, codeError(op, out.Code)
 }
 
-func (c *Client) client() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	if c.HTTP != nil {
 		return c.HTTP
 	}
@@ -160,13 +160,13 @@
 }
 
 // countingReader counts the bytes read from r.
-type countReader struct {
+type countingReader struct {
 	r interface{ Read([]byte) (int, error) }
 	n int64
 }
 
 // Read implements io.Reader.
-func (c *countReader) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
