--- a/cmds/stand.go
+++ b/cmds/stand.go
@@ -99,7 +99,7 @@
 }
 
 func newStandSite() *cobra.Command {
-	s := mimic.Site{Teams: []mimic.Team{{Name: "choir"}, {Name: "duct"}}}
+	s := mimic.Platform{Teams: []mimic.Team{{Name: "choir"}, {Name: "duct"}}}
 	domains := 1
 	cmd := &cobra.Command{
 		Use:   "site",
--- a/server/region.go
+++ b/server/region.go
@@ -48,7 +48,7 @@
 
 	mu        sync.Mutex // mu guards Settings once Run has begun.
 	table     *platform.Table
-	runner    *platform.Runner
+	runner    *platform.WorkerClient
 	listeners map[string]net.Listener
 }
 
@@ -65,7 +65,7 @@
 		Token: s.Settings.Peers.Token, Log: s.Log, Metrics: s.Metrics,
 	}
 	s.table = platform.NewTable(s.Settings.Platform.Address)
-	s.runner = &platform.Runner{}
+	s.runner = &platform.WorkerClient{}
 	s.Node = &region.Node{
 		Name: boot, Host: e.Name, Domain: e.Domain, Address: cmp.Or(s.Settings.Listen.Announce, s.Settings.Listen.Peers),
 		Share:  int(1000 * s.Settings.Limits.Processors),
@@ -74,7 +74,7 @@
 		Codec: platform.Codec{}, Peers: s.Mesh, Log: s.Log, Metrics: s.Metrics,
 	}
 	s.Node.Prepare()
-	s.table.Heard = s.Node.NoteStoreResponse
+	s.table.OnResponse = s.Node.NoteStoreResponse
 	s.Mesh.Handler = s.Node.Handle
 	s.Mesh.FirstMessage = s.Node.First
 	s.Mesh.Addresses = s.Node.PeerAddresses
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -31,10 +31,10 @@
 		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*crashPause))))
 		j := mimic.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x3000, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
-			Take: time.Second, Tasks: []int{1 + rnd.IntN(2)}, Crashes: true,
+			RunDuration: time.Second, Tasks: []int{1 + rnd.IntN(2)}, Crashes: true,
 		}
 		if rnd.IntN(2) == 0 {
-			j.After = time.Duration(rnd.IntN(2500)) * time.Millisecond
+			j.CrashDelay = time.Duration(rnd.IntN(2500)) * time.Millisecond
 		}
 		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() {
@@ -52,12 +52,12 @@
 	status, state := 0, ""
 	for end := time.Now().Add(s.Time + healTime); time.Now().Before(end) && ctx.Err() == nil; {
 		if status, state = c.State(ctx, at(), j); state == "failed" {
-			s.count(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.site.Judge.Crashed(j.ID) })
+			s.count(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.site.Checker.CrashCount(j.ID) })
 			return
 		}
 		duty.Sleep(ctx, 200*time.Millisecond)
 	}
-	s.problem("%s crashed %d workers and is not given up: last answer %d %q", j.ID, s.site.Judge.Crashed(j.ID), status, state)
+	s.problem("%s crashed %d workers and is not given up: last answer %d %q", j.ID, s.site.Checker.CrashCount(j.ID), status, state)
 }
 
 // shrinks has single workers say that they have less room for a while.
@@ -71,10 +71,10 @@
 		i, milli := rnd.IntN(s.site.Size()), int64(1000*rnd.IntN(6))
 		long := time.Duration(1000+rnd.IntN(8000)) * time.Millisecond
 		s.note("worker %d has room for %d for %v", i, milli, long)
-		s.site.Shrink(i, milli)
+		s.site.SetCapacity(i, milli)
 		s.group.Go(func() {
 			duty.Sleep(ctx, long)
-			s.site.Shrink(i, s.site.Milli)
+			s.site.SetCapacity(i, s.site.Milli)
 		})
 	}
 }
--- a/soak/cut.go
+++ b/soak/cut.go
@@ -123,8 +123,8 @@
 		}
 		s.note("cut %s from %s, what it says %v, what it hears %v, for %v", strings.Join(near, ","), strings.Join(far, ","), out, in, long)
 		s.group.Go(func() {
-			s.site.Judge.Disturb(true)
-			defer s.site.Judge.Disturb(false)
+			s.site.Checker.RecordDisturbance(true)
+			defer s.site.Checker.RecordDisturbance(false)
 			s.cut(near, far, out, in, 1)
 			duty.Sleep(calls, long)
 			s.cut(near, far, out, in, -1)
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -23,13 +23,13 @@
 		{"silent", func() { p.relay.setSilent(true) }, func() { p.relay.setSilent(false) }, long},
 		{"reset", p.relay.reset, func() {}, 0},
 		{"delay", func() { p.relay.setDelay(150 * time.Millisecond) }, func() { p.relay.setDelay(0) }, long},
-		{"store silent", func() { s.site.Store.Set(mimic.StoreFaults{Silent: true}) }, s.calm, long},
-		{"store busy", func() { s.site.Store.Set(mimic.StoreFaults{Busy: true}) }, s.calm, long},
-		{"store slow", func() { s.site.Store.Set(mimic.StoreFaults{Slow: 250 * time.Millisecond}) }, s.calm, long},
-		{"store loses", func() { s.site.Store.Set(mimic.StoreFaults{LoseEvery: 3}) }, s.calm, long},
-		{"history gone", s.site.Store.Forget, func() {}, 0},
+		{"store silent", func() { s.site.Store.SetFaults(mimic.StoreFaults{Unresponsive: true}) }, s.calm, long},
+		{"store busy", func() { s.site.Store.SetFaults(mimic.StoreFaults{Busy: true}) }, s.calm, long},
+		{"store slow", func() { s.site.Store.SetFaults(mimic.StoreFaults{Delay: 250 * time.Millisecond}) }, s.calm, long},
+		{"store loses", func() { s.site.Store.SetFaults(mimic.StoreFaults{LoseEvery: 3}) }, s.calm, long},
+		{"history gone", s.site.Store.Compact, func() {}, 0},
 		{"worker boots", func() { s.site.Reboot(worker) }, func() {}, 0},
-		{"worker mute", func() { s.site.Mute(worker, true) }, func() { s.site.Mute(worker, false) }, long},
+		{"worker mute", func() { s.site.LoseResponses(worker, true) }, func() { s.site.LoseResponses(worker, false) }, long},
 		{"configuration", s.site.Configure, func() {}, 0},
 		{"kill all", s.killAll, s.restartAll, short},
 	}
@@ -39,11 +39,11 @@
 		switch k.name {
 		case "configuration": // It excuses nothing.
 		case "stop":
-			s.site.Judge.Plan(true)
-			defer s.site.Judge.Plan(false)
+			s.site.Checker.RecordPlannedWork(true)
+			defer s.site.Checker.RecordPlannedWork(false)
 		default:
-			s.site.Judge.Disturb(true)
-			defer s.site.Judge.Disturb(false)
+			s.site.Checker.RecordDisturbance(true)
+			defer s.site.Checker.RecordDisturbance(false)
 		}
 		k.do()
 		duty.Sleep(ctx, k.time)
@@ -68,7 +68,7 @@
 }
 
 // calm ends the store's faults.
-func (s *Soak) calm() { s.site.Store.Set(mimic.StoreFaults{}) }
+func (s *Soak) calm() { s.site.Store.SetFaults(mimic.StoreFaults{}) }
 
 func (s *Soak) restart(p *proc) {
 	if err := p.start(); err != nil {
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -31,7 +31,7 @@
 	for n := 0; calls.Err() == nil; n++ {
 		j := mimic.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x2000+0x100*part+i, n), Team: []string{"choir", "duct"}[i%2],
-			Take: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{2 + rnd.IntN(2)}, Gang: true,
+			RunDuration: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{2 + rnd.IntN(2)}, Gang: true,
 		}
 		if i%2 == 0 {
 			j.Tasks[0] = 2 + rnd.IntN(9)
--- a/soak/lasting.go
+++ b/soak/lasting.go
@@ -26,7 +26,7 @@
 		// The second team's limit is for the most part left to other jobs.
 		j := mimic.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x1000+i, n), Team: []string{"choir", "duct"}[i%2],
-			Take: 100 * time.Millisecond, Tasks: []int{1 + rnd.IntN(2)}, Lasts: true,
+			RunDuration: 100 * time.Millisecond, Tasks: []int{1 + rnd.IntN(2)}, Lasting: true,
 		}
 		if i%2 == 0 {
 			j.Tasks[0] = 4 + rnd.IntN(5)
@@ -38,7 +38,7 @@
 		if !s.insist(ctx, c, j, at) {
 			return
 		}
-		s.site.Judge.Lasts(&j)
+		s.site.Checker.ExpectLasting(&j)
 		if last {
 			duty.Sleep(planned, s.Time+healTime)
 			s.awaitRunning(ctx, &j)
@@ -48,7 +48,7 @@
 		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() {
 			s.cancel(ctx, c, j, func() string { return s.procs[pick.IntN(len(s.procs))].callers })
-			if last && s.site.Judge.Running(&j) > 0 { // Nothing is planned any more.
+			if last && s.site.Checker.RunningLasting(&j) > 0 { // Nothing is planned any more.
 				s.problem("%s still runs %v after its cancel was acknowledged", j.ID, 2*cancelTime)
 			}
 		})
@@ -69,10 +69,10 @@
 
 // awaitRunning waits until each lasting task of a job has a run.
 func (s *Soak) awaitRunning(ctx context.Context, j *mimic.Job) {
-	want := len(j.Lasting())
+	want := len(j.LastingTasks())
 	got := 0
 	for end := time.Now().Add(healTime); time.Now().Before(end) && ctx.Err() == nil; {
-		if got = s.site.Judge.Running(j); got == want {
+		if got = s.site.Checker.RunningLasting(j); got == want {
 			s.count(func(r *Report) { r.Lasting += want })
 			return
 		}
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -58,8 +58,8 @@
 			p := s.procs[(first+i)%len(s.procs)]
 			s.note("planned stop %s", p.name)
 			s.group.Go(func() {
-				s.site.Judge.Plan(true)
-				defer s.site.Judge.Plan(false)
+				s.site.Checker.RecordPlannedWork(true)
+				defer s.site.Checker.RecordPlannedWork(false)
 				p.end(syscall.SIGTERM)
 				s.restart(p)
 			})
@@ -81,8 +81,8 @@
 
 func (s *Soak) replace(ctx context.Context, i int, after time.Duration) {
 	s.note("worker %d drains for %v", i, after)
-	s.site.Judge.Plan(true)
-	defer s.site.Judge.Plan(false)
+	s.site.Checker.RecordPlannedWork(true)
+	defer s.site.Checker.RecordPlannedWork(false)
 	leave, err := s.site.Replace(i)
 	if err != nil {
 		s.problem("the stand-in has no new worker: %v", err)
@@ -95,9 +95,9 @@
 
 func (s *Soak) lose(ctx context.Context, i int) {
 	s.note("worker %d is lost", i)
-	s.site.Judge.Disturb(true)
+	s.site.Checker.RecordDisturbance(true)
 	expire, err := s.site.Lose(i)
-	s.site.Judge.Disturb(false)
+	s.site.Checker.RecordDisturbance(false)
 	if err != nil {
 		s.problem("the stand-in has no new worker: %v", err)
 		return
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -52,7 +52,7 @@
 type Soak struct {
 	Options
 
-	site    *mimic.Site
+	site    *mimic.Platform
 	procs   []*proc
 	cuts    cuts
 	rnd     *rand.Rand
@@ -108,8 +108,8 @@
 	callers.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.report.Problems = append(s.report.Problems, s.site.Judge.Problems()...)
-	s.report.Starts = s.site.Judge.Starts()
+	s.report.Problems = append(s.report.Problems, s.site.Checker.Problems()...)
+	s.report.Starts = s.site.Checker.Starts()
 	return s.report, nil
 }
 
@@ -119,7 +119,7 @@
 		return merry.Wrap(err)
 	}
 	s.faults = faults
-	s.site = &mimic.Site{Workers: s.Workers, Milli: 8000, Teams: []mimic.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
+	s.site = &mimic.Platform{Workers: s.Workers, Milli: 8000, Teams: []mimic.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
 	for d := range s.Domains {
 		s.site.Domains = append(s.site.Domains, fmt.Sprintf("d%d", d))
 	}
@@ -181,7 +181,7 @@
 	for n := 0; calls.Err() == nil; n++ {
 		j := mimic.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, i, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
-			Take: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{1 + rnd.IntN(4), 1 + rnd.IntN(3)},
+			RunDuration: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{1 + rnd.IntN(4), 1 + rnd.IntN(3)},
 		}
 		cancels := rnd.IntN(8) == 0
 		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
@@ -231,20 +231,20 @@
 // refused checks that a job whose every try was refused never runs.
 func (s *Soak) refused(ctx context.Context, j mimic.Job) {
 	duty.Sleep(ctx, cancelTime)
-	if starts, _, _ := s.site.Judge.Seen(j.ID); starts > 0 {
+	if starts, _, _ := s.site.Checker.JobStats(j.ID); starts > 0 {
 		s.problem("%s was refused, and ran", j.ID)
 	}
 }
 
 func (s *Soak) cancel(ctx context.Context, c *mimic.Caller, j mimic.Job, at func() string) {
-	s.site.Judge.Cancels(&j)
+	s.site.Checker.ExpectCancel(&j)
 	end := time.Now().Add(s.Time + healTime)
 	for time.Now().Before(end) {
 		if status := c.Cancel(ctx, at(), j); status == http.StatusOK || status == http.StatusNoContent {
 			s.count(func(r *Report) { r.Cancelled++ })
 			acked := time.Now()
 			duty.Sleep(ctx, 2*cancelTime)
-			if _, last, _ := s.site.Judge.Seen(j.ID); last.After(acked.Add(cancelTime)) {
+			if _, last, _ := s.site.Checker.JobStats(j.ID); last.After(acked.Add(cancelTime)) {
 				s.problem("%s was started %v after its cancel was acknowledged", j.ID, last.Sub(acked))
 			}
 			return
@@ -268,7 +268,7 @@
 			s.problem("%s was accepted, and is not known", j.ID)
 			return
 		case state == "completed":
-			if _, _, done := s.site.Judge.Seen(j.ID); done < want {
+			if _, _, done := s.site.Checker.JobStats(j.ID); done < want {
 				s.problem("%s is shown as completed, and %d of %d tasks are done", j.ID, done, want)
 			}
 			s.count(func(r *Report) { r.Done++ })
