--- a/cmds/stand.go
+++ b/cmds/stand.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"plantainwinch/conf"
-	"plantainwinch/platform/mimic"
+	"plantainwinch/platform/fake"
 	"plantainwinch/stand"
 	"plantainwinch/winch"
 )
@@ -99,7 +99,7 @@
 }
 
 func newStandSite() *cobra.Command {
-	s := mimic.Platform{Teams: []mimic.Team{{Name: "choir"}, {Name: "duct"}}}
+	s := fake.Platform{Teams: []fake.Team{{Name: "choir"}, {Name: "duct"}}}
 	domains := 1
 	cmd := &cobra.Command{
 		Use:   "site",
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc"
 
 	"plantainwinch/duty"
-	"plantainwinch/platform/mimic"
+	"plantainwinch/platform/fake"
 )
 
 const (
@@ -24,12 +24,12 @@
 // seconds later, until the calls are over. Each must be given up.
 func (s *Soak) crashing(ctx, calls context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 4))
-	c := &mimic.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
+	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n := 0; calls.Err() == nil; n++ {
 		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*crashPause))))
-		j := mimic.Job{
+		j := fake.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x3000, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
 			RunDuration: time.Second, Tasks: []int{1 + rnd.IntN(2)}, Crashes: true,
 		}
@@ -48,7 +48,7 @@
 }
 
 // awaitFailed asks until a job is shown as failed.
-func (s *Soak) awaitFailed(ctx context.Context, c *mimic.Caller, j mimic.Job, at func() string) {
+func (s *Soak) awaitFailed(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) {
 	status, state := 0, ""
 	for end := time.Now().Add(s.Time + healTime); time.Now().Before(end) && ctx.Err() == nil; {
 		if status, state = c.State(ctx, at(), j); state == "failed" {
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"plantainwinch/duty"
-	"plantainwinch/platform/mimic"
+	"plantainwinch/platform/fake"
 )
 
 // fault brings one fault about and has it undone later. Faults overlap.
@@ -23,10 +23,10 @@
 		{"silent", func() { p.relay.setSilent(true) }, func() { p.relay.setSilent(false) }, long},
 		{"reset", p.relay.reset, func() {}, 0},
 		{"delay", func() { p.relay.setDelay(150 * time.Millisecond) }, func() { p.relay.setDelay(0) }, long},
-		{"store silent", func() { s.site.Store.SetFaults(mimic.StoreFaults{Unresponsive: true}) }, s.calm, long},
-		{"store busy", func() { s.site.Store.SetFaults(mimic.StoreFaults{Busy: true}) }, s.calm, long},
-		{"store slow", func() { s.site.Store.SetFaults(mimic.StoreFaults{Delay: 250 * time.Millisecond}) }, s.calm, long},
-		{"store loses", func() { s.site.Store.SetFaults(mimic.StoreFaults{LoseEvery: 3}) }, s.calm, long},
+		{"store silent", func() { s.site.Store.SetFaults(fake.StoreFaults{Unresponsive: true}) }, s.calm, long},
+		{"store busy", func() { s.site.Store.SetFaults(fake.StoreFaults{Busy: true}) }, s.calm, long},
+		{"store slow", func() { s.site.Store.SetFaults(fake.StoreFaults{Delay: 250 * time.Millisecond}) }, s.calm, long},
+		{"store loses", func() { s.site.Store.SetFaults(fake.StoreFaults{LoseEvery: 3}) }, s.calm, long},
 		{"history gone", s.site.Store.Compact, func() {}, 0},
 		{"worker boots", func() { s.site.Reboot(worker) }, func() {}, 0},
 		{"worker mute", func() { s.site.LoseResponses(worker, true) }, func() { s.site.LoseResponses(worker, false) }, long},
@@ -68,7 +68,7 @@
 }
 
 // calm ends the store's faults.
-func (s *Soak) calm() { s.site.Store.SetFaults(mimic.StoreFaults{}) }
+func (s *Soak) calm() { s.site.Store.SetFaults(fake.StoreFaults{}) }
 
 func (s *Soak) restart(p *proc) {
 	if err := p.start(); err != nil {
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc"
 
 	"plantainwinch/duty"
-	"plantainwinch/platform/mimic"
+	"plantainwinch/platform/fake"
 )
 
 const (
@@ -25,11 +25,11 @@
 // then sees each to its end. One of six is cancelled.
 func (s *Soak) gangs(ctx, calls context.Context, i, part int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(1000+100*part+i)))
-	c := &mimic.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
+	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n := 0; calls.Err() == nil; n++ {
-		j := mimic.Job{
+		j := fake.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x2000+0x100*part+i, n), Team: []string{"choir", "duct"}[i%2],
 			RunDuration: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{2 + rnd.IntN(2)}, Gang: true,
 		}
--- a/soak/lasting.go
+++ b/soak/lasting.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc"
 
 	"plantainwinch/duty"
-	"plantainwinch/platform/mimic"
+	"plantainwinch/platform/fake"
 )
 
 // lasting hands in one job after the other whose last phase runs until it is
@@ -18,13 +18,13 @@
 // until no more work is planned, must run whole then, and is cancelled.
 func (s *Soak) lasting(ctx, calls, planned context.Context, i int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(500+i)))
-	c := &mimic.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
+	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	at := func() string { return s.procs[rnd.IntN(len(s.procs))].callers }
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n, last := 0, false; !last; n++ {
 		// The second team's limit is for the most part left to other jobs.
-		j := mimic.Job{
+		j := fake.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x1000+i, n), Team: []string{"choir", "duct"}[i%2],
 			RunDuration: 100 * time.Millisecond, Tasks: []int{1 + rnd.IntN(2)}, Lasting: true,
 		}
@@ -56,7 +56,7 @@
 }
 
 // insist hands a job in until it is accepted.
-func (s *Soak) insist(ctx context.Context, c *mimic.Caller, j mimic.Job, at func() string) bool {
+func (s *Soak) insist(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) bool {
 	for end := time.Now().Add(s.Time + healTime); time.Now().Before(end) && ctx.Err() == nil; {
 		if accepted, _ := s.submit(ctx, c, j, at); accepted {
 			s.count(func(r *Report) { r.Accepted++ })
@@ -68,7 +68,7 @@
 }
 
 // awaitRunning waits until each lasting task of a job has a run.
-func (s *Soak) awaitRunning(ctx context.Context, j *mimic.Job) {
+func (s *Soak) awaitRunning(ctx context.Context, j *fake.Job) {
 	want := len(j.LastingTasks())
 	got := 0
 	for end := time.Now().Add(healTime); time.Now().Before(end) && ctx.Err() == nil; {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -18,7 +18,7 @@
 	"github.com/sourcegraph/conc"
 
 	"plantainwinch/duty"
-	"plantainwinch/platform/mimic"
+	"plantainwinch/platform/fake"
 )
 
 const (
@@ -52,7 +52,7 @@
 type Soak struct {
 	Options
 
-	site    *mimic.Platform
+	site    *fake.Platform
 	procs   []*proc
 	cuts    cuts
 	rnd     *rand.Rand
@@ -119,7 +119,7 @@
 		return merry.Wrap(err)
 	}
 	s.faults = faults
-	s.site = &mimic.Platform{Workers: s.Workers, Milli: 8000, Teams: []mimic.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
+	s.site = &fake.Platform{Workers: s.Workers, Milli: 8000, Teams: []fake.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
 	for d := range s.Domains {
 		s.site.Domains = append(s.site.Domains, fmt.Sprintf("d%d", d))
 	}
@@ -175,11 +175,11 @@
 // caller hands jobs in until the calls are over, and then sees each to its end.
 func (s *Soak) caller(ctx, calls context.Context, i int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
-	c := &mimic.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
+	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n := 0; calls.Err() == nil; n++ {
-		j := mimic.Job{
+		j := fake.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, i, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
 			RunDuration: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{1 + rnd.IntN(4), 1 + rnd.IntN(3)},
 		}
@@ -191,7 +191,7 @@
 }
 
 // job hands one job in and follows it.
-func (s *Soak) job(ctx context.Context, c *mimic.Caller, j mimic.Job, rnd *rand.Rand, cancels bool) {
+func (s *Soak) job(ctx context.Context, c *fake.Caller, j fake.Job, rnd *rand.Rand, cancels bool) {
 	at := func() string { return s.procs[rnd.IntN(len(s.procs))].callers }
 	accepted, unsure := s.submit(ctx, c, j, at)
 	switch {
@@ -214,7 +214,7 @@
 // submitTries is how often a caller tries before it goes away.
 const submitTries = 6
 
-func (s *Soak) submit(ctx context.Context, c *mimic.Caller, j mimic.Job, at func() string) (accepted, unsure bool) {
+func (s *Soak) submit(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) (accepted, unsure bool) {
 	for range submitTries {
 		switch c.Submit(ctx, at(), j) {
 		case http.StatusOK:
@@ -229,14 +229,14 @@
 }
 
 // refused checks that a job whose every try was refused never runs.
-func (s *Soak) refused(ctx context.Context, j mimic.Job) {
+func (s *Soak) refused(ctx context.Context, j fake.Job) {
 	duty.Sleep(ctx, cancelTime)
 	if starts, _, _ := s.site.Checker.JobStats(j.ID); starts > 0 {
 		s.problem("%s was refused, and ran", j.ID)
 	}
 }
 
-func (s *Soak) cancel(ctx context.Context, c *mimic.Caller, j mimic.Job, at func() string) {
+func (s *Soak) cancel(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) {
 	s.site.Checker.ExpectCancel(&j)
 	end := time.Now().Add(s.Time + healTime)
 	for time.Now().Before(end) {
@@ -255,7 +255,7 @@
 }
 
 // await asks until the job is shown as done, which has to be true.
-func (s *Soak) await(ctx context.Context, c *mimic.Caller, j mimic.Job, at func() string) {
+func (s *Soak) await(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) {
 	want := 0
 	for _, n := range j.Tasks {
 		want += n
