--- a/trial/faults.go
+++ b/trial/faults.go
@@ -11,40 +11,47 @@
 )
 
 const (
-	// rebootTime is how long a worker that crashed is away.
+	// rebootDelay is the time from the crash of a worker to its next boot.
 	rebootTime = 3 * time.Second
-	// shrinkTime is how long a worker has less room, shrinkPart what part of it is left.
+	// shrinkDuration is how long the capacity of a worker stays reduced, shrinkFactor the fraction
+	// of it that remains.
 	shrinkTime = 5 * time.Second
 	shrinkPart = 0.3
 )
 
-// Fault befalls some workers of the first service that are up, drawn by the seed: they
-// crash, or have less room for a while.
+// Fault is a fault of randomly chosen running workers of the first service: they crash, or their
+// capacity is reduced for shrinkDuration.
 type Fault struct {
 	At    time.Duration
 	Count int
-	// Every repeats the fault until the pattern's end; zero is once.
-	Every   time.Duration
+	// Interval is the time between repetitions, up to the end of the pattern; zero means that the
+	// fault occurs once.
+	Every time.Duration
+	// ReduceCapacity selects a temporary loss of capacity instead of a crash.
 	Shrinks bool
 }
 
-// crashing says whether a job has tasks that crash their workers: the first of each phase,
-// or all; some time after their start; everywhere, or at half of the workers.
+// crashSpec describes which tasks of a job crash their workers.
 type crashing struct {
-	crashes, all, half bool
-	after              time.Duration
-}
-
-// drawCrashing draws whether a job has tasks that crash their workers, and how.
-func drawCrashing(rnd *rand.Rand, part float64) crashing {
-	c := crashing{crashes: rnd.Float64() < part, all: rnd.IntN(2) == 0, half: rnd.IntN(6) == 0, after: 10 * time.Millisecond}
+	// crashes is false for a job without such tasks.
+	crashes bool
+	// allTasks selects all tasks of a phase instead of the first only, halfOfWorkers a crash on
+	// half of the workers instead of on all.
+	all, half bool
+	// delay is the time from the start of the task to the crash.
+	after time.Duration
+}
+
+// drawCrashSpec draws the crash behavior of a job; the given fraction of the jobs crashes workers.
+func drawCrashing(rnd *rand.Rand, fraction float64) crashing {
+	c := crashing{crashes: rnd.Float64() < fraction, all: rnd.IntN(2) == 0, half: rnd.IntN(6) == 0, after: 10 * time.Millisecond}
 	if rnd.IntN(3) == 0 {
 		c.after = time.Duration(300+rnd.IntN(2500)) * time.Millisecond
 	}
 	return c
 }
 
-// at reports whether a task of the job crashes a worker.
+// crashesAt reports whether a task of the job crashes a worker.
 func (c crashing) at(task winch.RunID, worker string) bool {
 	if !c.crashes || !c.all && task.Index > 0 {
 		return false
@@ -54,16 +61,17 @@
 	return !c.half || h.Sum32()%2 == 0
 }
 
-// boot is the present boot of a worker.
+// workerState is the state of a simulated worker.
 type boot struct {
 	vm   winch.WorkerVM
 	down bool
 	used winch.Capacity
-	// shrunk is since when it has less room.
+	// shrunkSince is when the capacity was reduced, or zero.
 	shrunk time.Time
 }
 
-// harm counts what befell workers and tasks.
+// crashCounts counts the worker crashes that tasks caused, in all and by task, and the starts
+// that exceeded the capacity of a worker.
 type harm struct {
 	workers int
 	under   map[winch.RunID]int
@@ -72,23 +80,23 @@
 
 func newHarm() harm { return harm{under: make(map[winch.RunID]int)} }
 
-// Harm is what tasks that crash their workers did.
+// CrashReport sums up the effects of tasks that crash their workers.
 type Harm struct {
-	Crashing int // Crashing counts the jobs with such tasks, GivenUp those of them that failed.
+	Crashing int // Crashing is the number of jobs with such tasks, GivenUp of those among them that failed.
 	GivenUp  int
-	Workers  int // Workers counts those that they crashed, Most those under one task.
+	Workers  int // Workers is the number of worker crashes that they caused, Most the largest number caused by one task.
 	Most     int
-	Wronged  int // Wronged counts other jobs that failed.
-	Over     int // Over counts starts beyond a worker's room.
+	Wronged  int // Wronged is the number of other jobs that failed.
+	Over     int // Over is the number of starts that exceeded the capacity of the worker.
 }
 
-// String describes the harm in a line.
+// String returns the report as one line.
 func (h Harm) String() string {
 	return fmt.Sprintf("%d jobs crash workers, %d given up, %d workers crashed by them, at most %d under a task; %d other jobs failed; %d starts beyond a worker's room",
 		h.Crashing, h.GivenUp, h.Workers, h.Most, h.Wronged, h.Over)
 }
 
-// harmDone sums up the harm of a play.
+// crashReport returns the effects of crashes in the simulation so far.
 func (r *region) harmDone() Harm {
 	out := Harm{Workers: r.harm.workers, Over: r.harm.over}
 	for _, a := range r.jobs {
@@ -111,16 +119,19 @@
 	return out
 }
 
+// need returns the capacity that a task requires.
 func (r *region) need(task winch.RunID) winch.Capacity {
 	return r.jobs[task.Job].job.Phases[task.Phase].Need
 }
 
+// scheduleFaults schedules the faults of the pattern.
 func (r *region) setUpFaults() {
 	for _, f := range r.pattern.Faults {
 		r.at(f.At, func() { r.fault(f) })
 	}
 }
 
+// injectFault applies a fault to random workers and schedules its repetition.
 func (r *region) fault(f Fault) {
 	ids := sorted(r.boots)
 	for range f.Count {
@@ -138,12 +149,12 @@
 	}
 }
 
-// crashAfter has a run crash its worker, if its task does that there.
-func (r *region) crashAfter(job *arrivalOf, key taskRun, run *active) {
-	if !job.crash.at(key.task, run.worker) {
+// scheduleCrash schedules the crash of a run's worker if its task crashes that worker.
+func (r *region) crashAfter(arrival *arrivalOf, key taskRun, run *active) {
+	if !arrival.crash.at(key.task, run.worker) {
 		return
 	}
-	r.at(job.crash.after, func() {
+	r.at(arrival.crash.after, func() {
 		if b := r.boots[run.worker]; !run.over && !b.down {
 			r.harm.workers++
 			r.harm.under[key.task]++
@@ -152,7 +163,8 @@
 	})
 }
 
-// crash ends a worker's process: its runs are gone, and it is back as another boot.
+// crashWorker ends the process of a worker and all its runs. The worker returns as another boot
+// after rebootDelay.
 func (r *region) crash(b *boot) {
 	id := b.vm.ID
 	b.down, b.used = true, winch.Capacity{}
@@ -177,7 +189,7 @@
 	})
 }
 
-// list tells the planner what the workers say of themselves.
+// sendWorkerList sends the planner the present description of all workers.
 func (r *region) list() {
 	var list []winch.WorkerVM
 	for _, id := range sorted(r.boots) {
@@ -186,7 +198,7 @@
 	r.planner.SetWorkers(list)
 }
 
-// refused tells the planner that a start has not reached its worker.
+// reportRefused reports to the planner that a start did not reach its worker.
 func (r *region) refused(o proto.Order) {
 	r.at(tripTime, func() {
 		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartRefused})
@@ -194,21 +206,21 @@
 	})
 }
 
-// shrink leaves a part of a worker's room for a while.
+// reduceCapacity reduces the capacity of a worker for shrinkDuration.
 func (r *region) shrink(b *boot) {
 	b.shrunk = r.now
-	whole := b.vm.Room
-	b.vm.Room = winch.Capacity{Milli: int64(shrinkPart * float64(whole.Milli)), Memory: winch.Bytes(shrinkPart * float64(whole.Memory)), Accelerators: whole.Accelerators}
+	full := b.vm.Room
+	b.vm.Room = winch.Capacity{Milli: int64(shrinkPart * float64(full.Milli)), Memory: winch.Bytes(shrinkPart * float64(full.Memory)), Accelerators: full.Accelerators}
 	r.list()
 	r.at(shrinkTime, func() {
-		b.vm.Room, b.shrunk = whole, time.Time{}
+		b.vm.Room, b.shrunk = full, time.Time{}
 		r.list()
 		r.wake()
 	})
 }
 
-// checkRoom checks that a start fits into its worker's room. One that was ordered before the
-// room shrank may not.
+// checkCapacity counts a start that does not fit the capacity of its worker. A start that may have
+// been ordered before the capacity was reduced is not counted.
 func (r *region) checkRoom(o proto.Order) {
 	b := r.boots[o.Worker]
 	b.used = b.used.Add(r.need(o.Task))
--- a/trial/outcome.go
+++ b/trial/outcome.go
@@ -12,55 +12,56 @@
 	"plantainwinch/winch"
 )
 
-// adviceWorkers is the number of workers in the question that an objective allows for.
+// objectiveWorkers is the number of workers in an advice request whose cost an objective includes.
 const adviceWorkers = 30
 
-// Outcome is what became of a pattern's jobs under a policy.
+// Outcome holds the results of one pattern under one policy.
 type Outcome struct {
 	Pattern string
-	Without []string `json:",omitempty"` // Without names the mechanisms that were off.
+	Without []string `json:",omitempty"` // Without lists the mechanisms that were switched off.
 	Queues  []Served
-	// Lanes is the part of the lanes' time that questions took, Room the mean part of
-	// each service's room in use.
+	// Lanes is the fraction of the lanes' time that advice requests took, Room the mean fraction
+	// of each service's capacity in use.
 	Lanes float64
 	Room  map[string]float64
-	// Restarted counts runs that were stopped since they were slow.
+	// Restarted is the number of runs that were stopped because they were slow.
 	Restarted int64
-	// Harm is what tasks that crash their workers did.
+	// Harm sums up the effects of tasks that crash their workers.
 	Harm Harm
 }
 
-// Served is what became of a queue's jobs.
+// QueueOutcome holds the results of the jobs of one queue.
 type Served struct {
 	Queue string
 	Jobs  int
-	// OnTime is the part within the objective, Within that within three times it.
+	// OnTime is the fraction of jobs completed within the objective, Within the fraction completed
+	// within three times the objective.
 	OnTime, Within float64
-	// Lateness is the mean time beyond the objective, of all jobs.
+	// Lateness is the mean time beyond the objective, over all jobs.
 	Lateness time.Duration
 	P50, P99 time.Duration
-	// Waits sums why tasks waited, the longest first.
+	// Waits holds the total waiting time by reason, the longest first.
 	Waits []Waited
-	// Ratios are the times that the jobs took in objectives, sorted; jobs that did not
-	// end within the trial are left out.
+	// Ratios holds the times that jobs took, as multiples of their objectives, in ascending order.
+	// Jobs that were not completed within the trial are left out.
 	Ratios []float64 `json:"-"`
 }
 
-// Waited is how long tasks of a queue's jobs waited for one reason.
+// WaitingTime is how long tasks of a queue's jobs waited for one reason.
 type Waited struct {
 	Reason string
 	Time   time.Duration
 }
 
-// objective is how long a job may take, by the true run times.
+// objective returns the objective of a job, computed from its true run times.
 func (p Pattern) objective(a *arrivalOf) time.Duration {
 	for _, q := range p.Queues {
 		if q.Name != a.job.Queue {
 			continue
 		}
 		chain := time.Duration(0)
-		for _, truth := range a.truth {
-			chain += slices.Max(truth)
+		for _, runTimes := range a.truth {
+			chain += slices.Max(runTimes)
 			if q.Advice != nil {
 				chain += q.Advice.Call + adviceWorkers*q.Advice.Worker
 			}
@@ -70,6 +71,7 @@
 	return 0
 }
 
+// outcome returns the results of the simulation. Jobs that crash workers are counted in Harm only.
 func (r *region) outcome() Outcome {
 	out := Outcome{Pattern: r.pattern.Name, Room: make(map[string]float64)}
 	out.Restarted = r.planner.Counts().Restarted
@@ -83,7 +85,7 @@
 	waits := make(map[string]map[string]time.Duration)
 	for _, a := range r.jobs {
 		if a.crash.crashes {
-			continue // Nobody is served by it.
+			continue
 		}
 		if byQueue[a.job.Queue] == nil {
 			byQueue[a.job.Queue] = &Served{Queue: a.job.Queue}
@@ -111,6 +113,7 @@
 	return out
 }
 
+// summarize computes the fractions, means and percentiles once all jobs of the queue are added.
 func (s *Served) finish(took []time.Duration, waits map[string]time.Duration) {
 	slices.Sort(took)
 	slices.Sort(s.Ratios)
@@ -131,10 +134,10 @@
 	slices.SortStableFunc(s.Waits, func(a, b Waited) int { return cmp.Compare(b.Time, a.Time) })
 }
 
-// mostWaits is how many reasons a row of the table names.
+// maxReasons is the number of reasons that a row of the table names.
 const mostWaits = 3
 
-// PrintOutcomes writes outcomes as a table.
+// PrintOutcomes writes outcomes as a table, followed by a line for each with crashes.
 func PrintOutcomes(w io.Writer, all []Outcome) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "PATTERN\tWITHOUT\tQUEUE\tJOBS\tON TIME\tWITHIN 3\tLATENESS\tP50\tP99\tLANES\tROOM\tWAITED FOR")
@@ -159,6 +162,7 @@
 	return nil
 }
 
+// formatRoom returns the used fraction of each service's capacity, in the order of their names.
 func (o Outcome) rooms() string {
 	var out []string
 	for _, name := range sorted(o.Room) {
--- a/trial/pattern.go
+++ b/trial/pattern.go
@@ -9,56 +9,62 @@
 	"plantainwinch/winch"
 )
 
-// Pattern is a load on a region, made to show one thing that the planner has to get
-// right. All of it is generated from a seed.
+// Pattern is a load on a region that tests one aspect of the planner's decisions. All of it is
+// generated from a seed.
 type Pattern struct {
-	Name  string
-	Shows string // Shows says what goes wrong without a mechanism against it.
-	// Length is how long jobs come; they then have drainTime to end.
+	Name string
+	// Description says what the load is and what goes wrong without a mechanism against it.
+	Shows string
+	// Length is how long jobs arrive; they then have drainPeriod to complete.
 	Length   time.Duration
-	Lanes    int // Lanes is the number of entries that ask the advice service.
+	Lanes    int // Lanes is the number of entries that send requests to the advice service.
 	Services []Service
 	Queues   []winch.Queue
 	Teams    []winch.RegionTeam
 	Streams  []Stream
-	// Look is how long the planner's VM takes for each worker that a decision looks at;
-	// decisions take no time if it is zero.
+	// ExamineTime is the time that the planner's VM takes for each worker that a decision
+	// examines; decisions take no time if it is zero.
 	Look time.Duration
-	// Loss is the part of orders, and of lists of ends, whose answer is lost.
+	// LossRate is the fraction of responses to starts, and of lists of ended runs, that are lost
+	// from lossStart to lossEnd.
 	Loss float64
-	// Allowed is the part of the workers that the advice service allows for a step.
+	// AllowedShare is, by queue, the fraction of the workers that the advice service allows for a
+	// phase.
 	Allowed map[string]float64
-	// Faults are what befalls workers.
+	// Faults are the faults of workers.
 	Faults []Fault
 }
 
-// Service is a number of alike workers.
+// Service is a set of identical workers.
 type Service struct {
 	Name    string
 	Workers int
 	Room    winch.Capacity
 }
 
-// Stream is jobs of one kind that a team hands in.
+// Stream is a sequence of similar jobs that a team submits at random times.
 type Stream struct {
 	Queue, Team string
 	PerSecond   float64
-	From, To    time.Duration // To is zero for the pattern's length.
-	// Shape of a job: phases one after the other, of tasks whose number is drawn
-	// around Width; each task takes about Work, and its estimate is off by Off.
+	From, To    time.Duration // To is the pattern's length if it is zero.
+	// A job has Phases phases that run one after the other, each of about Width tasks. A task runs
+	// for about RunTime; EstimateError is the standard deviation of the logarithm of its estimated
+	// run time's error factor.
 	Phases int
 	Width  float64
 	Need   winch.Capacity
-	// Accelerators are drawn from these, if there are any.
+	// Accelerators holds the numbers of accelerators of which one is drawn for each job. If it is
+	// empty, Need applies.
 	Accelerators []int
 	Work         time.Duration
 	Off          float64
 	Gang, Saves  bool
-	// Crashes is the part of the jobs that have tasks which crash the workers that start them.
+	// CrashFraction is the fraction of the jobs that have tasks which crash their workers.
 	Crashes float64
 }
 
-// arrivalOf is a job of a stream with the true run time of each phase's tasks.
+// jobArrival is a job of a stream, with its time of arrival and the true run times of each phase's
+// tasks.
 type arrivalOf struct {
 	at    time.Duration
 	job   winch.PhasedJob
@@ -66,7 +72,7 @@
 	crash crashing
 }
 
-// arrivals generates the jobs of a pattern.
+// arrivals generates the jobs of a pattern, stream by stream.
 func (p Pattern) arrivals(rnd *rand.Rand, begin time.Time) []arrivalOf {
 	var out []arrivalOf
 	for n, s := range p.Streams {
@@ -86,6 +92,7 @@
 	return out
 }
 
+// newArrival generates one job of the stream.
 func (s Stream) arrival(rnd *rand.Rand, at time.Duration, begin time.Time, id string) arrivalOf {
 	out := arrivalOf{at: at, job: winch.PhasedJob{ID: id, Queue: s.Queue, Team: s.Team, Command: id, Accepted: begin.Add(at), Revision: 1}}
 	need := s.Need
@@ -96,32 +103,33 @@
 		out.crash = drawCrashing(rnd, s.Crashes)
 	}
 	for phase := range max(1, s.Phases) {
-		width := max(1, int(math.Round(s.Width*spread(rnd, 0.5))))
-		work := time.Duration(float64(s.Work) * spread(rnd, 0.4))
+		tasks := max(1, int(math.Round(s.Width*spread(rnd, 0.5))))
+		runTime := time.Duration(float64(s.Work) * spread(rnd, 0.4))
 		x := winch.Phase{
-			Count: width, Need: need, Estimate: time.Duration(float64(work) * spread(rnd, s.Off)), Gang: s.Gang, Checkpoints: s.Saves,
+			Count: tasks, Need: need, Estimate: time.Duration(float64(runTime) * spread(rnd, s.Off)), Gang: s.Gang, Checkpoints: s.Saves,
 		}
 		if phase > 0 {
 			x.After = []int{phase - 1}
 		}
-		var truth []time.Duration
-		for range width {
-			truth = append(truth, time.Duration(float64(work)*spread(rnd, 0.1)))
+		var runTimes []time.Duration
+		for range tasks {
+			runTimes = append(runTimes, time.Duration(float64(runTime)*spread(rnd, 0.1)))
 		}
 		out.job.Phases = append(out.job.Phases, x)
-		out.truth = append(out.truth, truth)
+		out.truth = append(out.truth, runTimes)
 	}
 	return out
 }
 
-// spread draws a factor around one, twice of which is as likely as half.
-func spread(rnd *rand.Rand, by float64) float64 {
-	return math.Exp(min(1.5, max(-1.5, rnd.NormFloat64())) * by)
+// randomFactor draws a factor from a log-normal distribution with median one, cut at 1.5 standard
+// deviations.
+func spread(rnd *rand.Rand, deviation float64) float64 {
+	return math.Exp(min(1.5, max(-1.5, rnd.NormFloat64())) * deviation)
 }
 
 const gigabyte = winch.Bytes(1 << 30)
 
-// Queues and shapes that the patterns share.
+// Queues, services and teams that the patterns share.
 var (
 	queueUrgent = winch.Queue{
 		Name: "lookup", Service: "general", Attempts: 2, Target: 250 * time.Millisecond, Stretch: 1.5,
@@ -146,6 +154,7 @@
 	teams       = []winch.RegionTeam{{Name: "north"}, {Name: "south"}}
 )
 
+// lookupStream returns the stream of urgent jobs with short tasks.
 func lookups(perSecond float64) Stream {
 	return Stream{
 		Queue: "lookup", Team: "north", PerSecond: perSecond, Phases: 1, Width: 6,
@@ -153,6 +162,7 @@
 	}
 }
 
+// batchStream returns the stream of two-phase jobs that need many processors.
 func batches(perSecond float64) Stream {
 	return Stream{
 		Queue: "batch", Team: "south", PerSecond: perSecond, Phases: 2, Width: 11,
@@ -160,6 +170,7 @@
 	}
 }
 
+// gangStream returns the stream of gangs that need two to eight accelerators for each task.
 func gangs(perSecond float64) Stream {
 	return Stream{
 		Queue: "gang", Team: "north", PerSecond: perSecond, Width: 1.5, Gang: true, Saves: true,
@@ -167,6 +178,7 @@
 	}
 }
 
+// smallStream returns the stream of jobs with tasks that need one accelerator.
 func smalls(perSecond float64) Stream {
 	return Stream{
 		Queue: "small", Team: "south", PerSecond: perSecond, Width: 8,
@@ -174,7 +186,7 @@
 	}
 }
 
-// previews are lookups of a large region with small workers, renders its batches.
+// previewStream returns the stream of urgent jobs of a large region with small workers.
 func previews(perSecond float64) Stream {
 	return Stream{
 		Queue: "lookup", Team: "north", PerSecond: perSecond, Phases: 2, Width: 13,
@@ -182,6 +194,7 @@
 	}
 }
 
+// renderStream returns the stream of batch jobs of a large region with small workers.
 func renders(perSecond float64) Stream {
 	return Stream{
 		Queue: "batch", Team: "south", PerSecond: perSecond, Phases: 2, Width: 41,
@@ -189,72 +202,72 @@
 	}
 }
 
-// between bounds a stream to a span of time.
+// between returns the stream limited to a time range.
 func (s Stream) between(from, to time.Duration) Stream {
 	s.From, s.To = from, to
 	return s
 }
 
-// crashing has a part of a stream's jobs crash their workers.
-func (s Stream) crashing(part float64) Stream {
-	s.Crashes = part
+// withCrashes returns the stream with the given fraction of its jobs crashing their workers.
+func (s Stream) crashing(fraction float64) Stream {
+	s.Crashes = fraction
 	return s
 }
 
-// of gives a stream to a team.
+// forTeam returns the stream as submitted by another team.
 func (s Stream) of(team string) Stream {
 	s.Team = team
 	return s
 }
 
-// Patterns are the loads that are measured. Sizes and costs are those of a small
-// region with two services, one of them accelerated.
+// Patterns returns the measured loads. Except for slow-planner, sizes and costs are those of a small
+// region with two services, one of them with accelerators.
 func Patterns() []Pattern {
 	base := Pattern{
 		Length: 60 * time.Second, Lanes: 7, Services: []Service{general, accelerated},
 		Queues: []winch.Queue{queueUrgent, queueBatch, queueGang, queueSmall}, Teams: teams, Allowed: allowed,
 	}
-	pattern := func(name, shows string, change func(*Pattern)) Pattern {
+	pattern := func(name, description string, change func(*Pattern)) Pattern {
 		p := base
-		p.Name, p.Shows = name, shows
+		p.Name, p.Shows = name, description
 		change(&p)
 		return p
 	}
 	return []Pattern{
-		pattern("bursts", "urgent bursts over wide batches: long work takes the room that a burst needs", func(p *Pattern) {
+		pattern("bursts", "urgent bursts on top of batch jobs with many tasks: long tasks take the capacity that a burst needs", func(p *Pattern) {
 			p.Streams = []Stream{lookups(10), lookups(26).between(10*time.Second, 15*time.Second), lookups(26).between(35*time.Second, 40*time.Second), batches(1.5)}
 		}),
-		pattern("gangs", "gangs that need whole workers, few of them allowed: small tasks overtake them", func(p *Pattern) {
+		pattern("gangs", "gangs that need whole workers, of which the advice service allows few: small tasks start before them", func(p *Pattern) {
 			p.Streams = []Stream{gangs(1.8), smalls(1.6)}
 		}),
-		pattern("unheard", "answers are lost for ten seconds: starts and ends go unheard", func(p *Pattern) {
+		pattern("unheard", "responses are lost for ten seconds: started and ended runs are not reported", func(p *Pattern) {
 			p.Loss = 0.045
 			p.Streams = []Stream{lookups(11), batches(0.6)}
 		}),
-		pattern("lanes", "questions near the limit of the lanes: slow ones keep urgent ones waiting, or stand idle", func(p *Pattern) {
+		pattern("lanes", "advice requests near the capacity of the lanes: slow ones delay urgent ones, or lanes stay idle", func(p *Pattern) {
 			p.Lanes = 3
 			p.Streams = []Stream{lookups(12), gangs(1.5), smalls(1.2)}
 		}),
-		pattern("hot-team", "a team sends five times its share: the others wait behind it", func(p *Pattern) {
+		pattern("hot-team", "a team submits five times its share: the jobs of other teams wait behind its jobs", func(p *Pattern) {
 			p.Teams = []winch.RegionTeam{{Name: "north", Weight: 14}, {Name: "south", Weight: 8}}
 			p.Streams = []Stream{lookups(10), lookups(40).of("south").between(15*time.Second, 35*time.Second), batches(0.5)}
 		}),
-		pattern("slow-planner", "a burst on a large region, planned on a weak VM: decisions cost what waits, and the backlog grows", func(p *Pattern) {
+		pattern("slow-planner", "a burst on a large region, planned on a slow VM: the cost of decisions rises with the backlog, which then grows", func(p *Pattern) {
 			p.Services, p.Lanes, p.Look = []Service{wide}, 30, 2*time.Microsecond
 			p.Streams = []Stream{
 				previews(11), previews(20).between(8*time.Second, 12*time.Second),
 				renders(1.3), renders(1.6).between(8*time.Second, 12*time.Second),
 			}
 		}),
-		pattern("crashes", "jobs crash the workers that start them, others crash by themselves, a rack too: what runs beside them is started again, and given up with them", func(p *Pattern) {
+		pattern("crashes", "jobs crash their workers, other workers crash on their own, once eight together: tasks beside a crash run again, and their jobs may fail too", func(p *Pattern) {
 			p.Streams = []Stream{lookups(8), batches(0.8), lookups(0.6).crashing(1).between(5*time.Second, 40*time.Second), batches(0.15).crashing(1).between(5*time.Second, 40*time.Second)}
 			p.Faults = []Fault{{At: 8 * time.Second, Count: 1, Every: 4 * time.Second}, {At: 22 * time.Second, Count: 8}}
 		}),
-		pattern("shrinks", "workers have less room for some seconds: what is started there must fit what is left", func(p *Pattern) {
+		pattern("shrinks", "workers lose capacity for some seconds: tasks started there must fit the rest", func(p *Pattern) {
 			p.Streams = []Stream{lookups(10), batches(1.2)}
 			p.Faults = []Fault{{At: 5 * time.Second, Count: 3, Every: 2 * time.Second, Shrinks: true}}
 		}),
-		pattern("overload", "more than fits for twenty seconds: what is late already, or beyond help, takes the room", func(p *Pattern) {
+		pattern("overload", "overload for twenty seconds: jobs that are late or cannot meet their objective take the capacity", func(p *Pattern) {
 			p.Streams = []Stream{gangs(1.5), gangs(1.8).between(10*time.Second, 30*time.Second), smalls(1.4)}
 		}),
 	}
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -12,22 +12,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot, and how far its time axis reaches in objectives.
+// Size of a plot, and the end of its time axis as a multiple of the objective.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 	plotMost   = 4.0
 )
 
-// Colours of the queues, in the order of their names; the blue, orange, green and red
-// of a palette that colour-blind readers can tell apart (Okabe and Ito).
+// queueColors holds the colors of the queues, in the order of their names: blue, orange, green and
+// red of the Okabe-Ito palette, which color-blind readers can distinguish.
 var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}}
 
-// Plot writes an SVG for each outcome into a folder: for each queue the share of its
-// jobs that had ended by a time, in objectives.
+// Plot writes an SVG file for each outcome into a folder. It shows for each queue the fraction of
+// its jobs that were completed within a given multiple of their objective.
 func Plot(folder string, all []Outcome) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return merry.Prepend(err, "the folder for plots cannot be made")
+		return merry.Prepend(err, "creating the folder for plots failed")
 	}
 	for _, o := range all {
 		p, err := o.plot()
@@ -36,7 +36,7 @@
 		}
 		name := strings.Join(append([]string{o.Pattern}, o.Without...), "-without-") + ".svg"
 		if err := p.Save(plotWidth, plotHeight, filepath.Join(folder, name)); err != nil {
-			return merry.Prepend(err, "the plot cannot be written")
+			return merry.Prepend(err, "writing the plot failed")
 		}
 	}
 	return nil
@@ -62,15 +62,15 @@
 	return p, nil
 }
 
-// curve is the share of jobs that had ended by each ratio.
+// curve returns the fraction of jobs that were completed by each ratio, as a step function.
 func (s Served) curve() plotter.XYs {
 	out := plotter.XYs{{X: 0, Y: 0}}
-	share := func(n int) float64 { return float64(n) / float64(max(1, s.Jobs)) }
+	fraction := func(n int) float64 { return float64(n) / float64(max(1, s.Jobs)) }
 	for i, ratio := range s.Ratios {
 		if ratio > plotMost {
 			break
 		}
-		out = append(out, plotter.XY{X: ratio, Y: share(i)}, plotter.XY{X: ratio, Y: share(i + 1)})
+		out = append(out, plotter.XY{X: ratio, Y: fraction(i)}, plotter.XY{X: ratio, Y: fraction(i + 1)})
 	}
 	last := out[len(out)-1]
 	return append(out, plotter.XY{X: plotMost, Y: last.Y})
--- a/trial/region.go
+++ b/trial/region.go
@@ -17,36 +17,40 @@
 )
 
 const (
-	// drainTime is how long jobs may take after the last has come.
+	// drainPeriod is how long the simulation continues after the last arrival.
 	drainTime = 60 * time.Second
-	// tripTime is a message's way to a worker or an entry, recordTime the store's answer.
+	// messageDelay is the one-way delay between planner and workers or entries, commitDelay the
+	// response time of the store.
 	tripTime   = 2 * time.Millisecond
 	recordTime = 6 * time.Millisecond
-	// gatherTime and idleTime are how soon after an event, and how often without one,
-	// the planner decides.
+	// gatherDelay is the delay from an event to the planner's decision, so that one decision covers
+	// several events.
 	gatherTime = 10 * time.Millisecond
-	// decidePause is how many times as long as a decision took the next one waits.
+	// decisionPauseFactor is the additional delay before a decision, in multiples of the time that
+	// the previous one took.
 	decidePause = 3
-	idleTime    = 100 * time.Millisecond
-	// reportEvery is how often workers tell how their runs go.
+	// idleInterval is the interval between decisions without events.
+	idleTime = 100 * time.Millisecond
+	// reportInterval is the interval at which workers report the progress of their runs.
 	reportEvery = 500 * time.Millisecond
-	// lostTime is how long an order without an answer takes until its run is known not
-	// to be there, unheardTime how much later an end is heard whose list was lost.
+	// lostStartDelay is the time until a start whose response is lost is known not to run,
+	// lostListDelay the additional delay of a completion whose list is lost.
 	lostTime    = 110 * time.Millisecond
 	unheardTime = 420 * time.Millisecond
-	// stopTime is how long a run takes to stop.
+	// stopDelay is how long a run takes to stop.
 	stopTime = 300 * time.Millisecond
-	// lossFrom and lossTo are when answers are lost.
+	// lossStart and lossEnd bound the time in which responses are lost.
 	lossFrom, lossTo = 15 * time.Second, 25 * time.Second
 )
 
-// timer is something that happens at a time.
+// timer calls fire at a simulated time. Timers of the same time fire in the order of their seq.
 type timer struct {
 	at  time.Time
 	seq int
 	f   func()
 }
 
+// timers is a heap of timers, the earliest first.
 type timers []timer
 
 // Len implements heap.Interface.
@@ -74,20 +78,21 @@
 	return x
 }
 
+// runKey identifies a run of a task.
 type taskRun struct {
 	task winch.RunID
 	run  uint64
 }
 
-// active is a run at a worker.
+// activeRun is a run at a worker.
 type active struct {
 	worker string
 	begun  time.Time
-	left   time.Duration // left is the work that it had to do as it began.
+	left   time.Duration // remaining is the work that was left when the run started.
 	over   bool
 }
 
-// region plays one pattern against the planner in its own time.
+// simRegion simulates a region: it runs one pattern against the planner in simulated time.
 type region struct {
 	pattern Pattern
 	rnd     *rand.Rand
@@ -99,11 +104,14 @@
 	lanes   lanes.Lanes[fleet.AdviceRequest]
 	jobs    map[string]*arrivalOf
 	runs    map[taskRun]*active
-	// saved is the work that a task has left by its last checkpoint.
-	saved  map[winch.RunID]time.Duration
-	ends   map[string]uint64
+	// checkpointed is the work that a task has left at its last checkpoint.
+	saved map[winch.RunID]time.Duration
+	// lastEnded is the number of the last ended run of each worker.
+	ends map[string]uint64
+	// decisionPending is set while a decision is scheduled, savePending while a commit of job
+	// records is.
 	armed  bool
-	lag    time.Duration // lag is how long the last decision took.
+	lag    time.Duration // decisionTime is how long the last decision took.
 	use    use
 	ended  []fleet.JobSummary
 	record bool
@@ -111,13 +119,13 @@
 	harm   harm
 }
 
-// use sums up how long lanes were busy, and samples of the room in use by service.
+// usage holds the total time that lanes were busy, and the mean fraction of capacity in use by service.
 type use struct {
 	lanes time.Duration
 	room  map[string]*mean
 }
 
-// Play plays a pattern with a policy.
+// Play simulates a pattern under a policy and returns its outcome.
 func Play(p Pattern, policy fleet.Policy, seed uint64) Outcome {
 	r := &region{
 		pattern: p, rnd: rand.New(rand.NewPCG(seed, 7)), begin: start, now: start, planner: fleet.New(1),
@@ -136,11 +144,13 @@
 	return r.outcome()
 }
 
+// schedule calls f after the given simulated time.
 func (r *region) at(d time.Duration, f func()) {
 	r.seq++
 	heap.Push(&r.timers, timer{r.now.Add(d), r.seq, f})
 }
 
+// setUp configures the planner, starts the workers and schedules the arrivals.
 func (r *region) setUp() {
 	r.planner.SetConfig(&winch.RegionConfig{Version: 1, Queues: r.pattern.Queues, Teams: r.pattern.Teams})
 	var list []winch.WorkerVM
@@ -173,6 +183,7 @@
 	r.report()
 }
 
+// scheduleIdle schedules a decision every idleInterval.
 func (r *region) idle() {
 	r.at(idleTime, func() {
 		r.decide()
@@ -180,7 +191,7 @@
 	})
 }
 
-// wake has the planner decide soon.
+// scheduleDecision schedules a decision unless one is pending.
 func (r *region) wake() {
 	if !r.armed {
 		r.armed = true
@@ -188,10 +199,11 @@
 	}
 }
 
+// decide lets the planner decide and sends its orders and advice requests.
 func (r *region) decide() {
 	r.armed = false
-	urgent, usual := r.lanes.Available(r.now)
-	r.planner.Openings = fleet.RequestQuota{Urgent: urgent, Normal: usual}
+	urgent, normal := r.lanes.Available(r.now)
+	r.planner.Openings = fleet.RequestQuota{Urgent: urgent, Normal: normal}
 	before := r.planner.Counts().Examined
 	r.planner.Schedule()
 	r.lag = time.Duration(r.planner.Counts().Examined-before) * r.pattern.Look
@@ -216,6 +228,7 @@
 	r.planner.CountedCrashes()
 }
 
+// save acknowledges the planner's job records as committed.
 func (r *region) save() {
 	r.record = false
 	for _, x := range r.planner.Records(15) {
@@ -224,26 +237,26 @@
 	r.wake()
 }
 
-// ask deals questions over the lanes.
+// sendAdviceRequests sends waiting advice requests while lanes are free.
 func (r *region) ask() {
 	for {
-		lane, q, ok := r.lanes.Next(r.now)
+		lane, request, ok := r.lanes.Next(r.now)
 		if !ok {
 			return
 		}
-		took := q.Body.Cost + 2*tripTime
+		took := request.Body.Cost + 2*tripTime
 		r.use.lanes += took
 		sent := r.now
 		r.at(took, func() {
 			r.lanes.Done(lane, true, r.now)
-			r.planner.AdviceReceived(q.Body, r.tickets(q.Body), 0, sent)
+			r.planner.AdviceReceived(request.Body, r.tickets(request.Body), 0, sent)
 			r.wake()
 		})
 	}
 }
 
-// tickets are the answer to a question: who may run a step depends on both alone. As
-// many workers are allowed at least as the step has tasks.
+// tickets returns the response to an advice request. Whether a worker may run a phase depends on
+// the phase and the worker alone, and the workers allowed are at least as many as the phase has tasks.
 func (r *region) tickets(a fleet.AdviceRequest) []winch.Ticket {
 	job := r.jobs[a.Phase.Job].job
 	order := make(map[string]uint64)
@@ -259,9 +272,9 @@
 	}
 	ids := sorted(order)
 	slices.SortStableFunc(ids, func(x, y string) int { return cmp.Compare(order[x], order[y]) })
-	most := max(int(math.Round(r.pattern.Allowed[job.Queue]*float64(len(ids)))), job.Phases[a.Phase.Phase].Count)
+	allowed := max(int(math.Round(r.pattern.Allowed[job.Queue]*float64(len(ids)))), job.Phases[a.Phase.Phase].Count)
 	var out []winch.Ticket
-	for _, id := range ids[:min(most, len(ids))] {
+	for _, id := range ids[:min(allowed, len(ids))] {
 		if slices.Contains(a.Workers, id) {
 			out = append(out, winch.Ticket{Worker: id, Value: "t"})
 		}
@@ -269,6 +282,7 @@
 	return out
 }
 
+// queue returns the queue of a name.
 func (r *region) queue(name string) winch.Queue {
 	for _, q := range r.pattern.Queues {
 		if q.Name == name {
@@ -278,19 +292,20 @@
 	return winch.Queue{}
 }
 
-// lost reports whether an answer is lost now.
+// losesResponse draws whether a response sent now is lost.
 func (r *region) lost() bool {
 	at := r.now.Sub(r.begin)
 	return at >= lossFrom && at < lossTo && r.rnd.Float64() < r.pattern.Loss
 }
 
+// startRun starts a run at its worker, unless the worker is down or the response is lost.
 func (r *region) start(o proto.Order) {
-	job := r.jobs[o.Task.Job]
+	arrival := r.jobs[o.Task.Job]
 	if r.boots[o.Worker].down {
 		r.refused(o)
 		return
 	}
-	if !job.job.Phases[o.Task.Phase].Gang && r.lost() {
+	if !arrival.job.Phases[o.Task.Phase].Gang && r.lost() {
 		r.at(lostTime, func() {
 			r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventNotStarted, Worker: o.Worker, Task: o.Task, Run: o.Run, Result: winch.StartUncertain})
 			r.wake()
@@ -299,20 +314,20 @@
 	}
 	left, saved := r.saved[o.Task]
 	if !saved || o.Checkpoint == "" {
-		left = job.truth[o.Task.Phase][o.Task.Index]
+		left = arrival.truth[o.Task.Phase][o.Task.Index]
 	}
 	run := &active{worker: o.Worker, begun: r.now, left: left}
 	key := taskRun{o.Task, o.Run}
 	r.runs[key] = run
 	r.checkRoom(o)
-	r.crashAfter(job, key, run)
+	r.crashAfter(arrival, key, run)
 	r.at(tripTime, func() {
 		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventStarted, Worker: o.Worker, Task: o.Task, Run: o.Run})
 	})
 	r.at(left+tripTime, func() { r.end(key, run, winch.CompletionDone) })
 }
 
-// end lets a worker list an end, late if the list is lost.
+// endRun ends a run and reports its completion, with an additional delay if the list is lost.
 func (r *region) end(key taskRun, run *active, kind winch.CompletionKind) {
 	if run.over {
 		return
@@ -320,15 +335,15 @@
 	run.over = true
 	delete(r.runs, key)
 	r.boots[run.worker].used = r.boots[run.worker].used.Sub(r.need(key.task))
-	late, checkpoint := tripTime, ""
+	delay, checkpoint := tripTime, ""
 	if r.lost() {
-		late += unheardTime
+		delay += unheardTime
 	}
 	if kind == winch.CompletionStopped && r.jobs[key.task.Job].job.Phases[key.task.Phase].Checkpoints {
 		r.saved[key.task] = max(0, run.left-r.now.Sub(run.begun))
 		checkpoint = "saved"
 	}
-	r.at(late, func() {
+	r.at(delay, func() {
 		r.ends[run.worker]++
 		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventEnded, Worker: run.worker, Ended: []winch.Completion{
 			{Number: r.ends[run.worker], Task: key.task, Run: key.run, Kind: kind, Checkpoint: checkpoint},
@@ -337,6 +352,7 @@
 	})
 }
 
+// stopRun ends a run after stopDelay.
 func (r *region) stop(o proto.Order) {
 	key := taskRun{o.Task, o.Run}
 	if run := r.runs[key]; run != nil {
@@ -344,7 +360,7 @@
 	}
 }
 
-// report has all workers tell how their runs go, and samples the room in use.
+// scheduleReports schedules the progress reports of all workers and the samples of capacity in use.
 func (r *region) report() {
 	r.at(reportEvery, func() {
 		running := make(map[string][]winch.Running)
@@ -352,8 +368,8 @@
 		for key, run := range r.runs {
 			phase := r.jobs[key.task.Job].job.Phases[key.task.Phase]
 			used[r.service(run.worker).Name] = used[r.service(run.worker).Name].Add(phase.Need)
-			truth := r.jobs[key.task.Job].truth[key.task.Phase][key.task.Index]
-			done := 1 - float64(run.left-r.now.Sub(run.begun))/float64(truth)
+			runTime := r.jobs[key.task.Job].truth[key.task.Phase][key.task.Index]
+			done := 1 - float64(run.left-r.now.Sub(run.begun))/float64(runTime)
 			running[run.worker] = append(running[run.worker], winch.Running{Task: key.task, Run: key.run, Percent: float64(int(100 * done))})
 		}
 		for _, id := range sorted(running) {
@@ -371,6 +387,7 @@
 	})
 }
 
+// serviceOf returns the service of a worker, whose ID begins with the service's name.
 func (r *region) service(worker string) Service {
 	for _, s := range r.pattern.Services {
 		if len(worker) > len(s.Name) && worker[:len(s.Name)] == s.Name {
@@ -380,15 +397,17 @@
 	return Service{}
 }
 
-// part is the largest part that is used of a service's processors or accelerators.
+// usedFraction returns the fraction in use of a service's processors or accelerators, whichever is
+// larger.
 func (s Service) part(used winch.Capacity) float64 {
-	part := float64(used.Milli) / float64(s.Room.Milli*int64(s.Workers))
+	fraction := float64(used.Milli) / float64(s.Room.Milli*int64(s.Workers))
 	if all := s.Room.Accelerators * s.Workers; all > 0 {
-		part = max(part, float64(used.Accelerators)/float64(all))
+		fraction = max(fraction, float64(used.Accelerators)/float64(all))
 	}
-	return part
+	return fraction
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sorted[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/trial/region_test.go
+++ b/trial/region_test.go
@@ -13,18 +13,19 @@
 	"plantainwinch/coord/fleet"
 )
 
-// playLength is enough for the first burst of each pattern and for what follows it.
+// patternLength is long enough for the first burst of each pattern and its aftermath.
 const playLength = 30 * time.Second
 
-// plays holds what has been played: tests look at several queues of one play.
+// outcomes caches the outcomes by pattern and policy, since several tests check the queues of one.
 var plays sync.Map
 
+// outcomeOf returns the outcome of a pattern under a policy. It simulates each combination once.
 func played(pattern string, policy fleet.Policy) Outcome {
 	type key struct {
 		pattern string
 		policy  fleet.Policy
 	}
-	play := func() Outcome {
+	simulate := func() Outcome {
 		for _, p := range Patterns() {
 			if p.Name == pattern {
 				p.Length = playLength
@@ -33,11 +34,11 @@
 		}
 		return Outcome{}
 	}
-	out, _ := plays.LoadOrStore(key{pattern, policy}, sync.OnceValue(play))
+	out, _ := plays.LoadOrStore(key{pattern, policy}, sync.OnceValue(simulate))
 	return out.(func() Outcome)()
 }
 
-// served plays a pattern, without some mechanisms, and returns what became of a queue.
+// queueOutcome returns the outcome of one queue of a pattern, with some mechanisms switched off.
 func served(t *testing.T, pattern, queue string, without ...string) Served {
 	t.Helper()
 	policy := fleet.DefaultPolicy()
@@ -56,7 +57,8 @@
 	return Served{}
 }
 
-// Gangs that need whole workers are overtaken by small tasks, and some are never served.
+// Small tasks must not starve gangs. They do if they take every accelerator that becomes free, so
+// that no worker is ever wholly free for a gang.
 func TestGangsAreServedBesideSmallTasks(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -66,7 +68,8 @@
 	is.True(served(t, "gangs", "gang", "AskAll").OnTime < with.OnTime)
 }
 
-// Questions near the limit of the lanes: urgent ones wait, or slow ones are asked anew.
+// The load of advice requests is close to the capacity of the lanes. Urgent requests must not wait
+// behind slow ones, and slow ones must not be sent again for the same phase.
 func TestUrgentQuestionsAreAnsweredWhereLanesAreFew(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -76,7 +79,7 @@
 	is.True(served(t, "lanes", "small", "AskAll").P50 > small.P50)
 }
 
-// A team sends five times its share, and the others wait behind it.
+// A team that submits five times its share must not delay the jobs of the other teams.
 func TestTeamsAreServedBesideAHotOne(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -84,7 +87,8 @@
 	is.True(served(t, "hot-team", "lookup", "UrgentRoom").OnTime < served(t, "hot-team", "lookup").OnTime)
 }
 
-// More comes than fits for a while; what missed its objective is left until nobody waits.
+// Jobs that miss their objective in an overload must still complete soon after it, instead of
+// waiting until their callers have given up.
 func TestOverloadLeavesNobodyOut(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -93,8 +97,8 @@
 	is.True(served(t, "overload", "gang", "LastCall").Lateness > gangs.Lateness)
 }
 
-// A burst comes to a large region whose planner runs on a weak VM. Decisions that cost what
-// waits come ever later, and the backlog grows beside free workers.
+// A burst arrives at a large region whose planner runs on a slow VM. If the cost of a decision grows
+// with the backlog, decisions come later and later, and the backlog grows although workers are free.
 func TestBurstIsWorkedOffByASlowPlanner(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -102,14 +106,14 @@
 	is.True(served(t, "slow-planner", "batch").Within >= 0.97)
 }
 
-// Answers are lost for ten seconds; lookups are on time nevertheless.
+// Jobs of the lookup queue must be on time while some responses are lost for ten seconds.
 func TestLookupsAreOnTimeWhileAnswersAreLost(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	is.True(served(t, "unheard", "lookup").OnTime >= 0.95)
 }
 
-// Bursts of lookups come over wide batches that fill the workers.
+// Bursts of short urgent tasks must be on time although long batch tasks fill the workers.
 func TestBurstsAreServedOverWideBatches(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -117,9 +121,9 @@
 	is.True(served(t, "bursts", "batch").Within >= 0.99)
 }
 
-// Jobs crash the workers that start them, other workers crash by themselves and eight at
-// once. All tasks that crash workers are bounded, and no other job is given up with them, as
-// most would be by counting crashes alone.
+// Some jobs crash their workers; other workers crash on their own, one at a time and eight at once.
+// The crashes under each task must be bounded, and no other job may fail. Without the mechanism
+// Isolate other jobs do fail, since a crash then counts against every task on the worker.
 func TestOnlyTasksThatCrashWorkersAreGivenUp(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -133,7 +137,7 @@
 	is.True(played("crashes", off).Harm.Wronged > 0)
 }
 
-// Workers have less room for a while. Nothing is started beyond what they say they have.
+// The capacity of some workers is reduced for a while. Starts must not exceed the reduced capacity.
 func TestStartsFitShrunkRoom(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -141,7 +145,7 @@
 	is.True(served(t, "shrinks", "lookup").OnTime >= 0.95)
 }
 
-// Two plays of a seed differ, and no figure can be compared.
+// Two simulations with one seed must not differ, since outcomes could not be compared otherwise.
 func TestSeedGivesTheSameOutcome(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -150,6 +154,7 @@
 	is.Equal(Play(p, fleet.DefaultPolicy(), 1), Play(p, fleet.DefaultPolicy(), 1))
 }
 
+// Plot must write an SVG file named after the pattern and the disabled mechanisms.
 func TestPlotIsWritten(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
--- a/trial/stats.go
+++ b/trial/stats.go
@@ -12,11 +12,12 @@
 	"plantainwinch/coord/place"
 )
 
-// stats gathers looks at the fleet.
+// stats holds the means of samples of the fleet's use.
 type stats struct {
 	packing, full, stranded, distance mean
 }
 
+// mean is the arithmetic mean of the values added to it.
 type mean struct {
 	sum float64
 	n   int
@@ -34,7 +35,7 @@
 	return m.sum / float64(m.n)
 }
 
-// sample looks at the fleet once. The first part of a trial, in which the fleet
+// sample adds a sample of the fleet's present use. The first fifth of a trial, in which the fleet
 // fills up, is left out.
 func (s *stats) sample(d *driver) {
 	if d.now < d.fleet.Length/5 {
@@ -52,53 +53,54 @@
 	s.distance.add(distance(o, d.fleet))
 }
 
-// distance is half the summed difference between the teams' parts and the fair
-// ones. A team is owed its share of the whole, but no more than it wants.
+// distance returns half the sum of the differences between each team's use and its fair share. The
+// fair share of a team is in proportion to its configured share, but not above its demand.
 func distance(o place.Occupancy, f Fleet) float64 {
 	fair := fairParts(o, f)
 	sum := 0.0
-	for team, want := range fair {
-		sum += math.Abs(o.Teams[team].Used - want)
+	for team, fairUse := range fair {
+		sum += math.Abs(o.Teams[team].Used - fairUse)
 	}
 	return sum / 2
 }
 
-// fairParts divides what is committed by shares; what a team does not want goes
-// to the others, again by shares.
+// fairShares divides the resources in use among the teams in proportion to their shares. What
+// exceeds the demand of a team is divided among the others in the same way.
 func fairParts(o place.Occupancy, f Fleet) map[string]float64 {
 	out := make(map[string]float64, len(o.Teams))
-	left := 0.0
-	open := make(map[string]bool, len(o.Teams))
+	remaining := 0.0
+	unsatisfied := make(map[string]bool, len(o.Teams))
 	for team, t := range o.Teams {
-		left += t.Used
-		open[team] = true
+		remaining += t.Used
+		unsatisfied[team] = true
 	}
-	for len(open) > 0 {
-		shares, closed := 0, false
-		for team := range open {
+	for len(unsatisfied) > 0 {
+		shares, satisfied := 0, false
+		for team := range unsatisfied {
 			shares += share(f, team)
 		}
-		spare := left
-		for team := range open {
-			part := left * float64(share(f, team)) / float64(shares)
-			if want := o.Teams[team].Used + o.Teams[team].Wanted; want <= part {
-				out[team], closed = want, true
-				spare -= want
-				delete(open, team)
+		rest := remaining
+		for team := range unsatisfied {
+			portion := remaining * float64(share(f, team)) / float64(shares)
+			if demand := o.Teams[team].Used + o.Teams[team].Wanted; demand <= portion {
+				out[team], satisfied = demand, true
+				rest -= demand
+				delete(unsatisfied, team)
 			}
 		}
-		left = spare
-		if closed {
+		remaining = rest
+		if satisfied {
 			continue
 		}
-		for team := range open {
-			out[team] = left * float64(share(f, team)) / float64(shares)
+		for team := range unsatisfied {
+			out[team] = remaining * float64(share(f, team)) / float64(shares)
 		}
 		return out
 	}
 	return out
 }
 
+// fill sets the means in a result.
 func (s *stats) fill(r *Result) {
 	r.Packing, r.Full, r.Stranded, r.Distance = s.packing.value(), s.full.value(), s.stranded.value(), s.distance.value()
 }
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -12,37 +12,38 @@
 	"plantainwinch/winch"
 )
 
-// Result is what one placer did with one fleet's arrivals.
+// Result holds the results of one placer for the arrivals of one fleet.
 type Result struct {
 	Fleet  string
 	Placer string
-	// Urgent and Deferred are waiting times before the start.
+	// Urgent and Deferred are the waiting times before the first start of a task.
 	Urgent, Deferred Waits
-	// Met is the part of urgent tasks that started within their target.
+	// Met is the fraction of urgent tasks that started within their target.
 	Met float64
-	// Packing is the mean part of the processors of workers in use that is
-	// committed, Full that of all processors while work waited, Stranded the part
-	// that no task could use for want of memory.
+	// Packing is the mean committed fraction of the processors of workers in use. Full is the mean
+	// committed fraction of all processors, and Stranded the mean fraction that could not be used
+	// for lack of memory, both while tasks waited.
 	Packing, Full, Stranded float64
-	// Distance is the mean difference between a team's part and its fair one
-	// while work waited, summed over teams and halved.
+	// Distance is half the sum of the differences between the teams' use and their fair shares,
+	// as a mean over the time in which tasks waited.
 	Distance  float64
 	Decisions int64
-	// PerSecond is decisions a second of processor time, P99 the slowest
-	// hundredth of single decisions.
+	// PerSecond is the number of decisions per second of planning time, P99 the 99th percentile of
+	// the time of a decision.
 	PerSecond float64
 	P99       time.Duration
 	Evictions int
-	Lost      time.Duration
-	Done      int // Done is the deferred work that ended, in processor minutes.
+	Lost      time.Duration // Lost is the run time that evictions discarded.
+	Done      int           // Done is the work of completed tasks, in processor minutes.
 }
 
-// Waits are waiting times.
+// WaitStats summarizes waiting times.
 type Waits struct {
 	Count    int64
 	P50, P99 time.Duration
 }
 
+// completion is the scheduled completion of a running task.
 type ending struct {
 	at   time.Duration
 	vm   string
@@ -50,6 +51,7 @@
 	seq  int
 }
 
+// completions is a heap of completions, the earliest first.
 type endings []ending
 
 // Len implements heap.Interface.
@@ -77,7 +79,7 @@
 	return x
 }
 
-// purse gives every team the same wide limit.
+// teamLimits implements place.Limits with one limit for all teams, the capacity of the fleet.
 type purse struct{ used, limit map[string]int }
 
 // TryTake implements place.Limits.
@@ -95,7 +97,7 @@
 // Return implements place.Limits.
 func (p purse) Return(team string, n int) { p.used[team] -= n }
 
-// driver runs one placer over one list of arrivals.
+// driver runs one placer on one list of arrivals in simulated time.
 type driver struct {
 	fleet   Fleet
 	planner *place.Planner
@@ -103,8 +105,8 @@
 	work    []arrival
 	byID    map[string]*arrival
 	ends    endings
-	live    map[winch.TaskID]int // live is the seq of a running task's ending.
-	waited  map[winch.TaskID]bool
+	live    map[winch.TaskID]int  // liveSeq is the seq of a running task's completion.
+	waited  map[winch.TaskID]bool // started holds the tasks whose waiting time is recorded.
 	seq     int
 	now     time.Duration
 	urgent  *hdrhistogram.Histogram
@@ -117,20 +119,21 @@
 	done    time.Duration
 }
 
-// tick is how often the placer plans beyond arrivals and ends, and sampleEvery
-// how often the fleet is looked at.
+// planInterval is the interval between planning steps, sampleInterval between samples of the fleet's
+// use.
 const (
 	tick        = 100 * time.Millisecond
 	sampleEvery = 5 * time.Second
 )
 
-// histogram bounds, in microseconds for waits and nanoseconds for decisions.
+// Upper bound and significant figures of the histograms, which hold waiting times in microseconds and
+// decision times in nanoseconds.
 const (
 	histMax     = 100_000_000_000
 	histFigures = 3
 )
 
-// Run drives one placer over a fleet's arrivals.
+// Run runs one placer on the arrivals of a fleet and returns its results.
 func Run(f Fleet, seed uint64, prefer place.Preference, baseline bool) Result {
 	d := &driver{
 		fleet: f, work: generate(f, seed), byID: make(map[string]*arrival), live: make(map[winch.TaskID]int),
@@ -152,6 +155,7 @@
 	return d.result(prefer, baseline)
 }
 
+// addWorkers adds the workers of the fleet; those with accelerators are spread evenly.
 func (d *driver) addWorkers() {
 	for i := range d.fleet.Workers {
 		vm := winch.VM{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprint("r", i/d.fleet.RackSize), Size: d.fleet.Size}
@@ -164,6 +168,7 @@
 	d.planner.OpenBarrier()
 }
 
+// run simulates the length of the trial.
 func (d *driver) run() {
 	next, sample := 0, time.Duration(0)
 	for d.now = 0; d.now < d.fleet.Length; d.now += tick {
@@ -183,19 +188,21 @@
 	}
 }
 
+// complete reports the completion of a task to the planner and applies the resulting decisions.
 func (d *driver) end(e ending) {
 	if d.live[e.task.ID] != e.seq {
-		return // It was evicted before.
+		return // The task was evicted.
 	}
 	delete(d.live, e.task.ID)
 	e.task.State = winch.TaskDone
 	d.done += time.Duration(e.task.Need.Processors) * d.byID[e.task.ID.Job].truth[e.task.ID.Index]
 	d.do(d.planner.TaskEnded(e.vm, e.task, start.Add(d.now)))
-	for _, f := range d.planner.TakeCompletions() {
-		d.planner.Forget(f.Job)
+	for _, c := range d.planner.TakeCompletions() {
+		d.planner.Forget(c.Job)
 	}
 }
 
+// plan applies decisions until the planner has no more, and records the time that they took.
 func (d *driver) plan() {
 	for {
 		begin := time.Now()
@@ -211,6 +218,7 @@
 	}
 }
 
+// apply applies decisions. Evicted tasks stop at once.
 func (d *driver) do(list []place.Decision) {
 	for _, x := range list {
 		if x.Action == place.Start {
@@ -223,6 +231,7 @@
 	}
 }
 
+// startTask starts a task and records its waiting time at its first start.
 func (d *driver) started(x place.Decision) {
 	a := d.byID[x.Task.ID.Job]
 	d.seq++
@@ -245,12 +254,14 @@
 	}
 }
 
+// waitStats summarizes a histogram of microseconds.
 func waits(h *hdrhistogram.Histogram) Waits {
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return Waits{Count: h.TotalCount(), P50: us(h.ValueAtQuantile(50)), P99: us(h.ValueAtQuantile(99))}
 }
 
-// result sums up. Urgent tasks that never started count as not met.
+// result returns the results. Urgent tasks that never started count as not met, unless they arrived
+// too late for their target to pass within the trial.
 func (d *driver) result(prefer place.Preference, baseline bool) Result {
 	urgent := int64(0)
 	for _, a := range d.work {
@@ -270,7 +281,7 @@
 	return out
 }
 
-// Growth measures the cost of a decision at growing sizes, all else in proportion.
+// Growth measures the cost of a decision for 50 to 1600 workers, with the load in proportion.
 func Growth(seed uint64) []Result {
 	var out []Result
 	for _, n := range []int{50, 100, 200, 400, 800, 1600} {
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -8,17 +8,17 @@
 	"plantainwinch/coord/place"
 )
 
-// The same arrivals go to the baseline and to ours on a small domain: ours
-// starts more of the urgent work in time and wastes no more of the fleet.
+// With the same arrivals on a small domain, the planner must start more of the urgent tasks in time
+// than the baseline, at little cost in deferred work. One seed must always give the same result.
 func TestBetterThanBaseline(t *testing.T) {
 	is := is.New(t)
 	f := Fleets()[0]
 	f.Length /= 2
 	base := Run(f, 1, place.Packing, true)
-	ours := Run(f, 1, place.Packing, false)
-	is.True(ours.Met > base.Met)
-	is.True(ours.Done*10 > base.Done*8) // preempted work costs something
+	planner := Run(f, 1, place.Packing, false)
+	is.True(planner.Met > base.Met)
+	is.True(planner.Done*10 > base.Done*8) // preempted runs lose their work
 	again := Run(f, 1, place.Packing, false)
-	is.Equal(again.Met, ours.Met) // the same seed gives the same run
-	is.Equal(again.Decisions, ours.Decisions)
+	is.Equal(again.Met, planner.Met)
+	is.Equal(again.Decisions, planner.Decisions)
 }
--- a/trial/work.go
+++ b/trial/work.go
@@ -1,5 +1,6 @@
-// Package trial measures the decisions of a placer: it drives the planner with
-// generated arrivals in its own time, ours and the baseline with the same ones.
+// Package trial measures scheduling decisions on generated loads in simulated time. Play runs the
+// planner of a region on a load pattern; Run runs the placer of one failure domain, or its baseline,
+// on the arrivals of a fleet.
 package trial
 
 import (
@@ -13,24 +14,25 @@
 	"plantainwinch/winch"
 )
 
-// Fleet is the size of one failure domain and of the work that it gets.
+// Fleet describes the workers of one failure domain and the load on it.
 type Fleet struct {
 	Name         string
 	Workers      int
 	Size         winch.Resources
-	Accelerators int // Accelerators is how many workers have two of them.
+	Accelerators int // Accelerators is the number of workers that have two accelerators each.
 	RackSize     int
 	Teams        int
 	Services     int     // Services is the number of long-running tasks.
-	Load         float64 // Load is the offered work, services left out, as a part of the capacity that they leave.
-	Urgent       float64 // Urgent is the part of the offered work that is urgent.
+	Load         float64 // Load is the work that arrives, without services, as a fraction of the capacity that services leave.
+	Urgent       float64 // Urgent is the fraction of that work that is urgent.
 	Length       time.Duration
-	// Burst is the number of urgent jobs that arrive within one second half-way.
+	// Burst is the number of additional urgent jobs that arrive within one second, halfway through
+	// the trial.
 	Burst int
 }
 
-// Fleets are the sizes that are measured: a failure domain of each user, one of
-// the design size, and the whole design size under one placer, as the worst case.
+// Fleets returns the measured fleets: a failure domain of each user, one of the design size, and the
+// whole region of the design size under one placer, as the worst case.
 func Fleets() []Fleet {
 	coros := Fleet{
 		Name: "Coros domain", Workers: 17, Size: winch.Resources{Processors: 16, Memory: 32 << 30}, Accelerators: 3, RackSize: 8,
@@ -47,14 +49,14 @@
 	return []Fleet{coros, mahoe, domain, whole}
 }
 
-// capacity returns what all workers have together.
+// capacity returns the total resources of all workers.
 func (f Fleet) capacity() winch.Resources {
 	return winch.Resources{
 		Processors: f.Workers * f.Size.Processors, Memory: winch.Bytes(f.Workers) * f.Size.Memory, Accelerators: 2 * f.Accelerators,
 	}
 }
 
-// arrival is a job at a time, with the true run time of its tasks.
+// arrival is a job with its time of arrival and the true run times of its tasks.
 type arrival struct {
 	at    time.Duration
 	job   winch.Job
@@ -70,18 +72,19 @@
 	classService = winch.Class{Name: "service", Wait: time.Minute, Repeatable: true, MaxRun: 24 * time.Hour}
 )
 
-// start is the time of day at which a trial begins.
+// trialStart is the simulated time at which a trial begins.
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
+// generator generates the arrivals of a trial.
 type generator struct {
 	fleet Fleet
 	rnd   *rand.Rand
-	bias  []float64 // bias is how far off each team's declared run times are.
+	bias  []float64 // bias is each team's ratio of true to declared run times.
 	seq   int
 	out   []arrival
 }
 
-// generate makes the arrivals of a trial.
+// generate returns the arrivals of a trial, not in the order of their times.
 func generate(f Fleet, seed uint64) []arrival {
 	g := &generator{fleet: f, rnd: rand.New(rand.NewPCG(seed, 21))}
 	for range f.Teams {
@@ -101,39 +104,42 @@
 	return g.out
 }
 
-// fill adds jobs at random times until they make up the given work.
-func (g *generator) fill(work float64, one func(at time.Duration) float64) {
+// fill adds jobs at random times until their work reaches the given processor seconds. The given
+// function adds a job and returns its work.
+func (g *generator) fill(work float64, add func(at time.Duration) float64) {
 	for work > 0 {
-		work -= one(time.Duration(g.rnd.Float64() * float64(g.fleet.Length)))
+		work -= add(time.Duration(g.rnd.Float64() * float64(g.fleet.Length)))
 	}
 }
 
+// addUrgent adds an urgent job and returns its work.
 func (g *generator) urgent(at time.Duration) float64 {
 	cpu := 1 + g.rnd.IntN(2)
-	run := time.Duration(2+g.rnd.ExpFloat64()*20) * time.Second
-	g.add(at, classUrgent, winch.Batch, 1, winch.Resources{Processors: cpu, Memory: winch.Bytes(cpu) << 30}, run)
-	return float64(cpu) * run.Seconds()
+	runTime := time.Duration(2+g.rnd.ExpFloat64()*20) * time.Second
+	g.add(at, classUrgent, winch.Batch, 1, winch.Resources{Processors: cpu, Memory: winch.Bytes(cpu) << 30}, runTime)
+	return float64(cpu) * runTime.Seconds()
 }
 
+// addDeferred adds a gang, a billed job or a batch job, and returns its work by the declared run time.
 func (g *generator) deferred(at time.Duration) float64 {
-	run := time.Duration(30+g.rnd.ExpFloat64()*300) * time.Second
+	runTime := time.Duration(30+g.rnd.ExpFloat64()*300) * time.Second
 	need := g.need()
 	switch x := g.rnd.IntN(100); {
 	case x < 8:
 		tasks := 4 + g.rnd.IntN(max(1, min(12, g.fleet.Workers/3)))
-		g.add(at, classBatch, winch.Gang, tasks, need, run)
-		return float64(tasks*need.Processors) * run.Seconds()
+		g.add(at, classBatch, winch.Gang, tasks, need, runTime)
+		return float64(tasks*need.Processors) * runTime.Seconds()
 	case x < 16:
-		g.add(at, classBilled, winch.Batch, 1, need, run)
-		return float64(need.Processors) * run.Seconds()
+		g.add(at, classBilled, winch.Batch, 1, need, runTime)
+		return float64(need.Processors) * runTime.Seconds()
 	default:
 		tasks := 1 + g.rnd.IntN(8)
-		g.add(at, classBatch, winch.Batch, tasks, need, run)
-		return float64(tasks*need.Processors) * run.Seconds()
+		g.add(at, classBatch, winch.Batch, tasks, need, runTime)
+		return float64(tasks*need.Processors) * runTime.Seconds()
 	}
 }
 
-// need draws the size of a task; some need much memory, some accelerators.
+// randomNeed draws the resources that a task needs; some tasks need much memory, some an accelerator.
 func (g *generator) need() winch.Resources {
 	cpu := 1 << g.rnd.IntN(4)
 	perCPU := g.fleet.Size.Memory / winch.Bytes(g.fleet.Size.Processors)
@@ -145,31 +151,34 @@
 	return out
 }
 
-func (g *generator) add(at time.Duration, class winch.Class, kind winch.JobKind, tasks int, need winch.Resources, run time.Duration) {
+// add adds a job of a random team. Classes without a target for the waiting time get true run times
+// that differ from the declared one.
+func (g *generator) add(at time.Duration, class winch.Class, kind winch.JobKind, tasks int, need winch.Resources, runTime time.Duration) {
 	g.seq++
 	team := g.rnd.IntN(g.fleet.Teams)
 	if g.rnd.IntN(3) == 0 {
-		team = g.rnd.IntN(max(1, g.fleet.Teams/10)) // A few teams are large.
+		team = g.rnd.IntN(max(1, g.fleet.Teams/10)) // A tenth of the teams submit more than the others.
 	}
 	a := arrival{at: at, class: class, job: winch.Job{
 		ID: fmt.Sprintf("j%07d", g.seq), Team: teamName(team), Class: class.Name, State: winch.JobQueued, Submitted: start.Add(at),
-		Spec: winch.JobSpec{Kind: kind, Tasks: tasks, Need: need, RunTime: run},
+		Spec: winch.JobSpec{Kind: kind, Tasks: tasks, Need: need, RunTime: runTime},
 	}}
 	for range tasks {
-		truth := run
+		trueRunTime := runTime
 		if class.Wait == 0 {
-			truth = time.Duration(float64(run) * g.bias[team] * math.Exp(g.rnd.NormFloat64()*0.3))
+			trueRunTime = time.Duration(float64(runTime) * g.bias[team] * math.Exp(g.rnd.NormFloat64()*0.3))
 		}
-		a.truth = append(a.truth, min(truth, class.MaxRun))
+		a.truth = append(a.truth, min(trueRunTime, class.MaxRun))
 	}
 	g.out = append(g.out, a)
 }
 
 const teamPrefix = "team-"
 
+// teamName returns the name of the team with an index.
 func teamName(i int) string { return teamPrefix + strconv.Itoa(i) }
 
-// share returns a team's share: a tenth of the teams have a large one.
+// teamShare returns a team's share: four for a tenth of the teams, one for the others.
 func share(f Fleet, name string) int {
 	if i, err := strconv.Atoi(strings.TrimPrefix(name, teamPrefix)); err == nil && i < max(1, f.Teams/10) {
 		return 4
