--- a/cause/cause.go
+++ b/cause/cause.go
@@ -1,5 +1,5 @@
-// Package cause reads the logs of a region's entries and tells which jobs were late
-// or not accepted, when, and what their time went into.
+// Package cause analyzes the logs of a region's entries. It finds out which jobs were late or not
+// accepted, when, and what they spent their time on.
 package cause
 
 import (
@@ -17,10 +17,10 @@
 	"plantainwinch/winch"
 )
 
-// longestLine bounds a line of a log.
+// maxLineSize bounds the length of a log line, in bytes.
 const longestLine = 4 << 20
 
-// Messages of the log that are read.
+// Messages of the log lines that are evaluated. They must match the texts that the entries log.
 const (
 	messageAccepted = "accepted"
 	messageEnded    = "job ended"
@@ -29,11 +29,11 @@
 	messageCrash    = "crash counted"
 )
 
-// methodShow is that of a request for a job's state.
+// methodState is the HTTP method of a request for the state of a job.
 const methodShow = "GET"
 
-// line is what is read of a line of a log. Times are as zap writes them: ts in
-// RFC 3339, durations in seconds.
+// logLine holds the evaluated fields of a log line, in the formats of zap: ts in RFC 3339,
+// durations in seconds.
 type line struct {
 	Message   string             `json:"msg"`
 	Method    string             `json:"method"`
@@ -52,76 +52,76 @@
 	GivenUp   bool               `json:"givenUp"`
 }
 
-// Class counts jobs by how well they were served.
+// JobCounts counts jobs by the time that they took relative to their objective.
 type Class struct {
-	Jobs   int // Jobs counts those that ended or are open.
+	Jobs   int // Jobs is the number of jobs that were completed, have failed or are open.
 	OnTime int
-	Late   int // Late: beyond the objective, within three times it.
-	Missed int // Missed: beyond three times the objective, or failed.
-	Open   int // Open: accepted, and no end in these logs.
+	Late   int // Late is the number of jobs that took longer than the objective, but at most three times it.
+	Missed int // Missed is the number of jobs that took more than three times the objective, or failed.
+	Open   int // Open is the number of accepted jobs whose completion is not in the logs.
 }
 
-// Loss is what the time of jobs that were not on time went into.
+// DelayCause says how much a reason for waiting delayed the jobs that were not on time.
 type Loss struct {
 	Reason string
-	Jobs   int           // Jobs counts those of which it is the longest wait.
-	Time   time.Duration // Time is the sum over all jobs that were not on time.
+	Jobs   int           // Jobs is the number of jobs for which this is the longest wait.
+	Time   time.Duration // Time is the total waiting time of the jobs that were not on time.
 }
 
-// Queue is what became of a queue's jobs.
+// Queue holds the results of the jobs of one queue.
 type Queue struct {
 	Name string
 	Class
-	Losses []Loss // Losses begin with the longest.
+	Losses []Loss // Losses holds the causes of delay, that of the most jobs first.
 }
 
-// Moment is what became of the jobs that were accepted in a span of time.
+// Interval holds the results of the jobs that were accepted in one interval.
 type Moment struct {
 	Begin time.Time
 	Class
 	Losses []Loss
 }
 
-// Refusal counts requests that were not accepted, by status and reason.
+// Refusal is the number of requests that were not accepted with one status and reason.
 type Refusal struct {
 	Status int
 	Reason string
 	Count  int
 }
 
-// Crashing is a task under which workers crashed.
+// CrashingTask is a task under which workers crashed.
 type Crashing struct {
 	Job          string
 	Phase, Index int
-	Workers      []string // Workers are those that crashed, the first first.
-	// GivenUp says that the job has failed by it.
+	Workers      []string // Workers lists the crashed workers in the order of their crashes.
+	// GivenUp reports that the job failed because of these crashes.
 	GivenUp bool
 }
 
-// Report is what the logs tell.
+// Report is the result of an analysis of logs.
 type Report struct {
 	Queues   []Queue
 	Moments  []Moment
 	Refusals []Refusal
-	// Crashes begins with the tasks that were given up.
+	// Crashes holds the tasks that were given up first, then by descending number of crashes.
 	Crashes []Crashing `json:",omitempty"`
 }
 
-// Reader gathers the lines of logs. Set the field before the first Read.
+// Reader collects log lines and reports on them. Set the exported field before the first Read.
 type Reader struct {
-	// Every is the length of a Moment.
+	// Interval is the length of an Interval of the report.
 	Every time.Duration
 
 	accepted map[string]line
 	ended    map[string]line
 	refused  map[Refusal]int
 	crashes  []line
-	// shown holds when callers were told of each job's state.
+	// stateSent holds the times at which callers received the state of each job.
 	shown map[string][]time.Time
 }
 
-// Read takes a log: one JSON object a line, whatever stands before it. Lines
-// without one are passed over.
+// Read reads a log with one JSON object per line. Text before the object is ignored, as are lines
+// without an object.
 func (r *Reader) Read(in io.Reader) error {
 	if r.accepted == nil {
 		r.accepted, r.ended, r.refused = make(map[string]line), make(map[string]line), make(map[Refusal]int)
@@ -130,16 +130,18 @@
 	scan := bufio.NewScanner(in)
 	scan.Buffer(nil, longestLine)
 	for scan.Scan() {
-		at := bytes.IndexByte(scan.Bytes(), '{')
+		start := bytes.IndexByte(scan.Bytes(), '{')
 		var l line
-		if at < 0 || json.Unmarshal(scan.Bytes()[at:], &l) != nil {
+		if start < 0 || json.Unmarshal(scan.Bytes()[start:], &l) != nil {
 			continue
 		}
 		r.take(l)
 	}
-	return merry.Prepend(scan.Err(), "log cannot be read")
+	return merry.Prepend(scan.Err(), "reading the log failed")
 }
 
+// add adds a log line. Of several lines on the acceptance or the completion of a job, the earliest counts:
+// more than one planner may log them.
 func (r *Reader) take(l line) {
 	switch l.Message {
 	case messageAccepted:
@@ -161,36 +163,38 @@
 	}
 }
 
-// untilShown returns an end with the time until a caller was shown it, which is what a
-// caller waits: from the job's acceptance to the first answer after its end was recorded.
-func (r *Reader) untilShown(job string, end line) line {
+// untilStateSent returns the log line of a job's completion with the time added until the caller received
+// the final state: callers wait from the acceptance to the first response after the completion is
+// recorded.
+func (r *Reader) untilShown(job string, completed line) line {
 	first := time.Time{}
 	for _, at := range r.shown[job] {
-		if !at.Before(end.At) && (first.IsZero() || at.Before(first)) {
+		if !at.Before(completed.At) && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
 	if !first.IsZero() {
-		wait := first.Sub(end.At).Seconds()
-		end.Took += wait
-		end.Waited = maps.Clone(end.Waited)
-		if end.Waited == nil {
-			end.Waited = make(map[string]float64)
+		wait := first.Sub(completed.At).Seconds()
+		completed.Took += wait
+		completed.Waited = maps.Clone(completed.Waited)
+		if completed.Waited == nil {
+			completed.Waited = make(map[string]float64)
 		}
-		end.Waited[reasonShown] = wait
+		completed.Waited[reasonShown] = wait
 	}
-	return end
+	return completed
 }
 
-// reasonShown is the wait of a job that has ended until its caller asks for its state.
+// reasonNotRequested is the reason of the wait of a completed job until its caller requests its state.
 const reasonShown = "not asked for"
 
-// tally sums up jobs.
+// tally accumulates job counts and causes of delay.
 type tally struct {
 	Class
 	losses map[string]*Loss
 }
 
+// delayCause returns the entry of a reason, which it adds if there is none.
 func (t *tally) loss(reason string) *Loss {
 	if t.losses == nil {
 		t.losses = make(map[string]*Loss)
@@ -201,7 +205,7 @@
 	return t.losses[reason]
 }
 
-// add counts a job that ended; one that was cancelled is left out.
+// add counts a job that was completed or has failed. The time of a job without waits counts as work.
 func (t *tally) add(l line) {
 	t.Jobs++
 	switch {
@@ -213,17 +217,18 @@
 	default:
 		t.Late++
 	}
-	longest, most := "work", 0.0
+	longest, longestWait := "work", 0.0
 	for _, reason := range slices.Sorted(maps.Keys(l.Waited)) {
 		d := l.Waited[reason]
 		t.loss(reason).Time += seconds(d)
-		if d > most {
-			longest, most = reason, d
+		if d > longestWait {
+			longest, longestWait = reason, d
 		}
 	}
 	t.loss(longest).Jobs++
 }
 
+// sortedCauses returns the causes of delay in descending order of jobs, then of time.
 func (t *tally) list() []Loss {
 	out := make([]Loss, 0, len(t.losses))
 	for _, x := range t.losses {
@@ -235,7 +240,7 @@
 	return out
 }
 
-// Report sums up what was read.
+// Report returns the analysis of the lines read so far. Cancelled jobs are left out.
 func (r *Reader) Report() Report {
 	queues, moments := make(map[string]*tally), make(map[time.Time]*tally)
 	count := func(queue string, at time.Time, f func(*tally)) {
@@ -286,7 +291,7 @@
 	return out
 }
 
-// crashing sums the crashes up by task.
+// crashingTasks returns the tasks under which workers crashed.
 func (r *Reader) crashing() []Crashing {
 	slices.SortStableFunc(r.crashes, func(a, b line) int { return a.At.Compare(b.At) })
 	var out []Crashing
@@ -311,4 +316,5 @@
 	return out
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/cause/cause_test.go
+++ b/cause/cause_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// ended is a log's line of a job that took so many objectives of a second.
+// completedLine returns the log line of the completion of a job with an objective of one second.
 func ended(job string, took float64) string {
 	return fmt.Sprintf(`{"ts":"2026-05-18T20:00:00Z","msg":"job ended","job":%q,"queue":"q","state":"Done","took":%g,"objective":1}`+"\n", job, took)
 }
 
-// A job that several planners log as ended is counted more than once.
+// Several planners may log the completion of the same job. It must count only once.
 func TestJobThatEndedTwiceIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	r := Reader{Every: time.Second}
@@ -24,7 +24,7 @@
 	is.Equal(got[0].Class, Class{Jobs: 1, OnTime: 1})
 }
 
-// The bounds between on time, late and missed are one and three objectives.
+// Jobs count as on time up to one objective, as late up to three and as missed beyond.
 func TestClassesOfJobs(t *testing.T) {
 	is := is.New(t)
 	r := Reader{Every: time.Second}
@@ -32,7 +32,7 @@
 	is.Equal(r.Report().Queues[0].Class, Class{Jobs: 4, OnTime: 1, Late: 2, Missed: 1})
 }
 
-// A log without any line of a job gives an empty report, and no failure.
+// An empty log must give an empty report and no error.
 func TestEmptyLog(t *testing.T) {
 	is := is.New(t)
 	r := Reader{Every: time.Second}
@@ -40,8 +40,8 @@
 	is.Equal(len(r.Report().Queues), 0)
 }
 
-// A job whose end is recorded in time counts as on time although its caller was shown the end
-// only when it asked again, too late.
+// A caller learns that its job is completed when it next requests the state. If that is later than the
+// objective, the job must count as late although its completion was recorded in time.
 func TestTimeCountsUntilTheCallerIsShownTheEnd(t *testing.T) {
 	is := is.New(t)
 	r := &Reader{Every: time.Second}
--- a/cause/print.go
+++ b/cause/print.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// mostReasons is how many reasons a row of a table names.
+// maxReasons is the number of reasons that a row of a table names.
 const mostReasons = 5
 
-// Print writes a report as tables. A reason stands with the number of jobs of which
-// it is the longest wait, and the time that it took of all jobs that were not on time.
+// Print writes a report as tables. Each reason is followed by the number of jobs for which it is the
+// longest wait, and by its total time over all jobs that were not on time.
 func Print(w io.Writer, r Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "QUEUE\tJOBS\tON TIME\tLATE\tMISSED\tOPEN\tWHAT THE TIME WENT INTO")
@@ -35,10 +35,10 @@
 	return t.Flush()
 }
 
-// mostCrashing bounds the rows of tasks under which workers crashed.
+// maxCrashRows bounds the number of rows of the table of crashes.
 const mostCrashing = 20
 
-// printCrashes writes the tasks under which several workers crashed.
+// printCrashes writes the tasks that were given up and those under which several workers crashed.
 func printCrashes(w io.Writer, all []Crashing) {
 	rows := 0
 	for _, c := range all {
@@ -54,13 +54,15 @@
 	}
 }
 
+// row returns the counts as columns of a table.
 func (c Class) row() string {
 	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d", c.Jobs, c.OnTime, c.Late, c.Missed, c.Open)
 }
 
-func reasons(losses []Loss) string {
+// formatCauses returns the first maxReasons causes as one line.
+func reasons(causes []Loss) string {
 	var out []string
-	for _, l := range losses[:min(len(losses), mostReasons)] {
+	for _, l := range causes[:min(len(causes), mostReasons)] {
 		out = append(out, fmt.Sprintf("%s %d (%s)", l.Reason, l.Jobs, l.Time.Round(100*time.Millisecond)))
 	}
 	return strings.Join(out, ", ")
--- a/trial/outcome.go
+++ b/trial/outcome.go
@@ -71,7 +71,8 @@
 	return 0
 }
 
-// outcome returns the results of the simulation. Jobs that crash workers are counted in Harm only.
+// outcome returns the results of the simulation. Jobs that crash workers count in Harm only, since
+// they are not expected to complete.
 func (r *region) outcome() Outcome {
 	out := Outcome{Pattern: r.pattern.Name, Room: make(map[string]float64)}
 	out.Restarted = r.planner.Counts().Restarted
