--- a/load/compare.go
+++ b/load/compare.go
@@ -19,27 +19,28 @@
 	"plantainwinch/winch"
 )
 
-// Way is a way for a call to reach an executor.
+// Route is the route of a call to an executor.
 type Way string
 
-// Ways that are compared.
+// The compared routes: from the caller directly, through an entry that holds a slot of the executor,
+// and through an entry that gets the slot from another entry.
 const (
 	Direct Way = "direct"
 	Local  Way = "entry, own slot"
 	Hop    Way = "entry, one hop"
 )
 
-// Speed is what one way reached.
+// RouteResult holds the measurements of one route.
 type Speed struct {
 	Way      Way
 	Calls    int64
-	Rate     float64 // Rate is calls a second with all callers busy.
-	P50, P99 int64   // P50 and P99 are the time of a call with one caller, in microseconds.
+	Rate     float64 // Rate is the number of calls per second with all callers busy.
+	P50, P99 int64   // P50 and P99 are percentiles of the time of a call with one caller, in microseconds.
 	Failed   int64
 }
 
-// CompareSize is the cell of Compare: all executors are in the first failure
-// domain, so a call through the second one's entry always takes a hop.
+// CompareSize returns the size of the cell for Compare. All executors are in the first failure domain,
+// so that a call through the entry of the second one always takes a hop.
 func CompareSize() cell.Size {
 	return cell.Size{
 		Domains: 2, EntriesPerDomain: 1, Executors: 32, Slots: 8, Connections: 64, ExecutorDomains: 1,
@@ -47,16 +48,16 @@
 	}
 }
 
-// comparers is the number of callers that are busy at once, warmUp the calls
-// before the measurement, in which the slots open.
+// concurrentCallers is the number of concurrent callers, warmUpCalls the number of calls over each
+// route before the measurement, during which entries acquire slots.
 const (
 	comparers = 64
 	warmUp    = 3000
 )
 
-// Compare measures the three ways in turn, several rounds of each, so that what
-// else the machine does falls on all alike.
-func Compare(ctx context.Context, t *Target, phase time.Duration, rounds int) ([]Speed, error) {
+// Compare measures the three routes in turn, for several rounds, so that other load on the machine
+// affects all of them equally. The length applies to each measurement of throughput.
+func Compare(ctx context.Context, t *Target, length time.Duration, rounds int) ([]Speed, error) {
 	execs, err := t.backends(ctx, winch.RoleExecutor)
 	if err != nil {
 		return nil, err
@@ -67,22 +68,22 @@
 		Local:  func() string { return "http://" + t.Callers[0] + "/Call/" + cell.Service },
 		Hop:    func() string { return "http://" + t.Callers[1] + "/Call/" + cell.Service },
 	}
-	ways := []Way{Direct, Local, Hop}
-	out := make([]Speed, len(ways))
-	hists := make([]*hdrhistogram.Histogram, len(ways))
-	for i, way := range ways {
-		out[i].Way = way
+	routes := []Way{Direct, Local, Hop}
+	out := make([]Speed, len(routes))
+	hists := make([]*hdrhistogram.Histogram, len(routes))
+	for i, route := range routes {
+		out[i].Way = route
 		hists[i] = hdrhistogram.New(histMin, histMax, histFigures)
 		for range warmUp {
-			_ = t.once(ctx, urls[way]())
+			_ = t.once(ctx, urls[route]())
 		}
 	}
 	var busy [3]time.Duration
 	for range rounds {
-		for i, way := range ways {
-			out[i].Failed += t.alone(ctx, urls[way], phase/4, hists[i])
+		for i, route := range routes {
+			out[i].Failed += t.alone(ctx, urls[route], length/4, hists[i])
 			begin := time.Now()
-			done, failed := t.together(ctx, urls[way], phase)
+			done, failed := t.together(ctx, urls[route], length)
 			busy[i] += time.Since(begin)
 			out[i].Calls += done
 			out[i].Failed += failed
@@ -95,9 +96,10 @@
 	return out, nil
 }
 
-// body of a compared call.
+// compareBody is the body of a compared call.
 var compareBody = bytes.Repeat([]byte("x"), 256)
 
+// call makes one call and reads its response, which must have status 200.
 func (t *Target) once(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(compareBody))
 	if err != nil {
@@ -119,9 +121,9 @@
 	return nil
 }
 
-// alone measures single calls, one after the other.
-func (t *Target) alone(ctx context.Context, url func() string, phase time.Duration, h *hdrhistogram.Histogram) (failed int64) {
-	until := time.Now().Add(phase)
+// measureLatency measures calls that are made one after the other.
+func (t *Target) alone(ctx context.Context, url func() string, length time.Duration, h *hdrhistogram.Histogram) (failed int64) {
+	until := time.Now().Add(length)
 	for time.Now().Before(until) {
 		begin := time.Now()
 		if t.once(ctx, url()) != nil {
@@ -133,10 +135,10 @@
 	return failed
 }
 
-// together counts calls with all callers busy.
-func (t *Target) together(ctx context.Context, url func() string, phase time.Duration) (int64, int64) {
+// measureThroughput counts the completed and the failed calls of concurrentCallers callers.
+func (t *Target) together(ctx context.Context, url func() string, length time.Duration) (int64, int64) {
 	var done, failed atomic.Int64
-	until := time.Now().Add(phase)
+	until := time.Now().Add(length)
 	var group conc.WaitGroup
 	for range comparers {
 		group.Go(func() {
@@ -153,12 +155,12 @@
 	return done.Load(), failed.Load()
 }
 
-// PrintSpeeds writes the ways and their ratios to the direct one.
-func PrintSpeeds(to io.Writer, speeds []Speed) error {
+// PrintRoutes writes the routes and their ratios to the first one, the direct route.
+func PrintSpeeds(to io.Writer, results []Speed) error {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WAY\tCALLS/S\tRATIO\tP50\tRATIO\tP99\tRATIO\tCALLS\tFAILED")
-	base := speeds[0]
-	for _, s := range speeds {
+	base := results[0]
+	for _, s := range results {
 		us := func(n int64) string { return (time.Duration(n) * time.Microsecond).String() }
 		fmt.Fprintf(w, "%s\t%.0f\t%.2f\t%s\t%.2f\t%s\t%.2f\t%d\t%d\n", s.Way, s.Rate, s.Rate/base.Rate,
 			us(s.P50), float64(s.P50)/float64(base.P50), us(s.P99), float64(s.P99)/float64(base.P99), s.Calls, s.Failed)
--- a/load/jobs.go
+++ b/load/jobs.go
@@ -14,12 +14,13 @@
 	"plantainwinch/winch"
 )
 
-// jobsWait bounds how long the end of the jobs is waited for after the run.
+// jobsTimeout bounds the wait for the completion of all jobs after the run.
 const jobsWait = 60 * time.Second
 
-// jobRun is the run time of a task.
+// taskRunTime is the declared run time of a task.
 const jobRun = "500ms"
 
+// submit submits a job to an entry.
 func (r *Run) submit(ctx context.Context, s *shot, at string) {
 	body := front.JobBody{
 		RequestID: s.id, Class: cell.ClassMix, Kind: winch.Batch, Tasks: 4, RunTime: jobRun, Command: "echo " + s.id,
@@ -41,8 +42,8 @@
 	s.outcome, s.reason = winch.Outcome(resp.Header.Get(front.OutcomeHeader)), resp.Header.Get(front.ReasonHeader)
 }
 
-// awaitJobs waits until all accepted jobs have ended and notes how long each
-// waited for its start. A job that is not found or not done was lost.
+// awaitJobs waits until all accepted jobs are final and records how long each waited for its start.
+// A job that cannot be found, is not done or lacks a task counts as lost.
 func (r *Run) awaitJobs(ctx context.Context) error {
 	until := time.Now().Add(jobsWait)
 	for _, s := range r.sent {
@@ -65,6 +66,7 @@
 	return nil
 }
 
+// fetchJob fetches the state of a job and lets the entry wait up to five seconds for its completion.
 func (r *Run) lookUp(ctx context.Context, s *shot) (entry.JobView, error) {
 	var view entry.JobView
 	id := ledger.ID("J", cell.TeamName(s.team), s.id)
@@ -73,19 +75,20 @@
 	return view, err
 }
 
-// changes issues and withdraws keys during a run and calls with them, so that
-// a key that works after its withdrawal is noticed.
+// keyChanges issues and withdraws keys during a run, and makes calls with the withdrawn keys to detect
+// those that still work.
 type changes struct {
 	mu       sync.Mutex
 	made     int
 	slowest  time.Duration
-	late     int // late counts calls that were served after their key's withdrawal was in force.
+	late     int // late counts calls that were served after the withdrawal of their key was in force.
 	failures int
 }
 
-// changeEvery is the pause between two keys.
+// keyChangeInterval is the pause between two keys.
 const changeEvery = 500 * time.Millisecond
 
+// run issues and withdraws keys for the given time.
 func (c *changes) run(ctx context.Context, t *Target, d time.Duration) {
 	until := time.Now().Add(d)
 	for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
@@ -94,7 +97,7 @@
 	}
 }
 
-// cycle issues a key, calls with it, withdraws it and calls again at every entry.
+// cycle issues a key, withdraws it, and then makes a call with it to every entry.
 func (c *changes) cycle(ctx context.Context, t *Target, i int) {
 	var issued front.KeyReply
 	at := t.Operators[i%len(t.Operators)]
@@ -120,11 +123,12 @@
 	}
 }
 
+// operatorRequest makes a request with the operator's key.
 func operate(ctx context.Context, t *Target, method, at, path string, body, into any) error {
 	return t.fetch(ctx, method, "http://"+at+path, t.Operator, body, into)
 }
 
-// works reports whether a key lets a call through.
+// keyWorks reports whether a call with a key succeeds.
 func works(ctx context.Context, t *Target, at, key string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/Call/"+cell.Service, nil)
 	if err != nil {
--- a/load/report.go
+++ b/load/report.go
@@ -12,7 +12,7 @@
 	"plantainwinch/winch"
 )
 
-// Report is what a run measured.
+// Report holds the measurements of a run.
 type Report struct {
 	Seed    uint64
 	Rate    float64
@@ -20,48 +20,49 @@
 	Sent    int
 	Skipped int
 	Classes []ClassReport
-	// Outcomes counts outcomes with their reasons.
+	// Outcomes counts requests by outcome and reason.
 	Outcomes map[string]int
 	Broken   Broken
 	Changes  ChangeReport
 	Cost     Cost
 	CPU      time.Duration
-	// Before, During and After are calls done a second around an outage of the store.
+	// Before, During and After are the completed preview calls per second before, during and after an
+	// outage of the store.
 	Before, During, After float64
 }
 
-// ClassReport is the time that requests of one class took beyond their work, in
-// microseconds.
+// ClassReport summarizes the time that requests of one class took beyond their work, in microseconds.
 type ClassReport struct {
 	Class               string
 	Count               int64
 	P50, P90, P99, Most int64
 }
 
-// Broken counts broken promises.
+// Violations counts violations of the guarantees that callers and operators rely on.
 type Broken struct {
 	Twice         int // Twice counts non-repeatable requests that ran more than once.
-	RanNotRun     int // RanNotRun counts requests that ran although the answer was NotRun.
-	Lost          int // Lost counts accepted jobs without the end they should have.
-	WrongAnswer   int
-	Cut           int // Cut counts answers that broke off or never came.
-	Overcommitted int
+	RanNotRun     int // RanNotRun counts requests that ran although the response was NotRun.
+	Lost          int // Lost counts accepted jobs that were not completed with all their tasks.
+	WrongAnswer   int // WrongAnswer counts responses that do not belong to their request.
+	Cut           int // Cut counts requests whose response was incomplete or missing.
+	Overcommitted int // Overcommitted counts task starts that exceeded the size of the worker.
 	LateKeys      int // LateKeys counts calls served with a key after its withdrawal was in force.
 	DoneNotRun    int // DoneNotRun counts requests answered as Done that no executor ran.
 }
 
-// Sum returns the number of all broken promises.
+// Sum returns the total number of violations.
 func (b Broken) Sum() int {
 	return b.Twice + b.RanNotRun + b.Lost + b.WrongAnswer + b.Cut + b.Overcommitted + b.LateKeys + b.DoneNotRun
 }
 
-// ChangeReport is what became of the changes of keys during the run.
+// KeyChangeReport summarizes the changes of keys during a run.
 type ChangeReport struct {
 	Made    int
 	Failed  int
-	Slowest time.Duration // Slowest is the longest time until a withdrawal was in force everywhere.
+	Slowest time.Duration // Slowest is the longest time until a withdrawal was in force at all entries.
 }
 
+// report returns the report of the run.
 func (r *Run) report(seen Seen, cost Cost, took, cpu time.Duration) *Report {
 	out := &Report{
 		Seed: r.Seed, Rate: r.Rate, Took: took, Sent: len(r.sent), Skipped: r.skipped, Outcomes: make(map[string]int),
@@ -88,7 +89,7 @@
 	return out
 }
 
-// judge compares what a caller was told with what the executors saw.
+// checkRequest compares the response that a caller received with the runs that the executors counted.
 func (r *Report) judge(s *shot, seen Seen) {
 	name := string(s.outcome)
 	if s.reason != "" {
@@ -119,7 +120,7 @@
 	}
 }
 
-// rates works out the calls done a second before, during and after an outage.
+// setOutageRates computes the completed preview calls per second before, during and after an outage.
 func (r *Run) rates(out *Report) {
 	if r.Outage == 0 {
 		return
--- a/load/run.go
+++ b/load/run.go
@@ -21,24 +21,24 @@
 	"plantainwinch/winch"
 )
 
-// Mix is the parts of the workloads, in percent of the arrivals.
+// Mix holds the shares of the workloads, in percent of the arrivals.
 type Mix struct {
 	Preview, Invoice, Batch, Gang int
 }
 
-// DefaultMix is mostly previews.
+// DefaultMix returns a mix of mostly previews.
 func DefaultMix() Mix { return Mix{Preview: 80, Invoice: 15, Batch: 4, Gang: 1} }
 
-// Run is one bounded run. Set the exported fields, then call Do.
+// Run is one load run of limited length. Set the exported fields, then call Do.
 type Run struct {
 	Target   *Target
-	Rate     float64 // Rate is arrivals a second, over all entries.
+	Rate     float64 // Rate is the number of arrivals per second, over all entries.
 	Duration time.Duration
 	Work     time.Duration // Work is the mean run time of a call.
 	Body     int           // Body is the size of a call's body in bytes.
 	Mix      Mix
 	Seed     uint64
-	// Outage takes the store down for this long in the middle of the run.
+	// Outage is the length of an outage of the store in the middle of the run; zero means none.
 	Outage time.Duration
 
 	rnd     *rand.Rand
@@ -51,7 +51,7 @@
 	changes changes
 }
 
-// shot is one arrival and what became of it.
+// request is one arrival and its result.
 type shot struct {
 	id      string
 	class   string
@@ -60,22 +60,22 @@
 	at      time.Duration
 	outcome winch.Outcome
 	reason  string
-	wrong   bool // wrong says that the answer was not the one to this request.
-	cut     bool // cut says that the answer broke off, or none came.
+	wrong   bool // wrongResult reports that the response belongs to another request, or that the job was lost.
+	cut     bool // incomplete reports that the response was incomplete or missing.
 	took    time.Duration
 }
 
-// pendingMost bounds the arrivals under way at once; more are counted as skipped.
+// maxPending bounds the requests in progress; further arrivals are counted as skipped.
 const pendingMost = 4000
 
-// Histogram bounds, in microseconds, and its significant figures.
+// Bounds of the histograms, in microseconds, and their significant figures.
 const (
 	histMin     = 1
 	histMax     = 120_000_000
 	histFigures = 3
 )
 
-// Do makes the run and reports on it.
+// Do executes the run and returns its report.
 func (r *Run) Do(ctx context.Context) (*Report, error) {
 	r.rnd = rand.New(rand.NewPCG(r.Seed, 11))
 	r.hist = make(map[string]*hdrhistogram.Histogram)
@@ -108,8 +108,8 @@
 	return r.report(seen, after.sub(before), took, cpu), nil
 }
 
-// cpuTime returns the processor time of this process, cell and load together
-// where both run in it.
+// cpuTime returns the processor time of this process. It includes that of the cell if the cell runs in
+// this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -118,6 +118,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// injectOutage makes the store unavailable in the middle of the run.
 func (r *Run) outage(ctx context.Context) {
 	time.Sleep((r.Duration - r.Outage) / 2)
 	_ = r.Target.faults(ctx, stand.Faults{Down: true})
@@ -125,8 +126,8 @@
 	_ = r.Target.faults(ctx, stand.Faults{})
 }
 
-// arrivals sends requests at random times that do not depend on the answers,
-// as callers do: a slow cell is not given a rest.
+// sendArrivals sends requests at random times that do not depend on the responses, as independent
+// callers do. A slow cell therefore gets no less load.
 func (r *Run) arrivals(ctx context.Context, group *conc.WaitGroup) {
 	next := time.Duration(0)
 	for n := 0; ; n++ {
@@ -151,7 +152,7 @@
 	}
 }
 
-// draw chooses class and team of an arrival; two of the teams are large.
+// newRequest draws the class and the team of an arrival. Two of the teams send more than the others.
 func (r *Run) draw(n int, at time.Duration) *shot {
 	s := &shot{id: fmt.Sprintf("load-%d-%d", r.Seed, n), at: at}
 	teams := len(r.Target.Teams) - 1 // The last team is not approved.
@@ -172,6 +173,7 @@
 	return s
 }
 
+// execute makes a request and records its result and time.
 func (r *Run) shoot(ctx context.Context, s *shot, at string, work time.Duration) {
 	begin := time.Now()
 	if s.job {
@@ -186,7 +188,7 @@
 	}
 }
 
-// record notes how long a request took beyond its own work.
+// record adds the time that a request took beyond its work to the histogram of its class.
 func (r *Run) record(class string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,6 +200,7 @@
 	_ = h.RecordValue(d.Microseconds())
 }
 
+// call makes a call and checks its response.
 func (r *Run) call(ctx context.Context, s *shot, at string, work time.Duration) {
 	body := append([]byte(s.id+" "), bytes.Repeat([]byte("x"), r.Body)...)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/Call/"+cell.Service, bytes.NewReader(body))
@@ -216,12 +219,12 @@
 		return
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	response, err := io.ReadAll(resp.Body)
 	if err != nil {
 		s.cut = true
 		return
 	}
 	s.reason = resp.Header.Get(front.ReasonHeader)
 	s.outcome = winch.Outcome(resp.Header.Get(front.OutcomeHeader) + resp.Trailer.Get(front.OutcomeHeader))
-	s.wrong = s.outcome == winch.Done && !bytes.Equal(answer, body)
+	s.wrong = s.outcome == winch.Done && !bytes.Equal(response, body)
 }
--- a/load/target.go
+++ b/load/target.go
@@ -1,5 +1,6 @@
-// Package load puts a bounded load on a cell, measures what callers see, and
-// counts from outside every promise that was broken.
+// Package load generates a limited load on a cell, measures the responses as callers receive them, and
+// counts violations of the cell's guarantees. It compares the responses with the runs that the stand-ins
+// of executors and workers count.
 package load
 
 import (
@@ -21,7 +22,7 @@
 	"plantainwinch/winch"
 )
 
-// Target is the cell that is loaded.
+// Target is the cell under load: the addresses of its entries and platform, and the keys to use.
 type Target struct {
 	Callers   []string
 	Operators []string
@@ -32,15 +33,15 @@
 	HTTP     *http.Client
 }
 
-// inFlight bounds the connections to one entry.
+// maxIdleConns bounds the idle connections kept open to one entry.
 const inFlight = 512
 
-// newClient returns a client that keeps its connections open.
+// newClient returns a client that keeps its connections open for reuse.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: inFlight, MaxIdleConns: 0, DisableCompression: true}}
 }
 
-// OfCell returns the target that a running cell is.
+// NewTarget returns the target for a running cell.
 func OfCell(c *cell.Cell, keys cell.Keys) *Target {
 	t := &Target{Platform: c.PlatformAt, Operator: c.OperatorKey, HTTP: newClient()}
 	for _, s := range c.Servers {
@@ -78,12 +79,12 @@
 		}
 	}
 	if len(t.Callers) == 0 || len(t.Teams) == 0 {
-		return nil, merry.Errorf("--cell %s: there are no addresses and keys in it: write it with plantainwinch dev --out %s", path, path)
+		return nil, merry.Errorf("--cell %s: the file contains no addresses or no team keys: write it with plantainwinch dev --out %s", path, path)
 	}
 	return t, merry.Wrap(lines.Err())
 }
 
-// backends lists the VMs of one role.
+// backends returns the VMs of one role.
 func (t *Target) backends(ctx context.Context, role winch.Role) ([]winch.VM, error) {
 	c := &store.Client{Address: t.Platform}
 	list, _, err := c.VMs(ctx, 0)
@@ -96,7 +97,7 @@
 	return out, err
 }
 
-// send makes a request with a JSON body, or none if body is nil.
+// send makes a request with a JSON body, or without a body if it is nil.
 func (t *Target) send(ctx context.Context, method, url, key string, body any) (*http.Response, error) {
 	var data []byte
 	if body != nil {
@@ -116,7 +117,7 @@
 	return resp, merry.Wrap(err)
 }
 
-// fetch makes a request and decodes the answer, which must have status 200.
+// fetch makes a request and decodes the response, which must have status 200.
 func (t *Target) fetch(ctx context.Context, method, url, key string, body, into any) error {
 	resp, err := t.send(ctx, method, url, key, body)
 	if err != nil {
@@ -132,20 +133,22 @@
 	return merry.Wrap(json.NewDecoder(resp.Body).Decode(into))
 }
 
+// getJSON makes a GET request without a key and decodes the response.
 func (t *Target) getJSON(ctx context.Context, url string, into any) error {
 	return t.fetch(ctx, http.MethodGet, url, "", nil, into)
 }
 
-// Seen is what the executors and workers saw.
+// Observed holds the counts of the stand-ins of executors and workers.
 type Seen struct {
-	// Runs counts how often each request ran.
+	// Runs is the number of runs of each request.
 	Runs map[string]int
-	// Starts counts how often each task was started.
-	Starts        map[string]int
+	// Starts is the number of starts of each task.
+	Starts map[string]int
+	// Overcommitted is the number of task starts that exceeded the size of the worker.
 	Overcommitted int
 }
 
-// seen asks all stand-ins what they saw.
+// observe fetches the counts of all stand-ins.
 func (t *Target) seen(ctx context.Context) (Seen, error) {
 	out := Seen{Runs: make(map[string]int), Starts: make(map[string]int)}
 	execs, err := t.backends(ctx, winch.RoleExecutor)
@@ -178,14 +181,15 @@
 	return out, nil
 }
 
-// Cost is what control has cost all entries together so far.
+// Cost is the control traffic of all entries together.
 type Cost struct {
 	StoreCalls, StoreBytes, PeerFrames, PeerBytes, WorkerCalls, WorkerBytes int64
 }
 
+// gauge is one metric in the response of /Metrics.
 type gauge struct{ Value int64 }
 
-// metricsOf are the gauges that Cost sums up.
+// controlMetrics holds the gauges that Cost sums up.
 type metricsOf struct {
 	StoreCalls  gauge `json:"Control.Store.Calls"`
 	StoreBytes  gauge `json:"Control.Store.Bytes"`
@@ -195,7 +199,7 @@
 	WorkerBytes gauge `json:"Control.Worker.Bytes"`
 }
 
-// cost sums the entries' gauges.
+// cost returns the sums of the entries' gauges.
 func (t *Target) cost(ctx context.Context) (Cost, error) {
 	var out Cost
 	for _, address := range t.Callers {
@@ -213,20 +217,20 @@
 	return out, nil
 }
 
-// sub returns the cost between two looks.
-func (c Cost) sub(o Cost) Cost {
+// sub returns the cost since an earlier measurement.
+func (c Cost) sub(earlier Cost) Cost {
 	return Cost{
-		c.StoreCalls - o.StoreCalls, c.StoreBytes - o.StoreBytes, c.PeerFrames - o.PeerFrames,
-		c.PeerBytes - o.PeerBytes, c.WorkerCalls - o.WorkerCalls, c.WorkerBytes - o.WorkerBytes,
+		c.StoreCalls - earlier.StoreCalls, c.StoreBytes - earlier.StoreBytes, c.PeerFrames - earlier.PeerFrames,
+		c.PeerBytes - earlier.PeerBytes, c.WorkerCalls - earlier.WorkerCalls, c.WorkerBytes - earlier.WorkerBytes,
 	}
 }
 
-// faults sets the switches of the platform.
+// setFaults sets the faults that the platform injects.
 func (t *Target) faults(ctx context.Context, f stand.Faults) error {
 	return t.fetch(ctx, http.MethodPut, "http://"+t.Platform+"/Faults", "", f, nil)
 }
 
-// perSecond formats a rate.
+// perSecond formats a count as a rate per second.
 func perSecond(n int64, d time.Duration) string {
 	return fmt.Sprintf("%.1f", float64(n)/d.Seconds())
 }
