--- a/load/compare.go
+++ b/load/compare.go
@@ -39,7 +39,7 @@
 	Failed   int64
 }
 
-// CompareSize returns the size of the cell for Compare. All executors are in the first failure domain,
+// CompareCellSize returns the size of the cell for Compare. All executors are in the first failure domain,
 // so that a call through the entry of the second one always takes a hop.
 func CompareSize() cell.Size {
 	return cell.Size{
--- a/load/jobs.go
+++ b/load/jobs.go
@@ -21,44 +21,44 @@
 const jobRun = "500ms"
 
 // submit submits a job to an entry.
-func (r *Run) submit(ctx context.Context, s *shot, at string) {
+func (r *Run) submit(ctx context.Context, q *shot, address string) {
 	body := front.JobBody{
-		RequestID: s.id, Class: cell.ClassMix, Kind: winch.Batch, Tasks: 4, RunTime: jobRun, Command: "echo " + s.id,
+		RequestID: q.id, Class: cell.ClassMix, Kind: winch.Batch, Tasks: 4, RunTime: jobRun, Command: "echo " + q.id,
 		Need: front.NeedBody{Processors: 1, Memory: "1GB"},
 	}
-	if s.class == "gang" {
+	if q.class == "gang" {
 		body.Kind, body.Tasks = winch.Gang, 8
 	}
-	resp, err := r.Target.send(ctx, http.MethodPost, "http://"+at+"/Jobs", r.Target.Teams[s.team], body)
+	resp, err := r.Target.send(ctx, http.MethodPost, "http://"+address+"/Jobs", r.Target.Teams[q.team], body)
 	if err != nil {
-		s.cut = true
+		q.cut = true
 		return
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusAccepted {
-		s.outcome = winch.Done
+		q.outcome = winch.Done
 		return
 	}
-	s.outcome, s.reason = winch.Outcome(resp.Header.Get(front.OutcomeHeader)), resp.Header.Get(front.ReasonHeader)
+	q.outcome, q.reason = winch.Outcome(resp.Header.Get(front.OutcomeHeader)), resp.Header.Get(front.ReasonHeader)
 }
 
 // awaitJobs waits until all accepted jobs are final and records how long each waited for its start.
 // A job that cannot be found, is not done or lacks a task counts as lost.
 func (r *Run) awaitJobs(ctx context.Context) error {
 	until := time.Now().Add(jobsWait)
-	for _, s := range r.sent {
-		if !s.job || s.outcome != winch.Done {
+	for _, q := range r.sent {
+		if !q.job || q.outcome != winch.Done {
 			continue
 		}
 		for {
-			view, err := r.lookUp(ctx, s)
+			view, err := r.lookUp(ctx, q)
 			if err == nil && view.State.Final() {
-				s.wrong = view.State != winch.JobDone || len(view.EndedTasks) != view.Spec.Tasks
-				r.record(s.class+" start", max(0, view.Started.Sub(view.Submitted)))
+				q.wrong = view.State != winch.JobDone || len(view.EndedTasks) != view.Spec.Tasks
+				r.record(q.class+" start", max(0, view.Started.Sub(view.Submitted)))
 				break
 			}
 			if time.Now().After(until) {
-				s.wrong = true
+				q.wrong = true
 				break
 			}
 		}
@@ -67,11 +67,11 @@
 }
 
 // fetchJob fetches the state of a job and lets the entry wait up to five seconds for its completion.
-func (r *Run) lookUp(ctx context.Context, s *shot) (entry.JobView, error) {
+func (r *Run) lookUp(ctx context.Context, q *shot) (entry.JobView, error) {
 	var view entry.JobView
-	id := ledger.ID("J", cell.TeamName(s.team), s.id)
+	id := ledger.ID("J", cell.TeamName(q.team), q.id)
 	url := "http://" + r.Target.Callers[0] + "/Jobs/" + id + "?Wait=5s"
-	err := r.Target.fetch(ctx, http.MethodGet, url, r.Target.Teams[s.team], nil, &view)
+	err := r.Target.fetch(ctx, http.MethodGet, url, r.Target.Teams[q.team], nil, &view)
 	return view, err
 }
 
@@ -80,8 +80,8 @@
 type changes struct {
 	mu       sync.Mutex
 	made     int
-	slowest  time.Duration
-	late     int // late counts calls that were served after the withdrawal of their key was in force.
+	slowest  time.Duration // slowest is the longest time until a withdrawal was in force.
+	late     int           // late counts calls that were served after the withdrawal of their key was in force.
 	failures int
 }
 
@@ -100,15 +100,15 @@
 // cycle issues a key, withdraws it, and then makes a call with it to every entry.
 func (c *changes) cycle(ctx context.Context, t *Target, i int) {
 	var issued front.KeyReply
-	at := t.Operators[i%len(t.Operators)]
-	if operate(ctx, t, http.MethodPost, at, "/Operator/Keys", front.KeyBody{Role: winch.KeyTeam, Holder: cell.TeamName(0)}, &issued) != nil {
+	address := t.Operators[i%len(t.Operators)]
+	if operate(ctx, t, http.MethodPost, address, "/Operator/Keys", front.KeyBody{Role: winch.KeyTeam, Holder: cell.TeamName(0)}, &issued) != nil {
 		c.failures++
 		return
 	}
 	id, _, _ := bytes.Cut([]byte(issued.Key), []byte("."))
 	begin := time.Now()
 	var applied entry.Applied
-	if operate(ctx, t, http.MethodDelete, at, "/Operator/Keys/"+string(id), nil, &applied) != nil || !applied.InForce {
+	if operate(ctx, t, http.MethodDelete, address, "/Operator/Keys/"+string(id), nil, &applied) != nil || !applied.InForce {
 		c.failures++
 		return
 	}
@@ -124,13 +124,13 @@
 }
 
 // operatorRequest makes a request with the operator's key.
-func operate(ctx context.Context, t *Target, method, at, path string, body, into any) error {
-	return t.fetch(ctx, method, "http://"+at+path, t.Operator, body, into)
+func operate(ctx context.Context, t *Target, method, address, path string, body, into any) error {
+	return t.fetch(ctx, method, "http://"+address+path, t.Operator, body, into)
 }
 
 // keyWorks reports whether a call with a key succeeds.
-func works(ctx context.Context, t *Target, at, key string) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/Call/"+cell.Service, nil)
+func works(ctx context.Context, t *Target, address, key string) bool {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/Call/"+cell.Service, nil)
 	if err != nil {
 		return false
 	}
--- a/load/report.go
+++ b/load/report.go
@@ -70,8 +70,8 @@
 	}
 	out.Broken.Overcommitted = seen.Overcommitted
 	out.Broken.LateKeys = r.changes.late
-	for _, s := range r.sent {
-		out.judge(s, seen)
+	for _, q := range r.sent {
+		out.judge(q, seen)
 	}
 	for class, h := range r.hist {
 		out.Classes = append(out.Classes, ClassReport{
@@ -90,32 +90,32 @@
 }
 
 // checkRequest compares the response that a caller received with the runs that the executors counted.
-func (r *Report) judge(s *shot, seen Seen) {
-	name := string(s.outcome)
-	if s.reason != "" {
-		name += " " + s.reason
+func (r *Report) judge(q *shot, seen Seen) {
+	name := string(q.outcome)
+	if q.reason != "" {
+		name += " " + q.reason
 	}
 	switch {
-	case s.cut:
+	case q.cut:
 		r.Broken.Cut++
 		name = "Cut"
-	case s.job && s.wrong:
+	case q.job && q.wrong:
 		r.Broken.Lost++
-	case s.wrong:
+	case q.wrong:
 		r.Broken.WrongAnswer++
 	}
 	r.Outcomes[name]++
-	if s.job {
+	if q.job {
 		return
 	}
-	runs := seen.Runs[s.id]
-	if runs > 1 && s.class == "invoice" {
+	runs := seen.Runs[q.id]
+	if runs > 1 && q.class == "invoice" {
 		r.Broken.Twice++
 	}
-	if runs > 0 && s.outcome == winch.NotRun {
+	if runs > 0 && q.outcome == winch.NotRun {
 		r.Broken.RanNotRun++
 	}
-	if runs == 0 && s.outcome == winch.Done {
+	if runs == 0 && q.outcome == winch.Done {
 		r.Broken.DoneNotRun++
 	}
 }
@@ -126,14 +126,14 @@
 		return
 	}
 	from, to := (r.Duration-r.Outage)/2, (r.Duration+r.Outage)/2
-	for _, s := range r.sent {
-		if s.job || s.outcome != winch.Done || s.class != "preview" {
+	for _, q := range r.sent {
+		if q.job || q.outcome != winch.Done || q.class != "preview" {
 			continue
 		}
 		switch {
-		case s.at < from:
+		case q.at < from:
 			out.Before += 1 / from.Seconds()
-		case s.at < to:
+		case q.at < to:
 			out.During += 1 / r.Outage.Seconds()
 		default:
 			out.After += 1 / from.Seconds()
--- a/load/run.go
+++ b/load/run.go
@@ -57,7 +57,7 @@
 	class   string
 	team    int
 	job     bool
-	at      time.Duration
+	at      time.Duration // at is when the request is due, from the start of the run.
 	outcome winch.Outcome
 	reason  string
 	wrong   bool // wrongResult reports that the response belongs to another request, or that the job was lost.
@@ -136,55 +136,55 @@
 			return
 		}
 		time.Sleep(next - time.Since(r.began))
-		s := r.draw(n, next)
+		q := r.draw(n, next)
 		if r.pending.Load() >= pendingMost {
 			r.skipped++
 			continue
 		}
 		work := time.Duration(r.rnd.ExpFloat64() * float64(r.Work))
-		at := r.Target.Callers[r.rnd.IntN(len(r.Target.Callers))]
-		r.sent = append(r.sent, s)
+		address := r.Target.Callers[r.rnd.IntN(len(r.Target.Callers))]
+		r.sent = append(r.sent, q)
 		r.pending.Add(1)
 		group.Go(func() {
 			defer r.pending.Add(-1)
-			r.shoot(ctx, s, at, work)
+			r.shoot(ctx, q, address, work)
 		})
 	}
 }
 
 // newRequest draws the class and the team of an arrival. Two of the teams send more than the others.
 func (r *Run) draw(n int, at time.Duration) *shot {
-	s := &shot{id: fmt.Sprintf("load-%d-%d", r.Seed, n), at: at}
+	q := &shot{id: fmt.Sprintf("load-%d-%d", r.Seed, n), at: at}
 	teams := len(r.Target.Teams) - 1 // The last team is not approved.
-	if s.team = r.rnd.IntN(2 * teams); s.team >= teams {
-		s.team %= 2
+	if q.team = r.rnd.IntN(2 * teams); q.team >= teams {
+		q.team %= 2
 	}
 	x := r.rnd.IntN(100)
 	switch m := r.Mix; {
 	case x < m.Preview:
-		s.class = cell.ClassPreview
+		q.class = cell.ClassPreview
 	case x < m.Preview+m.Invoice:
-		s.class = cell.ClassInvoice
+		q.class = cell.ClassInvoice
 	case x < m.Preview+m.Invoice+m.Batch:
-		s.class, s.job = "batch", true
+		q.class, q.job = "batch", true
 	default:
-		s.class, s.job = "gang", true
+		q.class, q.job = "gang", true
 	}
-	return s
+	return q
 }
 
 // execute makes a request and records its result and time.
-func (r *Run) shoot(ctx context.Context, s *shot, at string, work time.Duration) {
+func (r *Run) shoot(ctx context.Context, q *shot, address string, work time.Duration) {
 	begin := time.Now()
-	if s.job {
+	if q.job {
 		work = 0
-		r.submit(ctx, s, at)
+		r.submit(ctx, q, address)
 	} else {
-		r.call(ctx, s, at, work)
+		r.call(ctx, q, address, work)
 	}
-	s.took = time.Since(begin)
-	if s.outcome == winch.Done {
-		r.record(s.class, max(0, s.took-work))
+	q.took = time.Since(begin)
+	if q.outcome == winch.Done {
+		r.record(q.class, max(0, q.took-work))
 	}
 }
 
@@ -201,30 +201,30 @@
 }
 
 // call makes a call and checks its response.
-func (r *Run) call(ctx context.Context, s *shot, at string, work time.Duration) {
-	body := append([]byte(s.id+" "), bytes.Repeat([]byte("x"), r.Body)...)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/Call/"+cell.Service, bytes.NewReader(body))
+func (r *Run) call(ctx context.Context, q *shot, address string, work time.Duration) {
+	body := append([]byte(q.id+" "), bytes.Repeat([]byte("x"), r.Body)...)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/Call/"+cell.Service, bytes.NewReader(body))
 	if err != nil {
-		s.cut = true
+		q.cut = true
 		return
 	}
-	req.Header.Set("Authorization", "Bearer "+r.Target.Teams[s.team])
-	req.Header.Set(front.ClassHeader, s.class)
-	req.Header.Set(front.RequestIDHeader, s.id)
-	req.Header.Set("Stand-Caller", s.id)
+	req.Header.Set("Authorization", "Bearer "+r.Target.Teams[q.team])
+	req.Header.Set(front.ClassHeader, q.class)
+	req.Header.Set(front.RequestIDHeader, q.id)
+	req.Header.Set("Stand-Caller", q.id)
 	req.Header.Set("Stand-Work", work.String())
 	resp, err := r.Target.HTTP.Do(req)
 	if err != nil {
-		s.cut = true
+		q.cut = true
 		return
 	}
 	defer resp.Body.Close()
 	response, err := io.ReadAll(resp.Body)
 	if err != nil {
-		s.cut = true
+		q.cut = true
 		return
 	}
-	s.reason = resp.Header.Get(front.ReasonHeader)
-	s.outcome = winch.Outcome(resp.Header.Get(front.OutcomeHeader) + resp.Trailer.Get(front.OutcomeHeader))
-	s.wrong = s.outcome == winch.Done && !bytes.Equal(response, body)
+	q.reason = resp.Header.Get(front.ReasonHeader)
+	q.outcome = winch.Outcome(resp.Header.Get(front.OutcomeHeader) + resp.Trailer.Get(front.OutcomeHeader))
+	q.wrong = q.outcome == winch.Done && !bytes.Equal(response, body)
 }
