--- a/trial/faults.go
+++ b/trial/faults.go
@@ -82,9 +82,9 @@
 
 // CrashReport sums up the effects of tasks that crash their workers.
 type Harm struct {
-	Crashing int // Crashing is the number of jobs with such tasks, GivenUp of those among them that failed.
+	Crashing int // Crashing is the number of jobs with such tasks, GivenUp the number of those that failed.
 	GivenUp  int
-	Workers  int // Workers is the number of worker crashes that they caused, Most the largest number caused by one task.
+	Workers  int // Workers is the number of worker crashes that they caused, Most the maximum caused by one task.
 	Most     int
 	Wronged  int // Wronged is the number of other jobs that failed.
 	Over     int // Over is the number of starts that exceeded the capacity of the worker.
@@ -136,12 +136,12 @@
 	ids := sorted(r.boots)
 	for range f.Count {
 		id := ids[r.rnd.IntN(r.pattern.Services[0].Workers)]
-		switch b := r.boots[id]; {
-		case b.down:
-		case f.Shrinks && b.shrunk.IsZero():
-			r.shrink(b)
+		switch w := r.boots[id]; {
+		case w.down:
+		case f.Shrinks && w.shrunk.IsZero():
+			r.shrink(w)
 		case !f.Shrinks:
-			r.crash(b)
+			r.crash(w)
 		}
 	}
 	if f.Every > 0 && r.now.Sub(r.begin)+f.Every < r.pattern.Length {
@@ -155,19 +155,19 @@
 		return
 	}
 	r.at(arrival.crash.after, func() {
-		if b := r.boots[run.worker]; !run.over && !b.down {
+		if w := r.boots[run.worker]; !run.over && !w.down {
 			r.harm.workers++
 			r.harm.under[key.task]++
-			r.crash(b)
+			r.crash(w)
 		}
 	})
 }
 
 // crashWorker ends the process of a worker and all its runs. The worker returns as another boot
 // after rebootDelay.
-func (r *region) crash(b *boot) {
-	id := b.vm.ID
-	b.down, b.used = true, winch.Capacity{}
+func (r *region) crash(w *boot) {
+	id := w.vm.ID
+	w.down, w.used = true, winch.Capacity{}
 	for key, run := range r.runs {
 		if run.worker == id {
 			run.over = true
@@ -180,8 +180,8 @@
 	})
 	r.at(rebootTime, func() {
 		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: id, Result: winch.StartOtherBoot})
-		b.vm.Born++
-		b.down = false
+		w.vm.Born++
+		w.down = false
 		delete(r.ends, id)
 		r.list()
 		r.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: id})
@@ -207,13 +207,13 @@
 }
 
 // reduceCapacity reduces the capacity of a worker for shrinkDuration.
-func (r *region) shrink(b *boot) {
-	b.shrunk = r.now
-	full := b.vm.Room
-	b.vm.Room = winch.Capacity{Milli: int64(shrinkPart * float64(full.Milli)), Memory: winch.Bytes(shrinkPart * float64(full.Memory)), Accelerators: full.Accelerators}
+func (r *region) shrink(w *boot) {
+	w.shrunk = r.now
+	full := w.vm.Room
+	w.vm.Room = winch.Capacity{Milli: int64(shrinkPart * float64(full.Milli)), Memory: winch.Bytes(shrinkPart * float64(full.Memory)), Accelerators: full.Accelerators}
 	r.list()
 	r.at(shrinkTime, func() {
-		b.vm.Room, b.shrunk = full, time.Time{}
+		w.vm.Room, w.shrunk = full, time.Time{}
 		r.list()
 		r.wake()
 	})
@@ -222,9 +222,9 @@
 // checkCapacity counts a start that does not fit the capacity of its worker. A start that may have
 // been ordered before the capacity was reduced is not counted.
 func (r *region) checkRoom(o proto.Order) {
-	b := r.boots[o.Worker]
-	b.used = b.used.Add(r.need(o.Task))
-	if !b.used.Fits(b.vm.Room) && (b.shrunk.IsZero() || r.now.Sub(b.shrunk) > gatherTime+tripTime+r.lag) {
+	w := r.boots[o.Worker]
+	w.used = w.used.Add(r.need(o.Task))
+	if !w.used.Fits(w.vm.Room) && (w.shrunk.IsZero() || r.now.Sub(w.shrunk) > gatherTime+tripTime+r.lag) {
 		r.harm.over++
 	}
 }
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// plot returns the plot of an outcome, with one line for each queue.
 func (o Outcome) plot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = strings.Join(append([]string{o.Pattern}, o.Without...), " without ")
--- a/trial/region.go
+++ b/trial/region.go
@@ -282,7 +282,7 @@
 	return out
 }
 
-// queue returns the queue of a name.
+// queue returns the queue with the given name, or an empty one.
 func (r *region) queue(name string) winch.Queue {
 	for _, q := range r.pattern.Queues {
 		if q.Name == name {
--- a/trial/stats.go
+++ b/trial/stats.go
@@ -28,6 +28,7 @@
 	m.n++
 }
 
+// value returns the mean, or NaN if there are no values.
 func (m mean) value() float64 {
 	if m.n == 0 {
 		return math.NaN()
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -55,27 +55,27 @@
 type endings []ending
 
 // Len implements heap.Interface.
-func (e endings) Len() int { return len(e) }
+func (c endings) Len() int { return len(c) }
 
 // Less implements heap.Interface.
-func (e endings) Less(i, j int) bool {
-	if e[i].at != e[j].at {
-		return e[i].at < e[j].at
+func (c endings) Less(i, j int) bool {
+	if c[i].at != c[j].at {
+		return c[i].at < c[j].at
 	}
-	return e[i].seq < e[j].seq
+	return c[i].seq < c[j].seq
 }
 
 // Swap implements heap.Interface.
-func (e endings) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (c endings) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (e *endings) Push(x any) { *e = append(*e, x.(ending)) }
+func (c *endings) Push(x any) { *c = append(*c, x.(ending)) }
 
 // Pop implements heap.Interface.
-func (e *endings) Pop() any {
-	old := *e
+func (c *endings) Pop() any {
+	old := *c
 	x := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*c = old[:len(old)-1]
 	return x
 }
 
@@ -83,19 +83,19 @@
 type purse struct{ used, limit map[string]int }
 
 // TryTake implements place.Limits.
-func (p purse) TryTake(team string, n int) bool {
-	if p.used[team]+n > p.limit[team] {
+func (l purse) TryTake(team string, n int) bool {
+	if l.used[team]+n > l.limit[team] {
 		return false
 	}
-	p.used[team] += n
+	l.used[team] += n
 	return true
 }
 
 // Charge implements place.Limits.
-func (p purse) Charge(team string, n int) { p.used[team] += n }
+func (l purse) Charge(team string, n int) { l.used[team] += n }
 
 // Return implements place.Limits.
-func (p purse) Return(team string, n int) { p.used[team] -= n }
+func (l purse) Return(team string, n int) { l.used[team] -= n }
 
 // driver runs one placer on one list of arrivals in simulated time.
 type driver struct {
@@ -189,16 +189,16 @@
 }
 
 // complete reports the completion of a task to the planner and applies the resulting decisions.
-func (d *driver) end(e ending) {
-	if d.live[e.task.ID] != e.seq {
+func (d *driver) end(c ending) {
+	if d.live[c.task.ID] != c.seq {
 		return // The task was evicted.
 	}
-	delete(d.live, e.task.ID)
-	e.task.State = winch.TaskDone
-	d.done += time.Duration(e.task.Need.Processors) * d.byID[e.task.ID.Job].truth[e.task.ID.Index]
-	d.do(d.planner.TaskEnded(e.vm, e.task, start.Add(d.now)))
-	for _, c := range d.planner.TakeCompletions() {
-		d.planner.Forget(c.Job)
+	delete(d.live, c.task.ID)
+	c.task.State = winch.TaskDone
+	d.done += time.Duration(c.task.Need.Processors) * d.byID[c.task.ID.Job].truth[c.task.ID.Index]
+	d.do(d.planner.TaskEnded(c.vm, c.task, start.Add(d.now)))
+	for _, job := range d.planner.TakeCompletions() {
+		d.planner.Forget(job.Job)
 	}
 }
 
--- a/trial/work.go
+++ b/trial/work.go
@@ -23,7 +23,7 @@
 	RackSize     int
 	Teams        int
 	Services     int     // Services is the number of long-running tasks.
-	Load         float64 // Load is the work that arrives, without services, as a fraction of the capacity that services leave.
+	Load         float64 // Load is the arriving work as a fraction of the capacity that services leave free.
 	Urgent       float64 // Urgent is the fraction of that work that is urgent.
 	Length       time.Duration
 	// Burst is the number of additional urgent jobs that arrive within one second, halfway through
