--- a/cause/cause.go
+++ b/cause/cause.go
@@ -52,7 +52,7 @@
 	GivenUp   bool               `json:"givenUp"`
 }
 
-// JobCounts counts jobs by the time that they took relative to their objective.
+// Class counts jobs by the time that they took relative to their objective.
 type Class struct {
 	Jobs   int // Jobs is the number of jobs that were completed, have failed or are open.
 	OnTime int
