--- a/cause/cause.go
+++ b/cause/cause.go
@@ -18,7 +18,7 @@
 )
 
 // maxLineSize bounds the length of a log line, in bytes.
-const longestLine = 4 << 20
+const maxLineSize = 4 << 20
 
 // Messages of the log lines that are evaluated. They must match the texts that the entries log.
 const (
@@ -30,11 +30,11 @@
 )
 
 // methodState is the HTTP method of a request for the state of a job.
-const methodShow = "GET"
+const methodState = "GET"
 
 // logLine holds the evaluated fields of a log line, in the formats of zap: ts in RFC 3339,
 // durations in seconds.
-type line struct {
+type logLine struct {
 	Message   string             `json:"msg"`
 	Method    string             `json:"method"`
 	At        time.Time          `json:"ts"`
@@ -62,7 +62,7 @@
 }
 
 // DelayCause says how much a reason for waiting delayed the jobs that were not on time.
-type Loss struct {
+type DelayCause struct {
 	Reason string
 	Jobs   int           // Jobs is the number of jobs for which this is the longest wait.
 	Time   time.Duration // Time is the total waiting time of the jobs that were not on time.
@@ -72,14 +72,14 @@
 type Queue struct {
 	Name string
 	Class
-	Losses []Loss // Losses holds the causes of delay, that of the most jobs first.
+	Losses []DelayCause // Losses holds the causes of delay, that of the most jobs first.
 }
 
 // Interval holds the results of the jobs that were accepted in one interval.
-type Moment struct {
+type Interval struct {
 	Begin time.Time
 	Class
-	Losses []Loss
+	Losses []DelayCause
 }
 
 // Refusal is the number of requests that were not accepted with one status and reason.
@@ -90,7 +90,7 @@
 }
 
 // CrashingTask is a task under which workers crashed.
-type Crashing struct {
+type CrashingTask struct {
 	Job          string
 	Phase, Index int
 	Workers      []string // Workers lists the crashed workers in the order of their crashes.
@@ -101,60 +101,60 @@
 // Report is the result of an analysis of logs.
 type Report struct {
 	Queues   []Queue
-	Moments  []Moment
+	Moments  []Interval
 	Refusals []Refusal
 	// Crashes holds the tasks that were given up first, then by descending number of crashes.
-	Crashes []Crashing `json:",omitempty"`
+	Crashes []CrashingTask `json:",omitempty"`
 }
 
 // Reader collects log lines and reports on them. Set the exported field before the first Read.
 type Reader struct {
 	// Interval is the length of an Interval of the report.
-	Every time.Duration
+	Interval time.Duration
 
-	accepted map[string]line
-	ended    map[string]line
-	refused  map[Refusal]int
-	crashes  []line
+	accepted  map[string]logLine
+	completed map[string]logLine
+	refused   map[Refusal]int
+	crashes   []logLine
 	// stateSent holds the times at which callers received the state of each job.
-	shown map[string][]time.Time
+	stateSent map[string][]time.Time
 }
 
 // Read reads a log with one JSON object per line. Text before the object is ignored, as are lines
 // without an object.
 func (r *Reader) Read(in io.Reader) error {
 	if r.accepted == nil {
-		r.accepted, r.ended, r.refused = make(map[string]line), make(map[string]line), make(map[Refusal]int)
-		r.shown = make(map[string][]time.Time)
+		r.accepted, r.completed, r.refused = make(map[string]logLine), make(map[string]logLine), make(map[Refusal]int)
+		r.stateSent = make(map[string][]time.Time)
 	}
 	scan := bufio.NewScanner(in)
-	scan.Buffer(nil, longestLine)
+	scan.Buffer(nil, maxLineSize)
 	for scan.Scan() {
 		start := bytes.IndexByte(scan.Bytes(), '{')
-		var l line
+		var l logLine
 		if start < 0 || json.Unmarshal(scan.Bytes()[start:], &l) != nil {
 			continue
 		}
-		r.take(l)
+		r.add(l)
 	}
 	return merry.Prepend(scan.Err(), "reading the log failed")
 }
 
 // add adds a log line. Of several lines on the acceptance or the completion of a job, the earliest counts:
 // more than one planner may log them.
-func (r *Reader) take(l line) {
+func (r *Reader) add(l logLine) {
 	switch l.Message {
 	case messageAccepted:
 		if first, known := r.accepted[l.Job]; !known || l.At.Before(first.At) {
 			r.accepted[l.Job] = l
 		}
 	case messageEnded:
-		if first, known := r.ended[l.Job]; !known || l.At.Before(first.At) {
-			r.ended[l.Job] = l
+		if first, known := r.completed[l.Job]; !known || l.At.Before(first.At) {
+			r.completed[l.Job] = l
 		}
 	case messageAnswered:
-		if l.Method == methodShow {
-			r.shown[l.Job] = append(r.shown[l.Job], l.At)
+		if l.Method == methodState {
+			r.stateSent[l.Job] = append(r.stateSent[l.Job], l.At)
 		}
 	case messageCrash:
 		r.crashes = append(r.crashes, l)
@@ -166,9 +166,9 @@
 // untilStateSent returns the log line of a job's completion with the time added until the caller received
 // the final state: callers wait from the acceptance to the first response after the completion is
 // recorded.
-func (r *Reader) untilShown(job string, completed line) line {
+func (r *Reader) untilStateSent(job string, completed logLine) logLine {
 	first := time.Time{}
-	for _, at := range r.shown[job] {
+	for _, at := range r.stateSent[job] {
 		if !at.Before(completed.At) && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
@@ -180,33 +180,33 @@
 		if completed.Waited == nil {
 			completed.Waited = make(map[string]float64)
 		}
-		completed.Waited[reasonShown] = wait
+		completed.Waited[reasonNotRequested] = wait
 	}
 	return completed
 }
 
 // reasonNotRequested is the reason of the wait of a completed job until its caller requests its state.
-const reasonShown = "not asked for"
+const reasonNotRequested = "not asked for"
 
 // tally accumulates job counts and causes of delay.
 type tally struct {
 	Class
-	losses map[string]*Loss
+	causes map[string]*DelayCause
 }
 
 // delayCause returns the entry of a reason, which it adds if there is none.
-func (t *tally) loss(reason string) *Loss {
-	if t.losses == nil {
-		t.losses = make(map[string]*Loss)
+func (t *tally) delayCause(reason string) *DelayCause {
+	if t.causes == nil {
+		t.causes = make(map[string]*DelayCause)
 	}
-	if t.losses[reason] == nil {
-		t.losses[reason] = &Loss{Reason: reason}
+	if t.causes[reason] == nil {
+		t.causes[reason] = &DelayCause{Reason: reason}
 	}
-	return t.losses[reason]
+	return t.causes[reason]
 }
 
 // add counts a job that was completed or has failed. The time of a job without waits counts as work.
-func (t *tally) add(l line) {
+func (t *tally) add(l logLine) {
 	t.Jobs++
 	switch {
 	case l.State == "Failed" || l.Took > winch.LateFactor*l.Objective:
@@ -220,21 +220,21 @@
 	longest, longestWait := "work", 0.0
 	for _, reason := range slices.Sorted(maps.Keys(l.Waited)) {
 		d := l.Waited[reason]
-		t.loss(reason).Time += seconds(d)
+		t.delayCause(reason).Time += seconds(d)
 		if d > longestWait {
 			longest, longestWait = reason, d
 		}
 	}
-	t.loss(longest).Jobs++
+	t.delayCause(longest).Jobs++
 }
 
 // sortedCauses returns the causes of delay in descending order of jobs, then of time.
-func (t *tally) list() []Loss {
-	out := make([]Loss, 0, len(t.losses))
-	for _, x := range t.losses {
+func (t *tally) sortedCauses() []DelayCause {
+	out := make([]DelayCause, 0, len(t.causes))
+	for _, x := range t.causes {
 		out = append(out, *x)
 	}
-	slices.SortFunc(out, func(a, b Loss) int {
+	slices.SortFunc(out, func(a, b DelayCause) int {
 		return cmp.Or(cmp.Compare(b.Jobs, a.Jobs), cmp.Compare(b.Time, a.Time), cmp.Compare(a.Reason, b.Reason))
 	})
 	return out
@@ -244,7 +244,7 @@
 func (r *Reader) Report() Report {
 	queues, moments := make(map[string]*tally), make(map[time.Time]*tally)
 	count := func(queue string, at time.Time, f func(*tally)) {
-		begin := at.Truncate(max(r.Every, time.Millisecond))
+		begin := at.Truncate(max(r.Interval, time.Millisecond))
 		if queues[queue] == nil {
 			queues[queue] = &tally{}
 		}
@@ -254,7 +254,7 @@
 		f(queues[queue])
 		f(moments[begin])
 	}
-	for job, l := range r.ended {
+	for job, l := range r.completed {
 		if l.State == "Cancelled" {
 			continue
 		}
@@ -262,29 +262,29 @@
 		if a, known := r.accepted[job]; known {
 			at = a.At
 		}
-		l = r.untilShown(job, l)
+		l = r.untilStateSent(job, l)
 		count(l.Queue, at, func(t *tally) { t.add(l) })
 	}
 	for job, a := range r.accepted {
-		if _, ended := r.ended[job]; !ended {
+		if _, ended := r.completed[job]; !ended {
 			count(a.Queue, a.At, func(t *tally) { t.Jobs++; t.Open++ })
 		}
 	}
 	var out Report
 	for name, t := range queues {
-		out.Queues = append(out.Queues, Queue{Name: name, Class: t.Class, Losses: t.list()})
+		out.Queues = append(out.Queues, Queue{Name: name, Class: t.Class, Losses: t.sortedCauses()})
 	}
 	for begin, t := range moments {
-		out.Moments = append(out.Moments, Moment{Begin: begin, Class: t.Class, Losses: t.list()})
+		out.Moments = append(out.Moments, Interval{Begin: begin, Class: t.Class, Losses: t.sortedCauses()})
 	}
 	for x, n := range r.refused {
 		out.Refusals = append(out.Refusals, Refusal{Status: x.Status, Reason: x.Reason, Count: n})
 	}
-	out.Crashes = r.crashing()
+	out.Crashes = r.crashingTasks()
 	slices.SortFunc(out.Queues, func(a, b Queue) int {
 		return cmp.Or(cmp.Compare(b.Late+b.Missed, a.Late+a.Missed), cmp.Compare(a.Name, b.Name))
 	})
-	slices.SortFunc(out.Moments, func(a, b Moment) int { return a.Begin.Compare(b.Begin) })
+	slices.SortFunc(out.Moments, func(a, b Interval) int { return a.Begin.Compare(b.Begin) })
 	slices.SortFunc(out.Refusals, func(a, b Refusal) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Status, b.Status), cmp.Compare(a.Reason, b.Reason))
 	})
@@ -292,19 +292,19 @@
 }
 
 // crashingTasks returns the tasks under which workers crashed.
-func (r *Reader) crashing() []Crashing {
-	slices.SortStableFunc(r.crashes, func(a, b line) int { return a.At.Compare(b.At) })
-	var out []Crashing
+func (r *Reader) crashingTasks() []CrashingTask {
+	slices.SortStableFunc(r.crashes, func(a, b logLine) int { return a.At.Compare(b.At) })
+	var out []CrashingTask
 	for _, l := range r.crashes {
-		i := slices.IndexFunc(out, func(c Crashing) bool { return c.Job == l.Job && c.Phase == l.Phase && c.Index == l.Index })
+		i := slices.IndexFunc(out, func(c CrashingTask) bool { return c.Job == l.Job && c.Phase == l.Phase && c.Index == l.Index })
 		if i < 0 {
 			i = len(out)
-			out = append(out, Crashing{Job: l.Job, Phase: l.Phase, Index: l.Index})
+			out = append(out, CrashingTask{Job: l.Job, Phase: l.Phase, Index: l.Index})
 		}
 		out[i].Workers = append(out[i].Workers, l.Worker)
 		out[i].GivenUp = out[i].GivenUp || l.GivenUp
 	}
-	slices.SortStableFunc(out, func(a, b Crashing) int {
+	slices.SortStableFunc(out, func(a, b CrashingTask) int {
 		switch {
 		case a.GivenUp == b.GivenUp:
 			return cmp.Compare(len(b.Workers), len(a.Workers))
--- a/cause/cause_test.go
+++ b/cause/cause_test.go
@@ -10,41 +10,41 @@
 )
 
 // completedLine returns the log line of the completion of a job with an objective of one second.
-func ended(job string, took float64) string {
+func completedLine(job string, took float64) string {
 	return fmt.Sprintf(`{"ts":"2026-05-18T20:00:00Z","msg":"job ended","job":%q,"queue":"q","state":"Done","took":%g,"objective":1}`+"\n", job, took)
 }
 
 // Several planners may log the completion of the same job. It must count only once.
-func TestJobThatEndedTwiceIsCountedOnce(t *testing.T) {
+func TestCompletionLoggedTwiceCountsOnce(t *testing.T) {
 	is := is.New(t)
-	r := Reader{Every: time.Second}
-	is.NoErr(r.Read(strings.NewReader(ended("a", 0.5) + ended("a", 0.5))))
+	r := Reader{Interval: time.Second}
+	is.NoErr(r.Read(strings.NewReader(completedLine("a", 0.5) + completedLine("a", 0.5))))
 	got := r.Report().Queues
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Class, Class{Jobs: 1, OnTime: 1})
 }
 
 // Jobs count as on time up to one objective, as late up to three and as missed beyond.
-func TestClassesOfJobs(t *testing.T) {
+func TestJobsAreCountedByObjective(t *testing.T) {
 	is := is.New(t)
-	r := Reader{Every: time.Second}
-	is.NoErr(r.Read(strings.NewReader(ended("a", 1) + ended("b", 1.01) + ended("c", 3) + ended("d", 3.01))))
+	r := Reader{Interval: time.Second}
+	is.NoErr(r.Read(strings.NewReader(completedLine("a", 1) + completedLine("b", 1.01) + completedLine("c", 3) + completedLine("d", 3.01))))
 	is.Equal(r.Report().Queues[0].Class, Class{Jobs: 4, OnTime: 1, Late: 2, Missed: 1})
 }
 
 // An empty log must give an empty report and no error.
-func TestEmptyLog(t *testing.T) {
+func TestEmptyLogGivesEmptyReport(t *testing.T) {
 	is := is.New(t)
-	r := Reader{Every: time.Second}
+	r := Reader{Interval: time.Second}
 	is.NoErr(r.Read(strings.NewReader("")))
 	is.Equal(len(r.Report().Queues), 0)
 }
 
 // A caller learns that its job is completed when it next requests the state. If that is later than the
 // objective, the job must count as late although its completion was recorded in time.
-func TestTimeCountsUntilTheCallerIsShownTheEnd(t *testing.T) {
+func TestTimeCountsUntilCallerReceivesFinalState(t *testing.T) {
 	is := is.New(t)
-	r := &Reader{Every: time.Second}
+	r := &Reader{Interval: time.Second}
 	is.NoErr(r.Read(strings.NewReader(`{"ts":"2026-01-01T00:00:00Z","msg":"accepted","job":"a","queue":"q"}
 {"ts":"2026-01-01T00:00:00.5Z","msg":"answered","job":"a","method":"GET"}
 {"ts":"2026-01-01T00:00:01Z","msg":"job ended","job":"a","queue":"q","state":"Done","took":1,"objective":1.2}
@@ -53,5 +53,5 @@
 `)))
 	queue := r.Report().Queues[0]
 	is.Equal(queue.Late, 1)
-	is.Equal(queue.Losses[0].Reason, reasonShown)
+	is.Equal(queue.Losses[0].Reason, reasonNotRequested)
 }
--- a/cause/print.go
+++ b/cause/print.go
@@ -9,7 +9,7 @@
 )
 
 // maxReasons is the number of reasons that a row of a table names.
-const mostReasons = 5
+const maxReasons = 5
 
 // Print writes a report as tables. Each reason is followed by the number of jobs for which it is the
 // longest wait, and by its total time over all jobs that were not on time.
@@ -17,12 +17,12 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "QUEUE\tJOBS\tON TIME\tLATE\tMISSED\tOPEN\tWHAT THE TIME WENT INTO")
 	for _, q := range r.Queues {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", q.Name, q.row(), reasons(q.Losses))
+		fmt.Fprintf(t, "%s\t%s\t%s\n", q.Name, q.row(), formatCauses(q.Losses))
 	}
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "ACCEPTED FROM\tJOBS\tON TIME\tLATE\tMISSED\tOPEN\tWHAT THE TIME WENT INTO")
 	for _, m := range r.Moments {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", m.Begin.UTC().Format("15:04:05"), m.row(), reasons(m.Losses))
+		fmt.Fprintf(t, "%s\t%s\t%s\n", m.Begin.UTC().Format("15:04:05"), m.row(), formatCauses(m.Losses))
 	}
 	if len(r.Refusals) > 0 {
 		fmt.Fprintln(t)
@@ -36,13 +36,13 @@
 }
 
 // maxCrashRows bounds the number of rows of the table of crashes.
-const mostCrashing = 20
+const maxCrashRows = 20
 
 // printCrashes writes the tasks that were given up and those under which several workers crashed.
-func printCrashes(w io.Writer, all []Crashing) {
+func printCrashes(w io.Writer, all []CrashingTask) {
 	rows := 0
 	for _, c := range all {
-		if !c.GivenUp && len(c.Workers) < 2 || rows == mostCrashing {
+		if !c.GivenUp && len(c.Workers) < 2 || rows == maxCrashRows {
 			continue
 		}
 		if rows == 0 {
@@ -60,9 +60,9 @@
 }
 
 // formatCauses returns the first maxReasons causes as one line.
-func reasons(causes []Loss) string {
+func formatCauses(causes []DelayCause) string {
 	var out []string
-	for _, l := range causes[:min(len(causes), mostReasons)] {
+	for _, l := range causes[:min(len(causes), maxReasons)] {
 		out = append(out, fmt.Sprintf("%s %d (%s)", l.Reason, l.Jobs, l.Time.Round(100*time.Millisecond)))
 	}
 	return strings.Join(out, ", ")
--- a/cmds/explain.go
+++ b/cmds/explain.go
@@ -22,8 +22,8 @@
 			"into: for each reason the number of jobs of which it is the longest wait, and its time over all.",
 		Example: "  plantainwinch explain entry-1.log entry-2.log\n  cat *.log | plantainwinch explain --every 2s --output json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if reader.Every <= 0 {
-				return merry.Errorf("--every %s: name a time above zero, such as 5s", reader.Every)
+			if reader.Interval <= 0 {
+				return merry.Errorf("--every %s: name a time above zero, such as 5s", reader.Interval)
 			}
 			if len(args) == 0 {
 				if err := reader.Read(cmd.InOrStdin()); err != nil {
@@ -39,7 +39,7 @@
 			return c.print(cmd, report, func(w io.Writer) { _ = cause.Print(w, report) })
 		},
 	}
-	cmd.Flags().DurationVar(&reader.Every, "every", 5*time.Second, "length of a moment")
+	cmd.Flags().DurationVar(&reader.Interval, "every", 5*time.Second, "length of a moment")
 	cmd.Flags().StringVar(&c.Output, "output", "table", "table or json")
 	return cmd
 }
--- a/cmds/load.go
+++ b/cmds/load.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	return f.write(cmd.OutOrStdout(), speeds, func(w io.Writer) error { return load.PrintSpeeds(w, speeds) })
+	return f.write(cmd.OutOrStdout(), speeds, func(w io.Writer) error { return load.PrintRoutes(w, speeds) })
 }
 
 // target returns the cell to load and what stops it.
@@ -127,7 +127,7 @@
 	}
 	c := &cell.Cell{Size: cell.UsersSize()}
 	if f.compare {
-		c.Size = load.CompareSize()
+		c.Size = load.CompareCellSize()
 	}
 	if err := c.Start(); err != nil {
 		return nil, nil, err
@@ -137,7 +137,7 @@
 		c.Stop()
 		return nil, nil, err
 	}
-	return load.OfCell(c, keys), c.Stop, nil
+	return load.NewTarget(c, keys), c.Stop, nil
 }
 
 // write prints the result and writes it to the file of --out.
--- a/load/compare.go
+++ b/load/compare.go
@@ -20,19 +20,19 @@
 )
 
 // Route is the route of a call to an executor.
-type Way string
+type Route string
 
 // The compared routes: from the caller directly, through an entry that holds a slot of the executor,
 // and through an entry that gets the slot from another entry.
 const (
-	Direct Way = "direct"
-	Local  Way = "entry, own slot"
-	Hop    Way = "entry, one hop"
+	Direct Route = "direct"
+	Local  Route = "entry, own slot"
+	OneHop Route = "entry, one hop"
 )
 
 // RouteResult holds the measurements of one route.
-type Speed struct {
-	Way      Way
+type RouteResult struct {
+	Way      Route
 	Calls    int64
 	Rate     float64 // Rate is the number of calls per second with all callers busy.
 	P50, P99 int64   // P50 and P99 are percentiles of the time of a call with one caller, in microseconds.
@@ -41,7 +41,7 @@
 
 // CompareCellSize returns the size of the cell for Compare. All executors are in the first failure domain,
 // so that a call through the entry of the second one always takes a hop.
-func CompareSize() cell.Size {
+func CompareCellSize() cell.Size {
 	return cell.Size{
 		Domains: 2, EntriesPerDomain: 1, Executors: 32, Slots: 8, Connections: 64, ExecutorDomains: 1,
 		Workers: 2, RackSize: 8, WorkerSize: winch.Resources{Processors: 4, Memory: 4 << 30},
@@ -51,39 +51,39 @@
 // concurrentCallers is the number of concurrent callers, warmUpCalls the number of calls over each
 // route before the measurement, during which entries acquire slots.
 const (
-	comparers = 64
-	warmUp    = 3000
+	concurrentCallers = 64
+	warmUpCalls       = 3000
 )
 
 // Compare measures the three routes in turn, for several rounds, so that other load on the machine
 // affects all of them equally. The length applies to each measurement of throughput.
-func Compare(ctx context.Context, t *Target, length time.Duration, rounds int) ([]Speed, error) {
+func Compare(ctx context.Context, t *Target, length time.Duration, rounds int) ([]RouteResult, error) {
 	execs, err := t.backends(ctx, winch.RoleExecutor)
 	if err != nil {
 		return nil, err
 	}
 	var next atomic.Int64
-	urls := map[Way]func() string{
+	urls := map[Route]func() string{
 		Direct: func() string { return "http://" + execs[int(next.Add(1))%len(execs)].Address + "/" },
 		Local:  func() string { return "http://" + t.Callers[0] + "/Call/" + cell.Service },
-		Hop:    func() string { return "http://" + t.Callers[1] + "/Call/" + cell.Service },
+		OneHop: func() string { return "http://" + t.Callers[1] + "/Call/" + cell.Service },
 	}
-	routes := []Way{Direct, Local, Hop}
-	out := make([]Speed, len(routes))
+	routes := []Route{Direct, Local, OneHop}
+	out := make([]RouteResult, len(routes))
 	hists := make([]*hdrhistogram.Histogram, len(routes))
 	for i, route := range routes {
 		out[i].Way = route
 		hists[i] = hdrhistogram.New(histMin, histMax, histFigures)
-		for range warmUp {
-			_ = t.once(ctx, urls[route]())
+		for range warmUpCalls {
+			_ = t.call(ctx, urls[route]())
 		}
 	}
 	var busy [3]time.Duration
 	for range rounds {
 		for i, route := range routes {
-			out[i].Failed += t.alone(ctx, urls[route], length/4, hists[i])
+			out[i].Failed += t.measureLatency(ctx, urls[route], length/4, hists[i])
 			begin := time.Now()
-			done, failed := t.together(ctx, urls[route], length)
+			done, failed := t.measureThroughput(ctx, urls[route], length)
 			busy[i] += time.Since(begin)
 			out[i].Calls += done
 			out[i].Failed += failed
@@ -100,7 +100,7 @@
 var compareBody = bytes.Repeat([]byte("x"), 256)
 
 // call makes one call and reads its response, which must have status 200.
-func (t *Target) once(ctx context.Context, url string) error {
+func (t *Target) call(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(compareBody))
 	if err != nil {
 		return merry.Wrap(err)
@@ -122,11 +122,11 @@
 }
 
 // measureLatency measures calls that are made one after the other.
-func (t *Target) alone(ctx context.Context, url func() string, length time.Duration, h *hdrhistogram.Histogram) (failed int64) {
+func (t *Target) measureLatency(ctx context.Context, url func() string, length time.Duration, h *hdrhistogram.Histogram) (failed int64) {
 	until := time.Now().Add(length)
 	for time.Now().Before(until) {
 		begin := time.Now()
-		if t.once(ctx, url()) != nil {
+		if t.call(ctx, url()) != nil {
 			failed++
 			continue
 		}
@@ -136,14 +136,14 @@
 }
 
 // measureThroughput counts the completed and the failed calls of concurrentCallers callers.
-func (t *Target) together(ctx context.Context, url func() string, length time.Duration) (int64, int64) {
+func (t *Target) measureThroughput(ctx context.Context, url func() string, length time.Duration) (int64, int64) {
 	var done, failed atomic.Int64
 	until := time.Now().Add(length)
 	var group conc.WaitGroup
-	for range comparers {
+	for range concurrentCallers {
 		group.Go(func() {
 			for time.Now().Before(until) {
-				if t.once(ctx, url()) != nil {
+				if t.call(ctx, url()) != nil {
 					failed.Add(1)
 				} else {
 					done.Add(1)
@@ -156,7 +156,7 @@
 }
 
 // PrintRoutes writes the routes and their ratios to the first one, the direct route.
-func PrintSpeeds(to io.Writer, results []Speed) error {
+func PrintRoutes(to io.Writer, results []RouteResult) error {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WAY\tCALLS/S\tRATIO\tP50\tRATIO\tP99\tRATIO\tCALLS\tFAILED")
 	base := results[0]
--- a/load/report.go
+++ b/load/report.go
@@ -22,8 +22,8 @@
 	Classes []ClassReport
 	// Outcomes counts requests by outcome and reason.
 	Outcomes map[string]int
-	Broken   Broken
-	Changes  ChangeReport
+	Broken   Violations
+	Changes  KeyChangeReport
 	Cost     Cost
 	CPU      time.Duration
 	// Before, During and After are the completed preview calls per second before, during and after an
@@ -39,7 +39,7 @@
 }
 
 // Violations counts violations of the guarantees that callers and operators rely on.
-type Broken struct {
+type Violations struct {
 	Twice         int // Twice counts non-repeatable requests that ran more than once.
 	RanNotRun     int // RanNotRun counts requests that ran although the response was NotRun.
 	Lost          int // Lost counts accepted jobs that were not completed with all their tasks.
@@ -51,29 +51,29 @@
 }
 
 // Sum returns the total number of violations.
-func (b Broken) Sum() int {
+func (b Violations) Sum() int {
 	return b.Twice + b.RanNotRun + b.Lost + b.WrongAnswer + b.Cut + b.Overcommitted + b.LateKeys + b.DoneNotRun
 }
 
 // KeyChangeReport summarizes the changes of keys during a run.
-type ChangeReport struct {
+type KeyChangeReport struct {
 	Made    int
 	Failed  int
 	Slowest time.Duration // Slowest is the longest time until a withdrawal was in force at all entries.
 }
 
 // report returns the report of the run.
-func (r *Run) report(seen Seen, cost Cost, took, cpu time.Duration) *Report {
+func (r *Run) report(seen Observed, cost Cost, took, cpu time.Duration) *Report {
 	out := &Report{
-		Seed: r.Seed, Rate: r.Rate, Took: took, Sent: len(r.sent), Skipped: r.skipped, Outcomes: make(map[string]int),
-		Cost: cost, CPU: cpu, Changes: ChangeReport{Made: r.changes.made, Failed: r.changes.failures, Slowest: r.changes.slowest},
+		Seed: r.Seed, Rate: r.Rate, Took: took, Sent: len(r.requests), Skipped: r.skipped, Outcomes: make(map[string]int),
+		Cost: cost, CPU: cpu, Changes: KeyChangeReport{Made: r.keyChanges.withdrawn, Failed: r.keyChanges.failures, Slowest: r.keyChanges.slowest},
 	}
 	out.Broken.Overcommitted = seen.Overcommitted
-	out.Broken.LateKeys = r.changes.late
-	for _, q := range r.sent {
-		out.judge(q, seen)
+	out.Broken.LateKeys = r.keyChanges.late
+	for _, q := range r.requests {
+		out.checkRequest(q, seen)
 	}
-	for class, h := range r.hist {
+	for class, h := range r.histograms {
 		out.Classes = append(out.Classes, ClassReport{
 			Class: class, Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90),
 			P99: h.ValueAtQuantile(99), Most: h.Max(),
@@ -85,23 +85,23 @@
 		}
 		return 1
 	})
-	r.rates(out)
+	r.setOutageRates(out)
 	return out
 }
 
 // checkRequest compares the response that a caller received with the runs that the executors counted.
-func (r *Report) judge(q *shot, seen Seen) {
+func (r *Report) checkRequest(q *request, seen Observed) {
 	name := string(q.outcome)
 	if q.reason != "" {
 		name += " " + q.reason
 	}
 	switch {
-	case q.cut:
+	case q.incomplete:
 		r.Broken.Cut++
 		name = "Cut"
-	case q.job && q.wrong:
+	case q.job && q.wrongResult:
 		r.Broken.Lost++
-	case q.wrong:
+	case q.wrongResult:
 		r.Broken.WrongAnswer++
 	}
 	r.Outcomes[name]++
@@ -121,12 +121,12 @@
 }
 
 // setOutageRates computes the completed preview calls per second before, during and after an outage.
-func (r *Run) rates(out *Report) {
+func (r *Run) setOutageRates(out *Report) {
 	if r.Outage == 0 {
 		return
 	}
 	from, to := (r.Duration-r.Outage)/2, (r.Duration+r.Outage)/2
-	for _, q := range r.sent {
+	for _, q := range r.requests {
 		if q.job || q.outcome != winch.Done || q.class != "preview" {
 			continue
 		}
--- a/load/run.go
+++ b/load/run.go
@@ -41,32 +41,32 @@
 	// Outage is the length of an outage of the store in the middle of the run; zero means none.
 	Outage time.Duration
 
-	rnd     *rand.Rand
-	mu      sync.Mutex
-	hist    map[string]*hdrhistogram.Histogram
-	sent    []*shot
-	pending atomic.Int64
-	skipped int
-	began   time.Time
-	changes changes
+	rnd        *rand.Rand
+	mu         sync.Mutex
+	histograms map[string]*hdrhistogram.Histogram
+	requests   []*request
+	pending    atomic.Int64
+	skipped    int
+	started    time.Time
+	keyChanges keyChanges
 }
 
 // request is one arrival and its result.
-type shot struct {
-	id      string
-	class   string
-	team    int
-	job     bool
-	at      time.Duration // at is when the request is due, from the start of the run.
-	outcome winch.Outcome
-	reason  string
-	wrong   bool // wrongResult reports that the response belongs to another request, or that the job was lost.
-	cut     bool // incomplete reports that the response was incomplete or missing.
-	took    time.Duration
+type request struct {
+	id          string
+	class       string
+	team        int
+	job         bool
+	at          time.Duration // at is when the request is due, from the start of the run.
+	outcome     winch.Outcome
+	reason      string
+	wrongResult bool // wrongResult reports that the response belongs to another request, or that the job was lost.
+	incomplete  bool // incomplete reports that the response was incomplete or missing.
+	took        time.Duration
 }
 
 // maxPending bounds the requests in progress; further arrivals are counted as skipped.
-const pendingMost = 4000
+const maxPending = 4000
 
 // Bounds of the histograms, in microseconds, and their significant figures.
 const (
@@ -78,21 +78,21 @@
 // Do executes the run and returns its report.
 func (r *Run) Do(ctx context.Context) (*Report, error) {
 	r.rnd = rand.New(rand.NewPCG(r.Seed, 11))
-	r.hist = make(map[string]*hdrhistogram.Histogram)
+	r.histograms = make(map[string]*hdrhistogram.Histogram)
 	before, err := r.Target.cost(ctx)
 	if err != nil {
 		return nil, err
 	}
 	cpu := cpuTime()
-	r.began = time.Now()
+	r.started = time.Now()
 	var group conc.WaitGroup
 	if r.Outage > 0 {
-		group.Go(func() { r.outage(ctx) })
+		group.Go(func() { r.injectOutage(ctx) })
 	}
-	group.Go(func() { r.changes.run(ctx, r.Target, r.Duration) })
-	r.arrivals(ctx, &group)
+	group.Go(func() { r.keyChanges.run(ctx, r.Target, r.Duration) })
+	r.sendArrivals(ctx, &group)
 	group.Wait()
-	took := time.Since(r.began)
+	took := time.Since(r.started)
 	cpu = cpuTime() - cpu
 	after, err := r.Target.cost(ctx)
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err := r.awaitJobs(ctx); err != nil {
 		return nil, err
 	}
-	seen, err := r.Target.seen(ctx)
+	seen, err := r.Target.observe(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -119,42 +119,42 @@
 }
 
 // injectOutage makes the store unavailable in the middle of the run.
-func (r *Run) outage(ctx context.Context) {
+func (r *Run) injectOutage(ctx context.Context) {
 	time.Sleep((r.Duration - r.Outage) / 2)
-	_ = r.Target.faults(ctx, stand.Faults{Down: true})
+	_ = r.Target.setFaults(ctx, stand.Faults{Down: true})
 	time.Sleep(r.Outage)
-	_ = r.Target.faults(ctx, stand.Faults{})
+	_ = r.Target.setFaults(ctx, stand.Faults{})
 }
 
 // sendArrivals sends requests at random times that do not depend on the responses, as independent
 // callers do. A slow cell therefore gets no less load.
-func (r *Run) arrivals(ctx context.Context, group *conc.WaitGroup) {
+func (r *Run) sendArrivals(ctx context.Context, group *conc.WaitGroup) {
 	next := time.Duration(0)
 	for n := 0; ; n++ {
 		next += time.Duration(r.rnd.ExpFloat64() / r.Rate * float64(time.Second))
 		if next > r.Duration || ctx.Err() != nil {
 			return
 		}
-		time.Sleep(next - time.Since(r.began))
-		q := r.draw(n, next)
-		if r.pending.Load() >= pendingMost {
+		time.Sleep(next - time.Since(r.started))
+		q := r.newRequest(n, next)
+		if r.pending.Load() >= maxPending {
 			r.skipped++
 			continue
 		}
 		work := time.Duration(r.rnd.ExpFloat64() * float64(r.Work))
 		address := r.Target.Callers[r.rnd.IntN(len(r.Target.Callers))]
-		r.sent = append(r.sent, q)
+		r.requests = append(r.requests, q)
 		r.pending.Add(1)
 		group.Go(func() {
 			defer r.pending.Add(-1)
-			r.shoot(ctx, q, address, work)
+			r.execute(ctx, q, address, work)
 		})
 	}
 }
 
 // newRequest draws the class and the team of an arrival. Two of the teams send more than the others.
-func (r *Run) draw(n int, at time.Duration) *shot {
-	q := &shot{id: fmt.Sprintf("load-%d-%d", r.Seed, n), at: at}
+func (r *Run) newRequest(n int, at time.Duration) *request {
+	q := &request{id: fmt.Sprintf("load-%d-%d", r.Seed, n), at: at}
 	teams := len(r.Target.Teams) - 1 // The last team is not approved.
 	if q.team = r.rnd.IntN(2 * teams); q.team >= teams {
 		q.team %= 2
@@ -174,7 +174,7 @@
 }
 
 // execute makes a request and records its result and time.
-func (r *Run) shoot(ctx context.Context, q *shot, address string, work time.Duration) {
+func (r *Run) execute(ctx context.Context, q *request, address string, work time.Duration) {
 	begin := time.Now()
 	if q.job {
 		work = 0
@@ -192,20 +192,20 @@
 func (r *Run) record(class string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.hist[class]
+	h := r.histograms[class]
 	if h == nil {
 		h = hdrhistogram.New(histMin, histMax, histFigures)
-		r.hist[class] = h
+		r.histograms[class] = h
 	}
 	_ = h.RecordValue(d.Microseconds())
 }
 
 // call makes a call and checks its response.
-func (r *Run) call(ctx context.Context, q *shot, address string, work time.Duration) {
+func (r *Run) call(ctx context.Context, q *request, address string, work time.Duration) {
 	body := append([]byte(q.id+" "), bytes.Repeat([]byte("x"), r.Body)...)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/Call/"+cell.Service, bytes.NewReader(body))
 	if err != nil {
-		q.cut = true
+		q.incomplete = true
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+r.Target.Teams[q.team])
@@ -215,16 +215,16 @@
 	req.Header.Set("Stand-Work", work.String())
 	resp, err := r.Target.HTTP.Do(req)
 	if err != nil {
-		q.cut = true
+		q.incomplete = true
 		return
 	}
 	defer resp.Body.Close()
 	response, err := io.ReadAll(resp.Body)
 	if err != nil {
-		q.cut = true
+		q.incomplete = true
 		return
 	}
 	q.reason = resp.Header.Get(front.ReasonHeader)
 	q.outcome = winch.Outcome(resp.Header.Get(front.OutcomeHeader) + resp.Trailer.Get(front.OutcomeHeader))
-	q.wrong = q.outcome == winch.Done && !bytes.Equal(response, body)
+	q.wrongResult = q.outcome == winch.Done && !bytes.Equal(response, body)
 }
--- a/load/target.go
+++ b/load/target.go
@@ -34,15 +34,15 @@
 }
 
 // maxIdleConns bounds the idle connections kept open to one entry.
-const inFlight = 512
+const maxIdleConns = 512
 
 // newClient returns a client that keeps its connections open for reuse.
 func newClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: inFlight, MaxIdleConns: 0, DisableCompression: true}}
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, MaxIdleConns: 0, DisableCompression: true}}
 }
 
 // NewTarget returns the target for a running cell.
-func OfCell(c *cell.Cell, keys cell.Keys) *Target {
+func NewTarget(c *cell.Cell, keys cell.Keys) *Target {
 	t := &Target{Platform: c.PlatformAt, Operator: c.OperatorKey, HTTP: newClient()}
 	for _, s := range c.Servers {
 		t.Callers = append(t.Callers, s.CallersAddress())
@@ -139,7 +139,7 @@
 }
 
 // Observed holds the counts of the stand-ins of executors and workers.
-type Seen struct {
+type Observed struct {
 	// Runs is the number of runs of each request.
 	Runs map[string]int
 	// Starts is the number of starts of each task.
@@ -149,8 +149,8 @@
 }
 
 // observe fetches the counts of all stand-ins.
-func (t *Target) seen(ctx context.Context) (Seen, error) {
-	out := Seen{Runs: make(map[string]int), Starts: make(map[string]int)}
+func (t *Target) observe(ctx context.Context) (Observed, error) {
+	out := Observed{Runs: make(map[string]int), Starts: make(map[string]int)}
 	execs, err := t.backends(ctx, winch.RoleExecutor)
 	if err != nil {
 		return out, err
@@ -190,7 +190,7 @@
 type gauge struct{ Value int64 }
 
 // controlMetrics holds the gauges that Cost sums up.
-type metricsOf struct {
+type controlMetrics struct {
 	StoreCalls  gauge `json:"Control.Store.Calls"`
 	StoreBytes  gauge `json:"Control.Store.Bytes"`
 	PeerFrames  gauge `json:"Control.Peer.Frames"`
@@ -203,7 +203,7 @@
 func (t *Target) cost(ctx context.Context) (Cost, error) {
 	var out Cost
 	for _, address := range t.Callers {
-		var m metricsOf
+		var m controlMetrics
 		if err := t.getJSON(ctx, "http://"+address+"/Metrics", &m); err != nil {
 			return out, err
 		}
@@ -226,7 +226,7 @@
 }
 
 // setFaults sets the faults that the platform injects.
-func (t *Target) faults(ctx context.Context, f stand.Faults) error {
+func (t *Target) setFaults(ctx context.Context, f stand.Faults) error {
 	return t.fetch(ctx, http.MethodPut, "http://"+t.Platform+"/Faults", "", f, nil)
 }
 
--- a/trial/outcome.go
+++ b/trial/outcome.go
@@ -13,13 +13,13 @@
 )
 
 // objectiveWorkers is the number of workers in an advice request whose cost an objective includes.
-const adviceWorkers = 30
+const objectiveWorkers = 30
 
 // Outcome holds the results of one pattern under one policy.
 type Outcome struct {
 	Pattern string
 	Without []string `json:",omitempty"` // Without lists the mechanisms that were switched off.
-	Queues  []Served
+	Queues  []QueueOutcome
 	// Lanes is the fraction of the lanes' time that advice requests took, Room the mean fraction
 	// of each service's capacity in use.
 	Lanes float64
@@ -27,11 +27,11 @@
 	// Restarted is the number of runs that were stopped because they were slow.
 	Restarted int64
 	// Harm sums up the effects of tasks that crash their workers.
-	Harm Harm
+	Harm CrashReport
 }
 
 // QueueOutcome holds the results of the jobs of one queue.
-type Served struct {
+type QueueOutcome struct {
 	Queue string
 	Jobs  int
 	// OnTime is the fraction of jobs completed within the objective, Within the fraction completed
@@ -41,29 +41,29 @@
 	Lateness time.Duration
 	P50, P99 time.Duration
 	// Waits holds the total waiting time by reason, the longest first.
-	Waits []Waited
+	Waits []WaitingTime
 	// Ratios holds the times that jobs took, as multiples of their objectives, in ascending order.
 	// Jobs that were not completed within the trial are left out.
 	Ratios []float64 `json:"-"`
 }
 
 // WaitingTime is how long tasks of a queue's jobs waited for one reason.
-type Waited struct {
+type WaitingTime struct {
 	Reason string
 	Time   time.Duration
 }
 
 // objective returns the objective of a job, computed from its true run times.
-func (p Pattern) objective(a *arrivalOf) time.Duration {
+func (p Pattern) objective(a *jobArrival) time.Duration {
 	for _, q := range p.Queues {
 		if q.Name != a.job.Queue {
 			continue
 		}
 		chain := time.Duration(0)
-		for _, runTimes := range a.truth {
+		for _, runTimes := range a.runTimes {
 			chain += slices.Max(runTimes)
 			if q.Advice != nil {
-				chain += q.Advice.Call + adviceWorkers*q.Advice.Worker
+				chain += q.Advice.Call + objectiveWorkers*q.Advice.Worker
 			}
 		}
 		return q.Objective(chain)
@@ -73,15 +73,15 @@
 
 // outcome returns the results of the simulation. Jobs that crash workers count in Harm only, since
 // they are not expected to complete.
-func (r *region) outcome() Outcome {
+func (r *simRegion) outcome() Outcome {
 	out := Outcome{Pattern: r.pattern.Name, Room: make(map[string]float64)}
 	out.Restarted = r.planner.Counts().Restarted
-	out.Harm = r.harmDone()
-	out.Lanes = r.use.lanes.Seconds() / (r.pattern.Length.Seconds() * float64(r.pattern.Lanes))
-	for name, m := range r.use.room {
+	out.Harm = r.crashReport()
+	out.Lanes = r.usage.laneTime.Seconds() / (r.pattern.Length.Seconds() * float64(r.pattern.Lanes))
+	for name, m := range r.usage.capacity {
 		out.Room[name] = m.value()
 	}
-	byQueue := make(map[string]*Served)
+	byQueue := make(map[string]*QueueOutcome)
 	took := make(map[string][]time.Duration)
 	waits := make(map[string]map[string]time.Duration)
 	for _, a := range r.jobs {
@@ -89,12 +89,12 @@
 			continue
 		}
 		if byQueue[a.job.Queue] == nil {
-			byQueue[a.job.Queue] = &Served{Queue: a.job.Queue}
+			byQueue[a.job.Queue] = &QueueOutcome{Queue: a.job.Queue}
 			waits[a.job.Queue] = make(map[string]time.Duration)
 		}
 		byQueue[a.job.Queue].Jobs++
 	}
-	for _, e := range r.ended {
+	for _, e := range r.completed {
 		if e.State != winch.JobDone || r.jobs[e.Job].crash.crashes {
 			continue
 		}
@@ -107,15 +107,15 @@
 		}
 	}
 	for queue, s := range byQueue {
-		s.finish(took[queue], waits[queue])
+		s.summarize(took[queue], waits[queue])
 		out.Queues = append(out.Queues, *s)
 	}
-	slices.SortFunc(out.Queues, func(a, b Served) int { return cmp.Compare(a.Queue, b.Queue) })
+	slices.SortFunc(out.Queues, func(a, b QueueOutcome) int { return cmp.Compare(a.Queue, b.Queue) })
 	return out
 }
 
 // summarize computes the fractions, means and percentiles once all jobs of the queue are added.
-func (s *Served) finish(took []time.Duration, waits map[string]time.Duration) {
+func (s *QueueOutcome) summarize(took []time.Duration, waits map[string]time.Duration) {
 	slices.Sort(took)
 	slices.Sort(s.Ratios)
 	within := func(limit float64) float64 {
@@ -127,16 +127,16 @@
 	if n := len(took); n > 0 {
 		s.P50, s.P99 = took[n/2], took[n*99/100]
 	}
-	for _, reason := range sorted(waits) {
+	for _, reason := range sortedKeys(waits) {
 		if waits[reason] > 0 {
-			s.Waits = append(s.Waits, Waited{reason, waits[reason].Round(time.Millisecond)})
+			s.Waits = append(s.Waits, WaitingTime{reason, waits[reason].Round(time.Millisecond)})
 		}
 	}
-	slices.SortStableFunc(s.Waits, func(a, b Waited) int { return cmp.Compare(b.Time, a.Time) })
+	slices.SortStableFunc(s.Waits, func(a, b WaitingTime) int { return cmp.Compare(b.Time, a.Time) })
 }
 
 // maxReasons is the number of reasons that a row of the table names.
-const mostWaits = 3
+const maxReasons = 3
 
 // PrintOutcomes writes outcomes as a table, followed by a line for each with crashes.
 func PrintOutcomes(w io.Writer, all []Outcome) error {
@@ -145,18 +145,18 @@
 	for _, o := range all {
 		for _, q := range o.Queues {
 			var reasons []string
-			for _, x := range q.Waits[:min(mostWaits, len(q.Waits))] {
+			for _, x := range q.Waits[:min(maxReasons, len(q.Waits))] {
 				reasons = append(reasons, fmt.Sprintf("%s %s", x.Reason, x.Time.Round(100*time.Millisecond)))
 			}
 			fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%s\t%s\t%s\t%.2f\t%s\t%s\n", o.Pattern, strings.Join(o.Without, ","), q.Queue, q.Jobs, q.OnTime, q.Within,
-				q.Lateness.Round(time.Millisecond), q.P50.Round(time.Millisecond), q.P99.Round(time.Millisecond), o.Lanes, o.rooms(), strings.Join(reasons, ", "))
+				q.Lateness.Round(time.Millisecond), q.P50.Round(time.Millisecond), q.P99.Round(time.Millisecond), o.Lanes, o.formatRoom(), strings.Join(reasons, ", "))
 		}
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, o := range all {
-		if o.Harm != (Harm{}) {
+		if o.Harm != (CrashReport{}) {
 			fmt.Fprintf(w, "%s without %s: %s\n", o.Pattern, cmp.Or(strings.Join(o.Without, ","), "nothing"), o.Harm)
 		}
 	}
@@ -164,9 +164,9 @@
 }
 
 // formatRoom returns the used fraction of each service's capacity, in the order of their names.
-func (o Outcome) rooms() string {
+func (o Outcome) formatRoom() string {
 	var out []string
-	for _, name := range sorted(o.Room) {
+	for _, name := range sortedKeys(o.Room) {
 		out = append(out, fmt.Sprintf("%.2f", o.Room[name]))
 	}
 	return strings.Join(out, "/")
--- a/trial/pattern.go
+++ b/trial/pattern.go
@@ -14,7 +14,7 @@
 type Pattern struct {
 	Name string
 	// Description says what the load is and what goes wrong without a mechanism against it.
-	Shows string
+	Description string
 	// Length is how long jobs arrive; they then have drainPeriod to complete.
 	Length   time.Duration
 	Lanes    int // Lanes is the number of entries that send requests to the advice service.
@@ -24,13 +24,13 @@
 	Streams  []Stream
 	// ExamineTime is the time that the planner's VM takes for each worker that a decision
 	// examines; decisions take no time if it is zero.
-	Look time.Duration
+	ExamineTime time.Duration
 	// LossRate is the fraction of responses to starts, and of lists of ended runs, that are lost
 	// from lossStart to lossEnd.
-	Loss float64
+	LossRate float64
 	// AllowedShare is, by queue, the fraction of the workers that the advice service allows for a
 	// phase.
-	Allowed map[string]float64
+	AllowedShare map[string]float64
 	// Faults are the faults of workers.
 	Faults []Fault
 }
@@ -55,26 +55,26 @@
 	Need   winch.Capacity
 	// Accelerators holds the numbers of accelerators of which one is drawn for each job. If it is
 	// empty, Need applies.
-	Accelerators []int
-	Work         time.Duration
-	Off          float64
-	Gang, Saves  bool
+	Accelerators      []int
+	RunTime           time.Duration
+	EstimateError     float64
+	Gang, Checkpoints bool
 	// CrashFraction is the fraction of the jobs that have tasks which crash their workers.
-	Crashes float64
+	CrashFraction float64
 }
 
 // jobArrival is a job of a stream, with its time of arrival and the true run times of each phase's
 // tasks.
-type arrivalOf struct {
-	at    time.Duration
-	job   winch.PhasedJob
-	truth [][]time.Duration
-	crash crashing
+type jobArrival struct {
+	at       time.Duration
+	job      winch.PhasedJob
+	runTimes [][]time.Duration
+	crash    crashSpec
 }
 
 // arrivals generates the jobs of a pattern, stream by stream.
-func (p Pattern) arrivals(rnd *rand.Rand, begin time.Time) []arrivalOf {
-	var out []arrivalOf
+func (p Pattern) arrivals(rnd *rand.Rand, begin time.Time) []jobArrival {
+	var out []jobArrival
 	for n, s := range p.Streams {
 		to := s.To
 		if to == 0 {
@@ -86,44 +86,44 @@
 			if at >= to {
 				break
 			}
-			out = append(out, s.arrival(rnd, at, begin, strconv.Itoa(n)+"-"+strconv.Itoa(i)))
+			out = append(out, s.newArrival(rnd, at, begin, strconv.Itoa(n)+"-"+strconv.Itoa(i)))
 		}
 	}
 	return out
 }
 
 // newArrival generates one job of the stream.
-func (s Stream) arrival(rnd *rand.Rand, at time.Duration, begin time.Time, id string) arrivalOf {
-	out := arrivalOf{at: at, job: winch.PhasedJob{ID: id, Queue: s.Queue, Team: s.Team, Command: id, Accepted: begin.Add(at), Revision: 1}}
+func (s Stream) newArrival(rnd *rand.Rand, at time.Duration, begin time.Time, id string) jobArrival {
+	out := jobArrival{at: at, job: winch.PhasedJob{ID: id, Queue: s.Queue, Team: s.Team, Command: id, Accepted: begin.Add(at), Revision: 1}}
 	need := s.Need
 	if len(s.Accelerators) > 0 {
 		need.Accelerators = s.Accelerators[rnd.IntN(len(s.Accelerators))]
 	}
-	if s.Crashes > 0 {
-		out.crash = drawCrashing(rnd, s.Crashes)
+	if s.CrashFraction > 0 {
+		out.crash = drawCrashSpec(rnd, s.CrashFraction)
 	}
 	for phase := range max(1, s.Phases) {
-		tasks := max(1, int(math.Round(s.Width*spread(rnd, 0.5))))
-		runTime := time.Duration(float64(s.Work) * spread(rnd, 0.4))
+		tasks := max(1, int(math.Round(s.Width*randomFactor(rnd, 0.5))))
+		runTime := time.Duration(float64(s.RunTime) * randomFactor(rnd, 0.4))
 		x := winch.Phase{
-			Count: tasks, Need: need, Estimate: time.Duration(float64(runTime) * spread(rnd, s.Off)), Gang: s.Gang, Checkpoints: s.Saves,
+			Count: tasks, Need: need, Estimate: time.Duration(float64(runTime) * randomFactor(rnd, s.EstimateError)), Gang: s.Gang, Checkpoints: s.Checkpoints,
 		}
 		if phase > 0 {
 			x.After = []int{phase - 1}
 		}
 		var runTimes []time.Duration
 		for range tasks {
-			runTimes = append(runTimes, time.Duration(float64(runTime)*spread(rnd, 0.1)))
+			runTimes = append(runTimes, time.Duration(float64(runTime)*randomFactor(rnd, 0.1)))
 		}
 		out.job.Phases = append(out.job.Phases, x)
-		out.truth = append(out.truth, runTimes)
+		out.runTimes = append(out.runTimes, runTimes)
 	}
 	return out
 }
 
 // randomFactor draws a factor from a log-normal distribution with median one, cut at 1.5 standard
 // deviations.
-func spread(rnd *rand.Rand, deviation float64) float64 {
+func randomFactor(rnd *rand.Rand, deviation float64) float64 {
 	return math.Exp(min(1.5, max(-1.5, rnd.NormFloat64())) * deviation)
 }
 
@@ -147,58 +147,58 @@
 		Name: "small", Service: "accelerated", Priority: 2, Attempts: 4, Target: 3 * time.Second, Stretch: 4,
 		Advice: &winch.AdviceCost{Call: 150 * time.Millisecond, Worker: 2200 * time.Microsecond, Valid: 2 * time.Second},
 	}
-	general     = Service{Name: "general", Workers: 35, Room: winch.Capacity{Milli: 64_000, Memory: 256 * gigabyte}}
-	accelerated = Service{Name: "accelerated", Workers: 13, Room: winch.Capacity{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}}
-	allowed     = map[string]float64{"lookup": 0.7, "batch": 0.45, "gang": 0.3, "small": 0.45}
-	wide        = Service{Name: "general", Workers: 220, Room: winch.Capacity{Milli: 16_000, Memory: 32 * gigabyte}}
-	teams       = []winch.RegionTeam{{Name: "north"}, {Name: "south"}}
+	general       = Service{Name: "general", Workers: 35, Room: winch.Capacity{Milli: 64_000, Memory: 256 * gigabyte}}
+	accelerated   = Service{Name: "accelerated", Workers: 13, Room: winch.Capacity{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}}
+	allowedShares = map[string]float64{"lookup": 0.7, "batch": 0.45, "gang": 0.3, "small": 0.45}
+	smallWorkers  = Service{Name: "general", Workers: 220, Room: winch.Capacity{Milli: 16_000, Memory: 32 * gigabyte}}
+	teams         = []winch.RegionTeam{{Name: "north"}, {Name: "south"}}
 )
 
 // lookupStream returns the stream of urgent jobs with short tasks.
-func lookups(perSecond float64) Stream {
+func lookupStream(perSecond float64) Stream {
 	return Stream{
 		Queue: "lookup", Team: "north", PerSecond: perSecond, Phases: 1, Width: 6,
-		Need: winch.Capacity{Milli: 6100, Memory: 12 * gigabyte}, Work: 880 * time.Millisecond, Off: 0.9,
+		Need: winch.Capacity{Milli: 6100, Memory: 12 * gigabyte}, RunTime: 880 * time.Millisecond, EstimateError: 0.9,
 	}
 }
 
 // batchStream returns the stream of two-phase jobs that need many processors.
-func batches(perSecond float64) Stream {
+func batchStream(perSecond float64) Stream {
 	return Stream{
 		Queue: "batch", Team: "south", PerSecond: perSecond, Phases: 2, Width: 11,
-		Need: winch.Capacity{Milli: 13_000, Memory: 38 * gigabyte}, Work: 4500 * time.Millisecond, Off: 0.9, Saves: true,
+		Need: winch.Capacity{Milli: 13_000, Memory: 38 * gigabyte}, RunTime: 4500 * time.Millisecond, EstimateError: 0.9, Checkpoints: true,
 	}
 }
 
 // gangStream returns the stream of gangs that need two to eight accelerators for each task.
-func gangs(perSecond float64) Stream {
+func gangStream(perSecond float64) Stream {
 	return Stream{
-		Queue: "gang", Team: "north", PerSecond: perSecond, Width: 1.5, Gang: true, Saves: true,
-		Need: winch.Capacity{Milli: 62_000, Memory: 120 * gigabyte}, Accelerators: []int{2, 4, 8, 8}, Work: 3600 * time.Millisecond, Off: 0.2,
+		Queue: "gang", Team: "north", PerSecond: perSecond, Width: 1.5, Gang: true, Checkpoints: true,
+		Need: winch.Capacity{Milli: 62_000, Memory: 120 * gigabyte}, Accelerators: []int{2, 4, 8, 8}, RunTime: 3600 * time.Millisecond, EstimateError: 0.2,
 	}
 }
 
 // smallStream returns the stream of jobs with tasks that need one accelerator.
-func smalls(perSecond float64) Stream {
+func smallStream(perSecond float64) Stream {
 	return Stream{
 		Queue: "small", Team: "south", PerSecond: perSecond, Width: 8,
-		Need: winch.Capacity{Milli: 11_000, Memory: 28 * gigabyte, Accelerators: 1}, Work: 2400 * time.Millisecond, Off: 0.2, Saves: true,
+		Need: winch.Capacity{Milli: 11_000, Memory: 28 * gigabyte, Accelerators: 1}, RunTime: 2400 * time.Millisecond, EstimateError: 0.2, Checkpoints: true,
 	}
 }
 
 // previewStream returns the stream of urgent jobs of a large region with small workers.
-func previews(perSecond float64) Stream {
+func previewStream(perSecond float64) Stream {
 	return Stream{
 		Queue: "lookup", Team: "north", PerSecond: perSecond, Phases: 2, Width: 13,
-		Need: winch.Capacity{Milli: 3500, Memory: 5 * gigabyte}, Work: 640 * time.Millisecond, Off: 0.5,
+		Need: winch.Capacity{Milli: 3500, Memory: 5 * gigabyte}, RunTime: 640 * time.Millisecond, EstimateError: 0.5,
 	}
 }
 
 // renderStream returns the stream of batch jobs of a large region with small workers.
-func renders(perSecond float64) Stream {
+func renderStream(perSecond float64) Stream {
 	return Stream{
 		Queue: "batch", Team: "south", PerSecond: perSecond, Phases: 2, Width: 41,
-		Need: winch.Capacity{Milli: 4500, Memory: 4600 << 20}, Work: 3800 * time.Millisecond, Off: 0.5, Saves: true,
+		Need: winch.Capacity{Milli: 4500, Memory: 4600 << 20}, RunTime: 3800 * time.Millisecond, EstimateError: 0.5, Checkpoints: true,
 	}
 }
 
@@ -209,13 +209,13 @@
 }
 
 // withCrashes returns the stream with the given fraction of its jobs crashing their workers.
-func (s Stream) crashing(fraction float64) Stream {
-	s.Crashes = fraction
+func (s Stream) withCrashes(fraction float64) Stream {
+	s.CrashFraction = fraction
 	return s
 }
 
 // forTeam returns the stream as submitted by another team.
-func (s Stream) of(team string) Stream {
+func (s Stream) forTeam(team string) Stream {
 	s.Team = team
 	return s
 }
@@ -225,50 +225,50 @@
 func Patterns() []Pattern {
 	base := Pattern{
 		Length: 60 * time.Second, Lanes: 7, Services: []Service{general, accelerated},
-		Queues: []winch.Queue{queueUrgent, queueBatch, queueGang, queueSmall}, Teams: teams, Allowed: allowed,
+		Queues: []winch.Queue{queueUrgent, queueBatch, queueGang, queueSmall}, Teams: teams, AllowedShare: allowedShares,
 	}
 	pattern := func(name, description string, change func(*Pattern)) Pattern {
 		p := base
-		p.Name, p.Shows = name, description
+		p.Name, p.Description = name, description
 		change(&p)
 		return p
 	}
 	return []Pattern{
 		pattern("bursts", "urgent bursts on top of batch jobs with many tasks: long tasks take the capacity that a burst needs", func(p *Pattern) {
-			p.Streams = []Stream{lookups(10), lookups(26).between(10*time.Second, 15*time.Second), lookups(26).between(35*time.Second, 40*time.Second), batches(1.5)}
+			p.Streams = []Stream{lookupStream(10), lookupStream(26).between(10*time.Second, 15*time.Second), lookupStream(26).between(35*time.Second, 40*time.Second), batchStream(1.5)}
 		}),
 		pattern("gangs", "gangs that need whole workers, of which the advice service allows few: small tasks start before them", func(p *Pattern) {
-			p.Streams = []Stream{gangs(1.8), smalls(1.6)}
+			p.Streams = []Stream{gangStream(1.8), smallStream(1.6)}
 		}),
 		pattern("unheard", "responses are lost for ten seconds: started and ended runs are not reported", func(p *Pattern) {
-			p.Loss = 0.045
-			p.Streams = []Stream{lookups(11), batches(0.6)}
+			p.LossRate = 0.045
+			p.Streams = []Stream{lookupStream(11), batchStream(0.6)}
 		}),
 		pattern("lanes", "advice requests near the capacity of the lanes: slow ones delay urgent ones, or lanes stay idle", func(p *Pattern) {
 			p.Lanes = 3
-			p.Streams = []Stream{lookups(12), gangs(1.5), smalls(1.2)}
+			p.Streams = []Stream{lookupStream(12), gangStream(1.5), smallStream(1.2)}
 		}),
 		pattern("hot-team", "a team submits five times its share: the jobs of other teams wait behind its jobs", func(p *Pattern) {
 			p.Teams = []winch.RegionTeam{{Name: "north", Weight: 14}, {Name: "south", Weight: 8}}
-			p.Streams = []Stream{lookups(10), lookups(40).of("south").between(15*time.Second, 35*time.Second), batches(0.5)}
+			p.Streams = []Stream{lookupStream(10), lookupStream(40).forTeam("south").between(15*time.Second, 35*time.Second), batchStream(0.5)}
 		}),
 		pattern("slow-planner", "a burst on a large region, planned on a slow VM: the cost of decisions rises with the backlog, which then grows", func(p *Pattern) {
-			p.Services, p.Lanes, p.Look = []Service{wide}, 30, 2*time.Microsecond
+			p.Services, p.Lanes, p.ExamineTime = []Service{smallWorkers}, 30, 2*time.Microsecond
 			p.Streams = []Stream{
-				previews(11), previews(20).between(8*time.Second, 12*time.Second),
-				renders(1.3), renders(1.6).between(8*time.Second, 12*time.Second),
+				previewStream(11), previewStream(20).between(8*time.Second, 12*time.Second),
+				renderStream(1.3), renderStream(1.6).between(8*time.Second, 12*time.Second),
 			}
 		}),
 		pattern("crashes", "jobs crash their workers, other workers crash on their own, once eight together: tasks beside a crash run again, and their jobs may fail too", func(p *Pattern) {
-			p.Streams = []Stream{lookups(8), batches(0.8), lookups(0.6).crashing(1).between(5*time.Second, 40*time.Second), batches(0.15).crashing(1).between(5*time.Second, 40*time.Second)}
-			p.Faults = []Fault{{At: 8 * time.Second, Count: 1, Every: 4 * time.Second}, {At: 22 * time.Second, Count: 8}}
+			p.Streams = []Stream{lookupStream(8), batchStream(0.8), lookupStream(0.6).withCrashes(1).between(5*time.Second, 40*time.Second), batchStream(0.15).withCrashes(1).between(5*time.Second, 40*time.Second)}
+			p.Faults = []Fault{{At: 8 * time.Second, Count: 1, Interval: 4 * time.Second}, {At: 22 * time.Second, Count: 8}}
 		}),
 		pattern("shrinks", "workers lose capacity for some seconds: tasks started there must fit the rest", func(p *Pattern) {
-			p.Streams = []Stream{lookups(10), batches(1.2)}
-			p.Faults = []Fault{{At: 5 * time.Second, Count: 3, Every: 2 * time.Second, Shrinks: true}}
+			p.Streams = []Stream{lookupStream(10), batchStream(1.2)}
+			p.Faults = []Fault{{At: 5 * time.Second, Count: 3, Interval: 2 * time.Second, ReduceCapacity: true}}
 		}),
 		pattern("overload", "overload for twenty seconds: jobs that are late or cannot meet their objective take the capacity", func(p *Pattern) {
-			p.Streams = []Stream{gangs(1.5), gangs(1.8).between(10*time.Second, 30*time.Second), smalls(1.4)}
+			p.Streams = []Stream{gangStream(1.5), gangStream(1.8).between(10*time.Second, 30*time.Second), smallStream(1.4)}
 		}),
 	}
 }
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -16,12 +16,12 @@
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	plotMost   = 4.0
+	maxRatio   = 4.0
 )
 
 // queueColors holds the colors of the queues, in the order of their names: blue, orange, green and
 // red of the Okabe-Ito palette, which color-blind readers can distinguish.
-var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}}
+var queueColors = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}}
 
 // Plot writes an SVG file for each outcome into a folder. It shows for each queue the fraction of
 // its jobs that were completed within a given multiple of their objective.
@@ -47,7 +47,7 @@
 	p := plot.New()
 	p.Title.Text = strings.Join(append([]string{o.Pattern}, o.Without...), " without ")
 	p.X.Label.Text, p.Y.Label.Text = "time taken / objective", "share of jobs"
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, plotMost, 0, 1
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, maxRatio, 0, 1
 	p.Legend.Left = false
 	p.Add(plotter.NewGrid())
 	for i, q := range o.Queues {
@@ -55,7 +55,7 @@
 		if err != nil {
 			return nil, err
 		}
-		line.Color = colours[i%len(colours)]
+		line.Color = queueColors[i%len(queueColors)]
 		line.Width = vg.Points(1.5)
 		p.Add(line)
 		p.Legend.Add(q.Queue, line)
@@ -64,15 +64,15 @@
 }
 
 // curve returns the fraction of jobs that were completed by each ratio, as a step function.
-func (s Served) curve() plotter.XYs {
+func (s QueueOutcome) curve() plotter.XYs {
 	out := plotter.XYs{{X: 0, Y: 0}}
 	fraction := func(n int) float64 { return float64(n) / float64(max(1, s.Jobs)) }
 	for i, ratio := range s.Ratios {
-		if ratio > plotMost {
+		if ratio > maxRatio {
 			break
 		}
 		out = append(out, plotter.XY{X: ratio, Y: fraction(i)}, plotter.XY{X: ratio, Y: fraction(i + 1)})
 	}
 	last := out[len(out)-1]
-	return append(out, plotter.XY{X: plotMost, Y: last.Y})
+	return append(out, plotter.XY{X: maxRatio, Y: last.Y})
 }
--- a/trial/region_test.go
+++ b/trial/region_test.go
@@ -14,13 +14,13 @@
 )
 
 // patternLength is long enough for the first burst of each pattern and its aftermath.
-const playLength = 30 * time.Second
+const patternLength = 30 * time.Second
 
 // outcomes caches the outcomes by pattern and policy, since several tests check the queues of one.
-var plays sync.Map
+var outcomes sync.Map
 
 // outcomeOf returns the outcome of a pattern under a policy. It simulates each combination once.
-func played(pattern string, policy fleet.Policy) Outcome {
+func outcomeOf(pattern string, policy fleet.Policy) Outcome {
 	type key struct {
 		pattern string
 		policy  fleet.Policy
@@ -28,18 +28,18 @@
 	simulate := func() Outcome {
 		for _, p := range Patterns() {
 			if p.Name == pattern {
-				p.Length = playLength
+				p.Length = patternLength
 				return Play(p, policy, 1)
 			}
 		}
 		return Outcome{}
 	}
-	out, _ := plays.LoadOrStore(key{pattern, policy}, sync.OnceValue(simulate))
+	out, _ := outcomes.LoadOrStore(key{pattern, policy}, sync.OnceValue(simulate))
 	return out.(func() Outcome)()
 }
 
 // queueOutcome returns the outcome of one queue of a pattern, with some mechanisms switched off.
-func served(t *testing.T, pattern, queue string, without ...string) Served {
+func queueOutcome(t *testing.T, pattern, queue string, without ...string) QueueOutcome {
 	t.Helper()
 	policy := fleet.DefaultPolicy()
 	for _, name := range without {
@@ -48,105 +48,105 @@
 			t.Fatal(err)
 		}
 	}
-	for _, q := range played(pattern, policy).Queues {
+	for _, q := range outcomeOf(pattern, policy).Queues {
 		if q.Queue == queue {
 			return q
 		}
 	}
 	t.Fatalf("no queue %s in pattern %s", queue, pattern)
-	return Served{}
+	return QueueOutcome{}
 }
 
 // Small tasks must not starve gangs. They do if they take every accelerator that becomes free, so
 // that no worker is ever wholly free for a gang.
-func TestGangsAreServedBesideSmallTasks(t *testing.T) {
+func TestSmallTasksDoNotStarveGangs(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	with := served(t, "gangs", "gang")
+	with := queueOutcome(t, "gangs", "gang")
 	is.True(with.Within >= 0.97)
-	is.True(served(t, "gangs", "gang", "Reserve").Within < with.Within)
-	is.True(served(t, "gangs", "gang", "AskAll").OnTime < with.OnTime)
+	is.True(queueOutcome(t, "gangs", "gang", "Reserve").Within < with.Within)
+	is.True(queueOutcome(t, "gangs", "gang", "AskAll").OnTime < with.OnTime)
 }
 
 // The load of advice requests is close to the capacity of the lanes. Urgent requests must not wait
 // behind slow ones, and slow ones must not be sent again for the same phase.
-func TestUrgentQuestionsAreAnsweredWhereLanesAreFew(t *testing.T) {
+func TestUrgentAdviceRequestsAreServedWithFewLanes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	is.True(served(t, "lanes", "lookup").OnTime >= 0.95)
-	small := served(t, "lanes", "small")
+	is.True(queueOutcome(t, "lanes", "lookup").OnTime >= 0.95)
+	small := queueOutcome(t, "lanes", "small")
 	is.True(small.OnTime >= 0.99)
-	is.True(served(t, "lanes", "small", "AskAll").P50 > small.P50)
+	is.True(queueOutcome(t, "lanes", "small", "AskAll").P50 > small.P50)
 }
 
 // A team that submits five times its share must not delay the jobs of the other teams.
-func TestTeamsAreServedBesideAHotOne(t *testing.T) {
+func TestTeamAboveItsShareDoesNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	is.True(served(t, "hot-team", "batch").Within >= 0.99)
-	is.True(served(t, "hot-team", "lookup", "UrgentRoom").OnTime < served(t, "hot-team", "lookup").OnTime)
+	is.True(queueOutcome(t, "hot-team", "batch").Within >= 0.99)
+	is.True(queueOutcome(t, "hot-team", "lookup", "UrgentRoom").OnTime < queueOutcome(t, "hot-team", "lookup").OnTime)
 }
 
 // Jobs that miss their objective in an overload must still complete soon after it, instead of
 // waiting until their callers have given up.
-func TestOverloadLeavesNobodyOut(t *testing.T) {
+func TestLateJobsCompleteAfterOverload(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	gangs := served(t, "overload", "gang")
+	gangs := queueOutcome(t, "overload", "gang")
 	is.True(gangs.Within >= 0.98)
-	is.True(served(t, "overload", "gang", "LastCall").Lateness > gangs.Lateness)
+	is.True(queueOutcome(t, "overload", "gang", "LastCall").Lateness > gangs.Lateness)
 }
 
 // A burst arrives at a large region whose planner runs on a slow VM. If the cost of a decision grows
 // with the backlog, decisions come later and later, and the backlog grows although workers are free.
-func TestBurstIsWorkedOffByASlowPlanner(t *testing.T) {
+func TestSlowPlannerClearsBurst(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	is.True(served(t, "slow-planner", "lookup").Within >= 0.97)
-	is.True(served(t, "slow-planner", "batch").Within >= 0.97)
+	is.True(queueOutcome(t, "slow-planner", "lookup").Within >= 0.97)
+	is.True(queueOutcome(t, "slow-planner", "batch").Within >= 0.97)
 }
 
 // Jobs of the lookup queue must be on time while some responses are lost for ten seconds.
-func TestLookupsAreOnTimeWhileAnswersAreLost(t *testing.T) {
+func TestLookupsAreOnTimeWhileResponsesAreLost(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	is.True(served(t, "unheard", "lookup").OnTime >= 0.95)
+	is.True(queueOutcome(t, "unheard", "lookup").OnTime >= 0.95)
 }
 
 // Bursts of short urgent tasks must be on time although long batch tasks fill the workers.
-func TestBurstsAreServedOverWideBatches(t *testing.T) {
+func TestBurstsAreServedWhileBatchesFillWorkers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	is.True(served(t, "bursts", "lookup").OnTime >= 0.95)
-	is.True(served(t, "bursts", "batch").Within >= 0.99)
+	is.True(queueOutcome(t, "bursts", "lookup").OnTime >= 0.95)
+	is.True(queueOutcome(t, "bursts", "batch").Within >= 0.99)
 }
 
 // Some jobs crash their workers; other workers crash on their own, one at a time and eight at once.
 // The crashes under each task must be bounded, and no other job may fail. Without the mechanism
 // Isolate other jobs do fail, since a crash then counts against every task on the worker.
-func TestOnlyTasksThatCrashWorkersAreGivenUp(t *testing.T) {
+func TestOnlyJobsThatCrashWorkersFail(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	with := played("crashes", fleet.DefaultPolicy())
+	with := outcomeOf("crashes", fleet.DefaultPolicy())
 	is.True(with.Harm.GivenUp > 0)
 	is.True(with.Harm.Most <= 5)
 	is.Equal(with.Harm.Wronged, 0)
-	is.True(served(t, "crashes", "batch").Within >= 0.99)
+	is.True(queueOutcome(t, "crashes", "batch").Within >= 0.99)
 	off, err := fleet.DefaultPolicy().Without("Isolate")
 	is.NoErr(err)
-	is.True(played("crashes", off).Harm.Wronged > 0)
+	is.True(outcomeOf("crashes", off).Harm.Wronged > 0)
 }
 
 // The capacity of some workers is reduced for a while. Starts must not exceed the reduced capacity.
-func TestStartsFitShrunkRoom(t *testing.T) {
+func TestStartsFitReducedCapacity(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	is.Equal(played("shrinks", fleet.DefaultPolicy()).Harm.Over, 0)
-	is.True(served(t, "shrinks", "lookup").OnTime >= 0.95)
+	is.Equal(outcomeOf("shrinks", fleet.DefaultPolicy()).Harm.Over, 0)
+	is.True(queueOutcome(t, "shrinks", "lookup").OnTime >= 0.95)
 }
 
 // Two simulations with one seed must not differ, since outcomes could not be compared otherwise.
-func TestSeedGivesTheSameOutcome(t *testing.T) {
+func TestSameSeedGivesSameOutcome(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	p := Patterns()[2]
@@ -158,7 +158,7 @@
 func TestPlotIsWritten(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
-	out := Outcome{Pattern: "gangs", Without: []string{"Reserve"}, Queues: []Served{{Queue: "gang", Jobs: 2, Ratios: []float64{0.5, 5}}}}
+	out := Outcome{Pattern: "gangs", Without: []string{"Reserve"}, Queues: []QueueOutcome{{Queue: "gang", Jobs: 2, Ratios: []float64{0.5, 5}}}}
 	is.NoErr(Plot(folder, []Outcome{out}))
 	data, err := os.ReadFile(filepath.Join(folder, "gangs-without-Reserve.svg"))
 	is.NoErr(err)
--- a/trial/stats.go
+++ b/trial/stats.go
@@ -57,7 +57,7 @@
 // distance returns half the sum of the differences between each team's use and its fair share. The
 // fair share of a team is in proportion to its configured share, but not above its demand.
 func distance(o place.Occupancy, f Fleet) float64 {
-	fair := fairParts(o, f)
+	fair := fairShares(o, f)
 	sum := 0.0
 	for team, fairUse := range fair {
 		sum += math.Abs(o.Teams[team].Used - fairUse)
@@ -67,7 +67,7 @@
 
 // fairShares divides the resources in use among the teams in proportion to their shares. What
 // exceeds the demand of a team is divided among the others in the same way.
-func fairParts(o place.Occupancy, f Fleet) map[string]float64 {
+func fairShares(o place.Occupancy, f Fleet) map[string]float64 {
 	out := make(map[string]float64, len(o.Teams))
 	remaining := 0.0
 	unsatisfied := make(map[string]bool, len(o.Teams))
@@ -78,11 +78,11 @@
 	for len(unsatisfied) > 0 {
 		shares, satisfied := 0, false
 		for team := range unsatisfied {
-			shares += share(f, team)
+			shares += teamShare(f, team)
 		}
 		rest := remaining
 		for team := range unsatisfied {
-			portion := remaining * float64(share(f, team)) / float64(shares)
+			portion := remaining * float64(teamShare(f, team)) / float64(shares)
 			if demand := o.Teams[team].Used + o.Teams[team].Wanted; demand <= portion {
 				out[team], satisfied = demand, true
 				rest -= demand
@@ -94,7 +94,7 @@
 			continue
 		}
 		for team := range unsatisfied {
-			out[team] = remaining * float64(share(f, team)) / float64(shares)
+			out[team] = remaining * float64(teamShare(f, team)) / float64(shares)
 		}
 		return out
 	}
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -17,7 +17,7 @@
 	Fleet  string
 	Placer string
 	// Urgent and Deferred are the waiting times before the first start of a task.
-	Urgent, Deferred Waits
+	Urgent, Deferred WaitStats
 	// Met is the fraction of urgent tasks that started within their target.
 	Met float64
 	// Packing is the mean committed fraction of the processors of workers in use. Full is the mean
@@ -38,13 +38,13 @@
 }
 
 // WaitStats summarizes waiting times.
-type Waits struct {
+type WaitStats struct {
 	Count    int64
 	P50, P99 time.Duration
 }
 
 // completion is the scheduled completion of a running task.
-type ending struct {
+type completion struct {
 	at   time.Duration
 	vm   string
 	task winch.Task
@@ -52,13 +52,13 @@
 }
 
 // completions is a heap of completions, the earliest first.
-type endings []ending
+type completions []completion
 
 // Len implements heap.Interface.
-func (c endings) Len() int { return len(c) }
+func (c completions) Len() int { return len(c) }
 
 // Less implements heap.Interface.
-func (c endings) Less(i, j int) bool {
+func (c completions) Less(i, j int) bool {
 	if c[i].at != c[j].at {
 		return c[i].at < c[j].at
 	}
@@ -66,13 +66,13 @@
 }
 
 // Swap implements heap.Interface.
-func (c endings) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c completions) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (c *endings) Push(x any) { *c = append(*c, x.(ending)) }
+func (c *completions) Push(x any) { *c = append(*c, x.(completion)) }
 
 // Pop implements heap.Interface.
-func (c *endings) Pop() any {
+func (c *completions) Pop() any {
 	old := *c
 	x := old[len(old)-1]
 	*c = old[:len(old)-1]
@@ -80,10 +80,10 @@
 }
 
 // teamLimits implements place.Limits with one limit for all teams, the capacity of the fleet.
-type purse struct{ used, limit map[string]int }
+type teamLimits struct{ used, limit map[string]int }
 
 // TryTake implements place.Limits.
-func (l purse) TryTake(team string, n int) bool {
+func (l teamLimits) TryTake(team string, n int) bool {
 	if l.used[team]+n > l.limit[team] {
 		return false
 	}
@@ -92,38 +92,38 @@
 }
 
 // Charge implements place.Limits.
-func (l purse) Charge(team string, n int) { l.used[team] += n }
+func (l teamLimits) Charge(team string, n int) { l.used[team] += n }
 
 // Return implements place.Limits.
-func (l purse) Return(team string, n int) { l.used[team] -= n }
+func (l teamLimits) Return(team string, n int) { l.used[team] -= n }
 
 // driver runs one placer on one list of arrivals in simulated time.
 type driver struct {
-	fleet   Fleet
-	planner *place.Planner
-	purse   purse
-	work    []arrival
-	byID    map[string]*arrival
-	ends    endings
-	live    map[winch.TaskID]int  // liveSeq is the seq of a running task's completion.
-	waited  map[winch.TaskID]bool // started holds the tasks whose waiting time is recorded.
-	seq     int
-	now     time.Duration
-	urgent  *hdrhistogram.Histogram
-	other   *hdrhistogram.Histogram
-	cost    *hdrhistogram.Histogram
-	spent   time.Duration
-	met     int64
-	count   int64
-	stats   stats
-	done    time.Duration
+	fleet         Fleet
+	planner       *place.Planner
+	limits        teamLimits
+	arrivals      []arrival
+	byID          map[string]*arrival
+	completions   completions
+	liveSeq       map[winch.TaskID]int  // liveSeq is the seq of a running task's completion.
+	started       map[winch.TaskID]bool // started holds the tasks whose waiting time is recorded.
+	seq           int
+	now           time.Duration
+	urgentWaits   *hdrhistogram.Histogram
+	deferredWaits *hdrhistogram.Histogram
+	decisionTimes *hdrhistogram.Histogram
+	planTime      time.Duration
+	metTarget     int64
+	decisions     int64
+	stats         stats
+	doneWork      time.Duration
 }
 
 // planInterval is the interval between planning steps, sampleInterval between samples of the fleet's
 // use.
 const (
-	tick        = 100 * time.Millisecond
-	sampleEvery = 5 * time.Second
+	planInterval   = 100 * time.Millisecond
+	sampleInterval = 5 * time.Second
 )
 
 // Upper bound and significant figures of the histograms, which hold waiting times in microseconds and
@@ -136,19 +136,19 @@
 // Run runs one placer on the arrivals of a fleet and returns its results.
 func Run(f Fleet, seed uint64, prefer place.Preference, baseline bool) Result {
 	d := &driver{
-		fleet: f, work: generate(f, seed), byID: make(map[string]*arrival), live: make(map[winch.TaskID]int),
-		waited: make(map[winch.TaskID]bool), purse: purse{make(map[string]int), make(map[string]int)},
-		urgent: hdrhistogram.New(1, histMax, histFigures), other: hdrhistogram.New(1, histMax, histFigures),
-		cost: hdrhistogram.New(1, histMax, histFigures),
+		fleet: f, arrivals: generate(f, seed), byID: make(map[string]*arrival), liveSeq: make(map[winch.TaskID]int),
+		started: make(map[winch.TaskID]bool), limits: teamLimits{make(map[string]int), make(map[string]int)},
+		urgentWaits: hdrhistogram.New(1, histMax, histFigures), deferredWaits: hdrhistogram.New(1, histMax, histFigures),
+		decisionTimes: hdrhistogram.New(1, histMax, histFigures),
 	}
-	slices.SortStableFunc(d.work, func(a, b arrival) int { return int(a.at - b.at) })
-	for i := range d.work {
-		d.byID[d.work[i].job.ID] = &d.work[i]
+	slices.SortStableFunc(d.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
+	for i := range d.arrivals {
+		d.byID[d.arrivals[i].job.ID] = &d.arrivals[i]
 	}
 	for i := range f.Teams {
-		d.purse.limit[teamName(i)] = f.capacity().Processors
+		d.limits.limit[teamName(i)] = f.capacity().Processors
 	}
-	d.planner = place.NewPlanner(d.purse, func(name string) winch.Team { return winch.Team{Name: name, Share: share(f, name)} })
+	d.planner = place.NewPlanner(d.limits, func(name string) winch.Team { return winch.Team{Name: name, Share: teamShare(f, name)} })
 	d.planner.Prefer, d.planner.Baseline = prefer, baseline
 	d.addWorkers()
 	d.run()
@@ -163,7 +163,7 @@
 			vm.Size.Accelerators = 2
 		}
 		d.planner.SetVM(vm)
-		d.planner.Reconcile(vm.ID, nil, start)
+		d.planner.Reconcile(vm.ID, nil, trialStart)
 	}
 	d.planner.OpenBarrier()
 }
@@ -171,32 +171,32 @@
 // run simulates the length of the trial.
 func (d *driver) run() {
 	next, sample := 0, time.Duration(0)
-	for d.now = 0; d.now < d.fleet.Length; d.now += tick {
-		for next < len(d.work) && d.work[next].at <= d.now {
-			a := d.work[next]
-			d.planner.Submit(a.job, a.class, false, start.Add(d.now))
+	for d.now = 0; d.now < d.fleet.Length; d.now += planInterval {
+		for next < len(d.arrivals) && d.arrivals[next].at <= d.now {
+			a := d.arrivals[next]
+			d.planner.Submit(a.job, a.class, false, trialStart.Add(d.now))
 			next++
 		}
-		for len(d.ends) > 0 && d.ends[0].at <= d.now {
-			d.end(heap.Pop(&d.ends).(ending))
+		for len(d.completions) > 0 && d.completions[0].at <= d.now {
+			d.complete(heap.Pop(&d.completions).(completion))
 		}
 		d.plan()
 		if d.now >= sample {
-			sample += sampleEvery
+			sample += sampleInterval
 			d.stats.sample(d)
 		}
 	}
 }
 
 // complete reports the completion of a task to the planner and applies the resulting decisions.
-func (d *driver) end(c ending) {
-	if d.live[c.task.ID] != c.seq {
+func (d *driver) complete(c completion) {
+	if d.liveSeq[c.task.ID] != c.seq {
 		return // The task was evicted.
 	}
-	delete(d.live, c.task.ID)
+	delete(d.liveSeq, c.task.ID)
 	c.task.State = winch.TaskDone
-	d.done += time.Duration(c.task.Need.Processors) * d.byID[c.task.ID.Job].truth[c.task.ID.Index]
-	d.do(d.planner.TaskEnded(c.vm, c.task, start.Add(d.now)))
+	d.doneWork += time.Duration(c.task.Need.Processors) * d.byID[c.task.ID.Job].runTimes[c.task.ID.Index]
+	d.apply(d.planner.TaskEnded(c.vm, c.task, trialStart.Add(d.now)))
 	for _, job := range d.planner.TakeCompletions() {
 		d.planner.Forget(job.Job)
 	}
@@ -206,73 +206,73 @@
 func (d *driver) plan() {
 	for {
 		begin := time.Now()
-		out := d.planner.Plan(start.Add(d.now), 256)
+		out := d.planner.Plan(trialStart.Add(d.now), 256)
 		took := time.Since(begin)
-		d.spent += took
+		d.planTime += took
 		if len(out) == 0 {
 			return
 		}
-		_ = d.cost.RecordValues(took.Nanoseconds()/int64(len(out)), int64(len(out)))
-		d.count += int64(len(out))
-		d.do(out)
+		_ = d.decisionTimes.RecordValues(took.Nanoseconds()/int64(len(out)), int64(len(out)))
+		d.decisions += int64(len(out))
+		d.apply(out)
 	}
 }
 
 // apply applies decisions. Evicted tasks stop at once.
-func (d *driver) do(list []place.Decision) {
+func (d *driver) apply(list []place.Decision) {
 	for _, x := range list {
 		if x.Action == place.Start {
-			d.started(x)
+			d.startTask(x)
 			continue
 		}
-		delete(d.live, x.Task.ID)
+		delete(d.liveSeq, x.Task.ID)
 		x.Task.State = winch.TaskStopped
-		d.do(d.planner.TaskEnded(x.VM.ID, x.Task, start.Add(d.now)))
+		d.apply(d.planner.TaskEnded(x.VM.ID, x.Task, trialStart.Add(d.now)))
 	}
 }
 
 // startTask starts a task and records its waiting time at its first start.
-func (d *driver) started(x place.Decision) {
+func (d *driver) startTask(x place.Decision) {
 	a := d.byID[x.Task.ID.Job]
 	d.seq++
-	d.live[x.Task.ID] = d.seq
-	heap.Push(&d.ends, ending{at: d.now + a.truth[x.Task.ID.Index], vm: x.VM.ID, task: x.Task, seq: d.seq})
+	d.liveSeq[x.Task.ID] = d.seq
+	heap.Push(&d.completions, completion{at: d.now + a.runTimes[x.Task.ID.Index], vm: x.VM.ID, task: x.Task, seq: d.seq})
 	d.planner.StartConfirmed(x.Task.Ref())
-	if d.waited[x.Task.ID] {
+	if d.started[x.Task.ID] {
 		return
 	}
-	d.waited[x.Task.ID] = true
+	d.started[x.Task.ID] = true
 	wait := max(0, d.now-a.at)
 	switch a.class.Name {
 	case classUrgent.Name:
-		_ = d.urgent.RecordValue(wait.Microseconds())
+		_ = d.urgentWaits.RecordValue(wait.Microseconds())
 		if wait <= a.class.Wait {
-			d.met++
+			d.metTarget++
 		}
 	case classBatch.Name, classBilled.Name:
-		_ = d.other.RecordValue(wait.Microseconds())
+		_ = d.deferredWaits.RecordValue(wait.Microseconds())
 	}
 }
 
 // waitStats summarizes a histogram of microseconds.
-func waits(h *hdrhistogram.Histogram) Waits {
+func waitStats(h *hdrhistogram.Histogram) WaitStats {
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-	return Waits{Count: h.TotalCount(), P50: us(h.ValueAtQuantile(50)), P99: us(h.ValueAtQuantile(99))}
+	return WaitStats{Count: h.TotalCount(), P50: us(h.ValueAtQuantile(50)), P99: us(h.ValueAtQuantile(99))}
 }
 
 // result returns the results. Urgent tasks that never started count as not met, unless they arrived
 // too late for their target to pass within the trial.
 func (d *driver) result(prefer place.Preference, baseline bool) Result {
 	urgent := int64(0)
-	for _, a := range d.work {
+	for _, a := range d.arrivals {
 		if a.class.Name == classUrgent.Name && a.at < d.fleet.Length-classUrgent.Wait {
 			urgent++
 		}
 	}
 	out := Result{
-		Fleet: d.fleet.Name, Placer: string(prefer), Urgent: waits(d.urgent), Deferred: waits(d.other),
-		Met: float64(min(d.met, urgent)) / float64(max(1, urgent)), Decisions: d.count, PerSecond: float64(d.count) / d.spent.Seconds(),
-		P99: time.Duration(d.cost.ValueAtQuantile(99)), Evictions: d.planner.Evictions, Lost: d.planner.LostRunTime, Done: int(d.done.Minutes()),
+		Fleet: d.fleet.Name, Placer: string(prefer), Urgent: waitStats(d.urgentWaits), Deferred: waitStats(d.deferredWaits),
+		Met: float64(min(d.metTarget, urgent)) / float64(max(1, urgent)), Decisions: d.decisions, PerSecond: float64(d.decisions) / d.planTime.Seconds(),
+		P99: time.Duration(d.decisionTimes.ValueAtQuantile(99)), Evictions: d.planner.Evictions, Lost: d.planner.LostRunTime, Done: int(d.doneWork.Minutes()),
 	}
 	if baseline {
 		out.Placer = "baseline"
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -10,7 +10,7 @@
 
 // With the same arrivals on a small domain, the planner must start more of the urgent tasks in time
 // than the baseline, at little cost in deferred work. One seed must always give the same result.
-func TestBetterThanBaseline(t *testing.T) {
+func TestPlannerIsBetterThanBaseline(t *testing.T) {
 	is := is.New(t)
 	f := Fleets()[0]
 	f.Length /= 2
--- a/trial/work.go
+++ b/trial/work.go
@@ -58,10 +58,10 @@
 
 // arrival is a job with its time of arrival and the true run times of its tasks.
 type arrival struct {
-	at    time.Duration
-	job   winch.Job
-	class winch.Class
-	truth []time.Duration
+	at       time.Duration
+	job      winch.Job
+	class    winch.Class
+	runTimes []time.Duration
 }
 
 // Classes of the generated work.
@@ -73,7 +73,7 @@
 )
 
 // trialStart is the simulated time at which a trial begins.
-var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
+var trialStart = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
 // generator generates the arrivals of a trial.
 type generator struct {
@@ -95,8 +95,8 @@
 	}
 	free := float64(f.capacity().Processors - f.Services)
 	offered := free * f.Load * f.Length.Seconds() // processor seconds
-	g.fill(offered*f.Urgent, g.urgent)
-	g.fill(offered*(1-f.Urgent), g.deferred)
+	g.fill(offered*f.Urgent, g.addUrgent)
+	g.fill(offered*(1-f.Urgent), g.addDeferred)
 	for range f.Burst {
 		at := f.Length/2 + time.Duration(g.rnd.Float64()*float64(time.Second))
 		g.add(at, classUrgent, winch.Batch, 1, winch.Resources{Processors: 1, Memory: 1 << 30}, time.Duration(1+g.rnd.IntN(5))*time.Second)
@@ -113,7 +113,7 @@
 }
 
 // addUrgent adds an urgent job and returns its work.
-func (g *generator) urgent(at time.Duration) float64 {
+func (g *generator) addUrgent(at time.Duration) float64 {
 	cpu := 1 + g.rnd.IntN(2)
 	runTime := time.Duration(2+g.rnd.ExpFloat64()*20) * time.Second
 	g.add(at, classUrgent, winch.Batch, 1, winch.Resources{Processors: cpu, Memory: winch.Bytes(cpu) << 30}, runTime)
@@ -121,9 +121,9 @@
 }
 
 // addDeferred adds a gang, a billed job or a batch job, and returns its work by the declared run time.
-func (g *generator) deferred(at time.Duration) float64 {
+func (g *generator) addDeferred(at time.Duration) float64 {
 	runTime := time.Duration(30+g.rnd.ExpFloat64()*300) * time.Second
-	need := g.need()
+	need := g.randomNeed()
 	switch x := g.rnd.IntN(100); {
 	case x < 8:
 		tasks := 4 + g.rnd.IntN(max(1, min(12, g.fleet.Workers/3)))
@@ -140,7 +140,7 @@
 }
 
 // randomNeed draws the resources that a task needs; some tasks need much memory, some an accelerator.
-func (g *generator) need() winch.Resources {
+func (g *generator) randomNeed() winch.Resources {
 	cpu := 1 << g.rnd.IntN(4)
 	perCPU := g.fleet.Size.Memory / winch.Bytes(g.fleet.Size.Processors)
 	out := winch.Resources{Processors: cpu, Memory: winch.Bytes(float64(cpu) * float64(perCPU) * (0.4 + 1.4*g.rnd.Float64()))}
@@ -160,7 +160,7 @@
 		team = g.rnd.IntN(max(1, g.fleet.Teams/10)) // A tenth of the teams submit more than the others.
 	}
 	a := arrival{at: at, class: class, job: winch.Job{
-		ID: fmt.Sprintf("j%07d", g.seq), Team: teamName(team), Class: class.Name, State: winch.JobQueued, Submitted: start.Add(at),
+		ID: fmt.Sprintf("j%07d", g.seq), Team: teamName(team), Class: class.Name, State: winch.JobQueued, Submitted: trialStart.Add(at),
 		Spec: winch.JobSpec{Kind: kind, Tasks: tasks, Need: need, RunTime: runTime},
 	}}
 	for range tasks {
@@ -168,7 +168,7 @@
 		if class.Wait == 0 {
 			trueRunTime = time.Duration(float64(runTime) * g.bias[team] * math.Exp(g.rnd.NormFloat64()*0.3))
 		}
-		a.truth = append(a.truth, min(trueRunTime, class.MaxRun))
+		a.runTimes = append(a.runTimes, min(trueRunTime, class.MaxRun))
 	}
 	g.out = append(g.out, a)
 }
@@ -179,7 +179,7 @@
 func teamName(i int) string { return teamPrefix + strconv.Itoa(i) }
 
 // teamShare returns a team's share: four for a tenth of the teams, one for the others.
-func share(f Fleet, name string) int {
+func teamShare(f Fleet, name string) int {
 	if i, err := strconv.Atoi(strings.TrimPrefix(name, teamPrefix)); err == nil && i < max(1, f.Teams/10) {
 		return 4
 	}
