--- a/soak/fault.go
+++ b/soak/fault.go
@@ -10,7 +10,8 @@
 	"plantainwinch/platform/fake"
 )
 
-// fault brings one fault about and has it undone later. Faults overlap.
+// injectFault injects one random fault and reverts it after the fault's duration. Faults may
+// overlap.
 func (s *Soak) fault(ctx context.Context) {
 	p := s.procs[s.rnd.IntN(len(s.procs))]
 	worker := s.rnd.IntN(s.site.Size())
@@ -37,7 +38,7 @@
 	s.note("%s %s w%d for %v", k.name, p.name, worker, k.time)
 	s.group.Go(func() {
 		switch k.name {
-		case "configuration": // It excuses nothing.
+		case "configuration": // A configuration change does not relax any check.
 		case "stop":
 			s.site.Checker.RecordPlannedWork(true)
 			defer s.site.Checker.RecordPlannedWork(false)
@@ -51,7 +52,7 @@
 	})
 }
 
-// kind is a fault that can be undone.
+// faultKind is a kind of fault: how it is injected and reverted, and how long it lasts.
 type kind struct {
 	name string
 	do   func()
@@ -59,7 +60,7 @@
 	time time.Duration
 }
 
-// note writes a fault down.
+// logFault appends a fault to the fault log and counts it in the report.
 func (s *Soak) note(format string, args ...any) {
 	s.count(func(r *Report) { r.Faults++ })
 	s.mu.Lock()
@@ -67,12 +68,12 @@
 	_, _ = fmt.Fprintf(s.faults, "%s %8.3f %s\n", time.Now().Format("15:04:05.000"), time.Since(s.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// calm ends the store's faults.
+// clearStoreFaults ends all faults of the store.
 func (s *Soak) calm() { s.site.Store.SetFaults(fake.StoreFaults{}) }
 
 func (s *Soak) restart(p *proc) {
 	if err := p.start(); err != nil {
-		s.problem("%s cannot be started again: %v", p.name, err)
+		s.problem("entry %s could not be restarted: %v", p.name, err)
 	}
 }
 
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// gangPause is the mean pause of one caller between two jobs with gangs.
+	// meanGangInterval is the mean time between two gang jobs of one caller.
 	gangPause = 1500 * time.Millisecond
-	// gangsTime is how long callers hand gangs in once nothing is planned any more,
-	// and the gangs have to begin.
+	// finalGangsTime is the length of the last part of a run, when all planned operations are
+	// over. Callers submit gangs during its first half, and all of these have to begin.
 	gangsTime = 7 * time.Second
 )
 
-// gangs hands in jobs whose last phase is a gang until the calls are over, and
-// then sees each to its end. One of six is cancelled.
-func (s *Soak) gangs(ctx, calls context.Context, i, part int) {
-	rnd := rand.New(rand.NewPCG(s.Seed, uint64(1000+100*part+i)))
+// runGangJobs submits jobs whose last phase is a gang until activeCtx ends, and then waits for
+// the end of each. On average one of six is cancelled.
+func (s *Soak) gangs(ctx, activeCtx context.Context, i, round int) {
+	rnd := rand.New(rand.NewPCG(s.Seed, uint64(1000+100*round+i)))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
 	defer group.Wait()
-	for n := 0; calls.Err() == nil; n++ {
+	for n := 0; activeCtx.Err() == nil; n++ {
 		j := fake.Job{
-			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x2000+0x100*part+i, n), Team: []string{"choir", "duct"}[i%2],
+			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x2000+0x100*round+i, n), Team: []string{"choir", "duct"}[i%2],
 			RunDuration: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{2 + rnd.IntN(2)}, Gang: true,
 		}
 		if i%2 == 0 {
@@ -40,21 +40,21 @@
 			j.Tasks = append([]int{1}, j.Tasks...)
 		}
 		cancels := rnd.IntN(6) == 0
-		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
-		group.Go(func() { s.job(ctx, c, j, pick, cancels) })
-		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*gangPause))))
+		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
+		group.Go(func() { s.job(ctx, c, j, entryRnd, cancels) })
+		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*gangPause))))
 	}
 }
 
-// quiet has gangs come while nothing goes on but what excuses no member that
-// waits in vain: a change of the configuration, and cancels.
+// runFinalGangs has callers submit gangs while the only other events are a configuration
+// change and cancellations. Neither excuses a gang member that waits for the others in vain.
 func (s *Soak) quiet(ctx context.Context, callers *conc.WaitGroup) {
 	s.note("configuration")
 	s.site.Configure()
-	calls, stop := context.WithTimeout(ctx, gangsTime/2)
+	activeCtx, stop := context.WithTimeout(ctx, gangsTime/2)
 	defer stop()
 	for i := range s.Callers {
-		callers.Go(func() { s.gangs(ctx, calls, i, 1) })
+		callers.Go(func() { s.gangs(ctx, activeCtx, i, 1) })
 	}
 	duty.Sleep(ctx, gangsTime)
 }
--- /dev/null
+++ b/soak/partition.go
@@ -0,0 +1,150 @@
+package soak
+
+import (
+	"bytes"
+	"context"
+	"math/rand/v2"
+	"regexp"
+	"strings"
+	"sync"
+	"time"
+
+	"plantainwinch/duty"
+)
+
+// partitions records between which entries the network is partitioned, and in which
+// direction. The zero value and nil have no partition.
+type cuts struct {
+	mu   sync.Mutex
+	ways map[[2]string]int // active counts the active partitions by sender and receiver.
+}
+
+func (c *cuts) add(from, to string, n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ways == nil {
+		c.ways = make(map[[2]string]int)
+	}
+	c.ways[[2]string{from, to}] += n
+}
+
+func (c *cuts) cut(from, to string) bool {
+	if c == nil {
+		return false
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ways[[2]string{from, to}] > 0
+}
+
+// helloSniffer detects which entry has dialed a connection. The entry names itself in
+// the first message after the WebSocket handshake.
+type dialler struct {
+	mu   sync.Mutex
+	seen []byte
+	who  string
+}
+
+// maxHelloSize bounds how many bytes of a connection are searched for the entry's name.
+const helloMost = 4 << 10
+
+// bootPattern matches the name of an entry's boot and captures the entry's name.
+var entryName = regexp.MustCompile(`(e[0-9]+)/[A-Z0-9]{6}`)
+
+func (d *dialler) name() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.who
+}
+
+func (d *dialler) listen(data []byte) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.who != "" || len(d.seen) > helloMost {
+		return
+	}
+	d.seen = append(d.seen, data...)
+	_, frame, ok := bytes.Cut(d.seen, []byte("\r\n\r\n"))
+	if !ok {
+		return
+	}
+	if m := entryName.FindSubmatch(unmask(frame)); m != nil {
+		d.who = string(m[1])
+	}
+}
+
+// unmask returns the unmasked payload of a WebSocket frame sent by a client, as far as it
+// has been received. It returns nil if the frame is not masked or its header is incomplete.
+func unmask(frame []byte) []byte {
+	const maskBit, extendedLength, keySize = 0x80, 126, 4
+	if len(frame) < 2 || frame[1]&maskBit == 0 {
+		return nil
+	}
+	at := 2
+	if frame[1]&^maskBit == extendedLength {
+		at += 2
+	}
+	if len(frame) < at+keySize {
+		return nil
+	}
+	key, out := frame[at:at+keySize], bytes.Clone(frame[at+keySize:])
+	for i := range out {
+		out[i] ^= key[i%keySize]
+	}
+	return out
+}
+
+// injectPartitions partitions the network at random times until activeCtx ends. It cuts an
+// entry, or its whole failure domain, off from one other entry or from all others, in one
+// direction or both. Partitions may overlap.
+func (s *Soak) cutting(activeCtx context.Context) {
+	rnd := rand.New(rand.NewPCG(s.Seed, 4))
+	for {
+		duty.Sleep(activeCtx, time.Duration(1000+rnd.IntN(5000))*time.Millisecond)
+		if activeCtx.Err() != nil {
+			return
+		}
+		i := rnd.IntN(len(s.procs))
+		p, q := s.procs[i], s.procs[(i+1+rnd.IntN(max(len(s.procs)-1, 1)))%len(s.procs)]
+		wholeDomain, single, out, in := rnd.IntN(4) == 0, rnd.IntN(2) == 0, true, true
+		switch rnd.IntN(3) {
+		case 0:
+			out = false
+		case 1:
+			in = false
+		}
+		duration := time.Duration(500+rnd.IntN(6000)) * time.Millisecond
+		var inside, outside []string
+		for _, x := range s.procs {
+			switch {
+			case x == p || wholeDomain && x.domain == p.domain:
+				inside = append(inside, x.name)
+			case !single || x == q:
+				outside = append(outside, x.name)
+			}
+		}
+		s.note("cut %s from %s, outgoing %v, incoming %v, for %v", strings.Join(inside, ","), strings.Join(outside, ","), out, in, duration)
+		s.group.Go(func() {
+			s.site.Checker.RecordDisturbance(true)
+			defer s.site.Checker.RecordDisturbance(false)
+			s.cut(inside, outside, out, in, 1)
+			duty.Sleep(activeCtx, duration)
+			s.cut(inside, outside, out, in, -1)
+		})
+	}
+}
+
+// setPartition adds n to the partitions between two groups of entries in the given
+// directions: n is 1 to begin a partition and -1 to end it.
+func (s *Soak) cut(inside, outside []string, out, in bool, n int) {
+	for _, a := range inside {
+		for _, b := range outside {
+			if out {
+				s.cuts.add(a, b, n)
+			}
+			if in {
+				s.cuts.add(b, a, n)
+			}
+		}
+	}
+}
--- a/soak/cut_test.go
+++ b/soak/partition_test.go
@@ -13,25 +13,26 @@
 	"github.com/sourcegraph/conc"
 )
 
-// An entry dials another by its way and names itself. Then one way between the
-// two is cut, or both: what goes that way is lost, and what goes the other way
-// still arrives. Links to others stay whole.
+// An entry dials another through its relay and names itself. A partition of one direction
+// between the two must drop data in that direction only, and a partition that involves other
+// entries must not affect the connection. Without this, the soak would test other partitions
+// than its fault log lists.
 func TestCutsBetweenEntries(t *testing.T) {
 	const hello = "some fields, e1/ABCDEF, and others that make it a longer message than the shortest frames carry: " +
 		"................................................................................................"
 	for _, x := range []struct {
-		name        string
-		from, to    string
-		there, back bool
+		name              string
+		from, to          string
+		forward, backward bool
 	}{
-		{"none", "e2", "e0", true, true},
-		{"what the dialler says", "e1", "e0", false, true},
-		{"what the dialler hears", "e0", "e1", true, false},
-		{"the way to another", "e1", "e2", true, true},
+		{"sender is another entry", "e2", "e0", true, true},
+		{"from the dialing entry", "e1", "e0", false, true},
+		{"to the dialing entry", "e0", "e1", true, false},
+		{"receiver is another entry", "e1", "e2", true, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			is := is.New(t)
-			got, say := make(chan string, 8), make(chan string, 8)
+			received, send := make(chan string, 8), make(chan string, 8)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				conn, err := websocket.Accept(w, r, nil)
 				if err != nil {
@@ -48,14 +49,14 @@
 						if err != nil {
 							return
 						}
-						got <- string(data)
+						received <- string(data)
 					}
 				})
 				for {
 					select {
 					case <-ctx.Done():
 						return
-					case m := <-say:
+					case m := <-send:
 						_ = conn.Write(ctx, websocket.MessageBinary, []byte(m))
 					}
 				}
@@ -74,27 +75,28 @@
 			}
 			defer func() { _ = conn.CloseNow() }()
 			is.NoErr(conn.Write(ctx, websocket.MessageBinary, []byte(hello)))
-			is.Equal(<-got, hello)
-			say <- "an answer"
+			is.Equal(<-received, hello)
+			send <- "a response"
 			_, data, err := conn.Read(ctx)
 			is.NoErr(err)
-			is.Equal(string(data), "an answer")
+			is.Equal(string(data), "a response")
 
 			c.add(x.from, x.to, 1)
-			say <- "another answer"
-			is.NoErr(conn.Write(ctx, websocket.MessageBinary, []byte("another question")))
-			is.Equal(arrives(got), x.there)
+			send <- "another response"
+			is.NoErr(conn.Write(ctx, websocket.MessageBinary, []byte("another request")))
+			is.Equal(arrives(received), x.forward)
 			short, stop := context.WithTimeout(ctx, awhile)
 			defer stop()
 			_, _, err = conn.Read(short)
-			is.Equal(err == nil, x.back)
+			is.Equal(err == nil, x.backward)
 		})
 	}
 }
 
-// awhile is how long a test waits for what must not come.
+// noMessageTimeout is how long the test waits for a message that must not arrive.
 const awhile = 300 * time.Millisecond
 
+// messageArrives reports whether a message arrives within noMessageTimeout.
 func arrives(ch chan string) bool {
 	select {
 	case <-ch:
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// stopEvery is the time between two entries of a series of planned stops, and
-	// mostStops bounds a series.
+	// stopInterval is the time between two entries of a series of planned stops, and
+	// maxStops bounds the number of stops in a series.
 	stopEvery = 2 * time.Second
 	mostStops = 6
-	// replaceEvery is the time between two workers of a release.
+	// replaceInterval is the time between two workers that a rolling release replaces.
 	replaceEvery = 700 * time.Millisecond
-	// leaveTime is the least time from a worker's word that it drains until it is
-	// gone; twice that is the most.
+	// minDrainTime is the minimum time from when a worker reports that it is draining until
+	// it is removed from the platform's list. The maximum is twice that.
 	leaveTime = 3 * time.Second
-	// expireTime is how long the entry of a worker that crashed stays.
+	// crashedRecordTime is how long the platform's list still contains a crashed worker.
 	expireTime = 1500 * time.Millisecond
-	// settledTime is how long the region has after the last planned work, so that a
-	// lasting task that it took down must be back.
+	// lastingRestartTime is the time within which a lasting task that a planned operation has
+	// interrupted must run again, counted from the end of the last planned operation.
 	settledTime = 10 * time.Second
 )
 
-// workers replaces and loses single workers beside the other faults.
-func (s *Soak) workers(ctx, calls context.Context) {
+// disruptWorkers replaces and crashes single workers at random times, besides the other
+// faults, until activeCtx ends.
+func (s *Soak) workers(ctx, activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 2))
 	for {
-		duty.Sleep(calls, time.Duration(500+rnd.IntN(3000))*time.Millisecond)
-		if calls.Err() != nil {
+		duty.Sleep(activeCtx, time.Duration(500+rnd.IntN(3000))*time.Millisecond)
+		if activeCtx.Err() != nil {
 			return
 		}
 		i, lost, after := rnd.IntN(s.site.Size()), rnd.IntN(3) == 0, leaveIn(rnd)
@@ -45,14 +46,14 @@
 	}
 }
 
-// planned brings about what operators do: entries are stopped and started again in
-// series, and workers are replaced in series, all at once. A worker that is lost
-// at the beginning is the only disturbance.
+// startPlannedOperations starts the operations that operators plan: the entries are restarted
+// one after the other while, at the same time, the workers are replaced one after the other.
+// The crash of one worker at the beginning is the only unplanned disturbance.
 func (s *Soak) planned(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 3))
 	lost := rnd.IntN(s.site.Size())
 	s.group.Go(func() { s.lose(ctx, lost) })
-	first, at := rnd.IntN(len(s.procs)), rnd.Perm(s.site.Size())
+	first, order := rnd.IntN(len(s.procs)), rnd.Perm(s.site.Size())
 	s.group.Go(func() {
 		for i := range min(len(s.procs), mostStops) {
 			p := s.procs[(first+i)%len(s.procs)]
@@ -67,7 +68,7 @@
 		}
 	})
 	s.group.Go(func() {
-		for _, i := range at[:len(at)*2/3] {
+		for _, i := range order[:len(order)*2/3] {
 			after := leaveIn(rnd)
 			s.group.Go(func() { s.replace(ctx, i, after) })
 			duty.Sleep(ctx, replaceEvery)
@@ -75,17 +76,20 @@
 	})
 }
 
+// drainTime returns a random time between minDrainTime and twice that.
 func leaveIn(rnd *rand.Rand) time.Duration {
 	return leaveTime + time.Duration(rnd.Int64N(int64(leaveTime)))
 }
 
+// replaceWorker replaces a worker as planned: the worker drains while its successor runs, and
+// is removed after the given time.
 func (s *Soak) replace(ctx context.Context, i int, after time.Duration) {
 	s.note("worker %d drains for %v", i, after)
 	s.site.Checker.RecordPlannedWork(true)
 	defer s.site.Checker.RecordPlannedWork(false)
 	leave, err := s.site.Replace(i)
 	if err != nil {
-		s.problem("the stand-in has no new worker: %v", err)
+		s.problem("platform stand-in could not start a replacement worker: %v", err)
 		return
 	}
 	duty.Sleep(ctx, after)
@@ -93,13 +97,15 @@
 	leave()
 }
 
+// crashWorker crashes a worker without notice and starts its successor. The platform's list
+// contains the crashed worker for crashedRecordTime.
 func (s *Soak) lose(ctx context.Context, i int) {
 	s.note("worker %d is lost", i)
 	s.site.Checker.RecordDisturbance(true)
 	expire, err := s.site.Lose(i)
 	s.site.Checker.RecordDisturbance(false)
 	if err != nil {
-		s.problem("the stand-in has no new worker: %v", err)
+		s.problem("platform stand-in could not start a replacement worker: %v", err)
 		return
 	}
 	duty.Sleep(ctx, expireTime)
--- a/soak/proc.go
+++ b/soak/proc.go
@@ -12,24 +12,24 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// proc is one entry as a process of its own, which may be ended and started again.
+// proc runs one entry as a separate process that can be stopped and started again.
 type proc struct {
 	name, domain string
 	program      string
 	dir          string
 	callers      string
-	relay        *relay // relay is the way to the store, and peers that of the others to it.
+	relay        *relay // storeRelay is between the entry and the store, peerRelay between its peers and it.
 	peers        *relay
 	file         string
 
-	// life is held while the process is started or ends, so that no other is
-	// started meanwhile, which would find the addresses in use.
+	// lifecycle is held while the process is started or stopped. A second process that
+	// is started meanwhile would find the addresses in use.
 	life sync.Mutex
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with a free port.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,17 +39,17 @@
 	return ln.Addr().String(), nil
 }
 
-// settings writes the entry's settings file.
+// writeSettings chooses the entry's addresses and writes its settings file.
 func (p *proc) settings(advice string) error {
-	var at [3]string
-	for i := range at {
+	var addresses [3]string
+	for i := range addresses {
 		a, err := freeAddress()
 		if err != nil {
 			return err
 		}
-		at[i] = a
+		addresses[i] = a
 	}
-	p.callers, p.peers.target = at[0], at[2]
+	p.callers, p.peers.target = addresses[0], addresses[2]
 	p.file = filepath.Join(p.dir, p.name+".ini")
 	text := fmt.Sprintf(`[Entry]
 Name = %s
@@ -72,16 +72,17 @@
 Lease = 6s
 Keep = 5m
 Grace = 5s
-`, p.name, p.domain, at[0], at[1], at[2], p.peers.address(), p.relay.address(), advice)
+`, p.name, p.domain, addresses[0], addresses[1], addresses[2], p.peers.address(), p.relay.address(), advice)
 	return merry.Wrap(os.WriteFile(p.file, []byte(text), 0o600))
 }
 
-// start starts the process; its log is appended to what earlier ones wrote.
+// start starts the process unless it is running. Its log is appended to that of earlier
+// processes of the entry.
 func (p *proc) start() error {
 	p.life.Lock()
 	defer p.life.Unlock()
 	if p.running() != nil {
-		return nil // Another fault has started it again.
+		return nil // Another fault has already restarted it.
 	}
 	log, err := os.OpenFile(filepath.Join(p.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -109,28 +110,28 @@
 	p.cmd = cmd
 }
 
-// signal sends signals to the process, by its id, and returns it.
+// signal sends signals to the process, if there is one, and returns its command.
 func (p *proc) signal(signals ...syscall.Signal) *exec.Cmd {
 	cmd := p.running()
 	for _, s := range signals {
 		if cmd != nil {
-			_ = cmd.Process.Signal(s) // It may have ended.
+			_ = cmd.Process.Signal(s) // The process may have exited.
 		}
 	}
 	return cmd
 }
 
-// end ends the process with a signal and waits until it is gone. A kill does not
-// wait for a planned stop that is under way.
+// stop stops the process with a signal and waits until it has exited. A kill takes effect at
+// once, even while a planned stop is in progress.
 func (p *proc) end(s syscall.Signal) {
-	told := p.signal(s, syscall.SIGCONT) // A frozen process takes no other signal.
+	signalled := p.signal(s, syscall.SIGCONT) // A paused process must be resumed to handle a signal.
 	p.life.Lock()
 	defer p.life.Unlock()
 	cmd := p.running()
 	if cmd == nil {
 		return
 	}
-	if cmd != told {
+	if cmd != signalled {
 		p.signal(s, syscall.SIGCONT)
 	}
 	_ = cmd.Wait()
--- a/soak/relay.go
+++ b/soak/relay.go
@@ -8,12 +8,13 @@
 	"github.com/sourcegraph/conc"
 )
 
-// relay is one entry's way to the store, or the way of all others to an entry. It
-// can go silent, as in a partition, reset what is open, and be slow.
+// relay is a TCP proxy between an entry and the store, or between an entry and the peers
+// that dial it. It can drop all data, as a network partition does, reset its connections
+// and delay data.
 type relay struct {
 	target string
-	// entry is the name of the entry that others reach by this way, and cuts says
-	// who is cut off from whom. A way to the store has neither.
+	// entry is the name of the entry that peers reach through the relay, and partitions are
+	// the network partitions between entries. A relay to the store has neither.
 	entry string
 	cuts  *cuts
 
@@ -21,7 +22,7 @@
 	group conc.WaitGroup
 	mu    sync.Mutex
 	open  map[net.Conn]bool
-	// silent drops what is sent while it is set.
+	// dropping makes the relay drop all data that it receives.
 	silent bool
 	delay  time.Duration
 }
@@ -50,9 +51,9 @@
 			continue
 		}
 		r.track(in, out)
-		from := &dialler{}
-		r.group.Go(func() { r.pass(in, out, from.listen, func() bool { return r.cuts.cut(from.name(), r.entry) }) })
-		r.group.Go(func() { r.pass(out, in, func([]byte) {}, func() bool { return r.cuts.cut(r.entry, from.name()) }) })
+		sniffer := &dialler{}
+		r.group.Go(func() { r.pass(in, out, sniffer.listen, func() bool { return r.cuts.cut(sniffer.name(), r.entry) }) })
+		r.group.Go(func() { r.pass(out, in, func([]byte) {}, func() bool { return r.cuts.cut(r.entry, sniffer.name()) }) })
 	}
 }
 
@@ -64,10 +65,11 @@
 	}
 }
 
-// pass copies until an end closes. What came while the relay was silent, or the one
-// side cut off from the other, is lost, so that the connection stays open and never
-// carries anything whole again. Its end does not pass a cut either.
-func (r *relay) pass(from, to net.Conn, see func([]byte), cut func() bool) {
+// forward copies data until one side closes. It drops what arrives while the relay drops
+// data or a partition blocks this direction, and everything after that: the stream has a
+// hole and can't be resumed, so the connection stays open without carrying data. Between
+// entries, the close of one side isn't forwarded after that either.
+func (r *relay) pass(from, to net.Conn, observe func([]byte), blocked func() bool) {
 	lost := false
 	defer func() {
 		_ = from.Close()
@@ -84,9 +86,9 @@
 		if err != nil {
 			return
 		}
-		see(buf[:n])
+		observe(buf[:n])
 		r.mu.Lock()
-		lost = lost || r.silent || cut()
+		lost = lost || r.silent || blocked()
 		delay := r.delay
 		r.mu.Unlock()
 		if lost {
@@ -111,7 +113,7 @@
 	r.delay = d
 }
 
-// reset closes what is open with a reset.
+// reset closes all open connections with a TCP reset.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,6 +1,5 @@
-// Package soak runs real processes of the program as one region against a
-// stand-in platform, brings faults about from outside by a seed, and checks what
-// callers and workers see.
+// Package soak runs a region of real entry processes against a stand-in platform, injects
+// faults from outside as a seed determines, and checks what callers and workers observe.
 package soak
 
 import (
@@ -22,26 +21,26 @@
 )
 
 const (
-	// settleTime is how long the entries have to find each other before faults begin.
+	// startupTime is how long the entries have to connect to each other before the first fault.
 	settleTime = 3 * time.Second
-	// healTime is how long accepted work may take to end once all faults are over:
-	// the longest barrier of a planner, twice, and the work itself.
+	// recoveryTime is how long accepted work may take to end once all faults are over: twice
+	// the longest wait of a new planner for earlier leases, and the work itself.
 	healTime = 60 * time.Second
-	// cancelTime is how long after a cancel that was acknowledged a task may still
-	// start: a start that was on its way, and a planner that is being replaced.
+	// cancelGrace is how long after an acknowledged cancellation a task may still start: the
+	// start may already be in flight, or a planner may be taking over.
 	cancelTime = 5 * time.Second
-	// limitMilli bounds the second team, so that its limit is always in use.
+	// limitMilli is the second team's limit, low enough to be always in use.
 	limitMilli = 9000
-	// jobPause is the mean pause of one caller between two jobs.
+	// meanJobInterval is the mean time between two jobs of one caller.
 	jobPause = 400 * time.Millisecond
 )
 
-// Options says what a run is to be.
+// Options are the settings of a run.
 type Options struct {
-	Program string // Program is the file of the program that is tried.
-	Dir     string // Dir takes settings and logs.
+	Program string // Program is the path of the plantainwinch executable under test.
+	Dir     string // Dir is where settings and logs are written.
 	Seed    uint64
-	Time    time.Duration // Time is how long faults are brought about.
+	Time    time.Duration // Duration is how long faults are injected.
 	Domains int
 	Entries int // Entries and Workers are per failure domain.
 	Workers int
@@ -63,17 +62,18 @@
 	faults  *os.File
 }
 
-// Report is what a run saw.
+// Report is the result of a run: counts of events, and the problems found.
 type Report struct {
 	Accepted, Refused, Cancelled, Done, Starts, Faults int
-	Lasting                                            int // Lasting counts the tasks that ran until the end.
-	// GivenUp counts the jobs that were given up since they crash workers, Crashed those workers.
+	Lasting                                            int // Lasting counts the lasting tasks that were running at the end.
+	// GivenUp counts the jobs that the region gave up because they crash workers, and Crashed
+	// counts the workers that they crashed.
 	GivenUp, Crashed int
 	Problems         []string
 }
 
-// Run runs to the end and returns the report; an error says that it could not
-// be run.
+// Run runs the soak to the end and returns its report. It returns an error only if the
+// soak could not be set up; problems that it finds are in the report.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
 	s.rnd = rand.New(rand.NewPCG(s.Seed, 1))
 	if err := s.prepare(); err != nil {
@@ -82,29 +82,29 @@
 	defer s.end()
 	s.started = time.Now()
 	duty.Sleep(ctx, settleTime)
-	calls, stop := context.WithTimeout(ctx, s.Time)
+	activeCtx, stop := context.WithTimeout(ctx, s.Time)
 	defer stop()
 	var callers conc.WaitGroup
-	planned, over := context.WithCancel(ctx)
-	defer over()
+	plannedCtx, endPlanned := context.WithCancel(ctx)
+	defer endPlanned()
 	for i := range s.Callers {
-		callers.Go(func() { s.caller(ctx, calls, i) })
-		callers.Go(func() { s.lasting(ctx, calls, planned, i) })
-		callers.Go(func() { s.gangs(ctx, calls, i, 0) })
+		callers.Go(func() { s.caller(ctx, activeCtx, i) })
+		callers.Go(func() { s.lasting(ctx, activeCtx, plannedCtx, i) })
+		callers.Go(func() { s.gangs(ctx, activeCtx, i, 0) })
 	}
-	callers.Go(func() { s.crashing(ctx, calls) })
-	s.group.Go(func() { s.workers(ctx, calls) })
-	s.group.Go(func() { s.shrinks(ctx, calls) })
-	s.group.Go(func() { s.cutting(calls) })
-	for calls.Err() == nil {
-		s.fault(calls)
-		duty.Sleep(calls, time.Duration(100+s.rnd.IntN(1500))*time.Millisecond)
+	callers.Go(func() { s.crashing(ctx, activeCtx) })
+	s.group.Go(func() { s.workers(ctx, activeCtx) })
+	s.group.Go(func() { s.shrinks(ctx, activeCtx) })
+	s.group.Go(func() { s.cutting(activeCtx) })
+	for activeCtx.Err() == nil {
+		s.fault(activeCtx)
+		duty.Sleep(activeCtx, time.Duration(100+s.rnd.IntN(1500))*time.Millisecond)
 	}
 	s.planned(ctx)
-	s.group.Wait() // All faults undo themselves.
+	s.group.Wait() // Each fault reverts itself.
 	duty.Sleep(ctx, settledTime-gangsTime)
 	s.quiet(ctx, &callers)
-	over()
+	endPlanned()
 	callers.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,6 +113,7 @@
 	return s.report, nil
 }
 
+// prepare starts the platform stand-in, and the relays and the process of each entry.
 func (s *Soak) prepare() error {
 	faults, err := os.Create(filepath.Join(s.Dir, "faults.log"))
 	if err != nil {
@@ -159,7 +160,7 @@
 	_ = s.faults.Close()
 }
 
-// problem notes what a caller saw that must not be.
+// addProblem adds to the report what a caller observed and must not occur.
 func (s *Soak) problem(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,51 +173,55 @@
 	f(&s.report)
 }
 
-// caller hands jobs in until the calls are over, and then sees each to its end.
-func (s *Soak) caller(ctx, calls context.Context, i int) {
+// runCaller submits jobs until activeCtx ends, and then waits for the end of each. On average
+// one of eight is cancelled.
+func (s *Soak) caller(ctx, activeCtx context.Context, i int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
 	defer group.Wait()
-	for n := 0; calls.Err() == nil; n++ {
+	for n := 0; activeCtx.Err() == nil; n++ {
 		j := fake.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, i, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
 			RunDuration: time.Duration(50+rnd.IntN(900)) * time.Millisecond, Tasks: []int{1 + rnd.IntN(4), 1 + rnd.IntN(3)},
 		}
 		cancels := rnd.IntN(8) == 0
-		pick := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
-		group.Go(func() { s.job(ctx, c, j, pick, cancels) })
-		duty.Sleep(calls, time.Duration(rnd.Int64N(int64(2*jobPause))))
+		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
+		group.Go(func() { s.job(ctx, c, j, entryRnd, cancels) })
+		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*jobPause))))
 	}
 }
 
-// job hands one job in and follows it.
+// runJob submits one job and checks its course.
 func (s *Soak) job(ctx context.Context, c *fake.Caller, j fake.Job, rnd *rand.Rand, cancels bool) {
-	at := func() string { return s.procs[rnd.IntN(len(s.procs))].callers }
-	accepted, unsure := s.submit(ctx, c, j, at)
+	pickEntry := func() string { return s.procs[rnd.IntN(len(s.procs))].callers }
+	accepted, unsure := s.submit(ctx, c, j, pickEntry)
 	switch {
 	case accepted:
 		s.count(func(r *Report) { r.Accepted++ })
 	case unsure:
-		return // It may have been accepted; nothing is promised either way.
+		return // The job may or may not have been accepted, so there is nothing to check.
 	default:
 		s.count(func(r *Report) { r.Refused++ })
 		s.refused(ctx, j)
 		return
 	}
 	if cancels {
-		s.cancel(ctx, c, j, at)
+		s.cancel(ctx, c, j, pickEntry)
 		return
 	}
-	s.await(ctx, c, j, at)
+	s.await(ctx, c, j, pickEntry)
 }
 
-// submitTries is how often a caller tries before it goes away.
+// maxSubmitAttempts is how often a caller tries to submit a job before it gives up.
 const submitTries = 6
 
-func (s *Soak) submit(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) (accepted, unsure bool) {
+// submit submits a job until it is accepted, at most maxSubmitAttempts times. The result
+// unsure reports whether an attempt ended without a clear response, so that the job may
+// have been accepted.
+func (s *Soak) submit(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) (accepted, unsure bool) {
 	for range submitTries {
-		switch c.Submit(ctx, at(), j) {
+		switch c.Submit(ctx, pickEntry(), j) {
 		case http.StatusOK:
 			return true, unsure
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -228,56 +233,59 @@
 	return false, unsure
 }
 
-// refused checks that a job whose every try was refused never runs.
+// checkRefused checks that a job never runs if all attempts to submit it were refused.
 func (s *Soak) refused(ctx context.Context, j fake.Job) {
 	duty.Sleep(ctx, cancelTime)
 	if starts, _, _ := s.site.Checker.JobStats(j.ID); starts > 0 {
-		s.problem("%s was refused, and ran", j.ID)
+		s.problem("job %s was refused, but its tasks were started", j.ID)
 	}
 }
 
-func (s *Soak) cancel(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) {
+// cancelJob cancels a job, and checks that none of its tasks starts later than cancelGrace
+// after the cancellation was acknowledged.
+func (s *Soak) cancel(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
 	s.site.Checker.ExpectCancel(&j)
-	end := time.Now().Add(s.Time + healTime)
-	for time.Now().Before(end) {
-		if status := c.Cancel(ctx, at(), j); status == http.StatusOK || status == http.StatusNoContent {
+	deadline := time.Now().Add(s.Time + healTime)
+	for time.Now().Before(deadline) {
+		if status := c.Cancel(ctx, pickEntry(), j); status == http.StatusOK || status == http.StatusNoContent {
 			s.count(func(r *Report) { r.Cancelled++ })
 			acked := time.Now()
 			duty.Sleep(ctx, 2*cancelTime)
 			if _, last, _ := s.site.Checker.JobStats(j.ID); last.After(acked.Add(cancelTime)) {
-				s.problem("%s was started %v after its cancel was acknowledged", j.ID, last.Sub(acked))
+				s.problem("job %s had a task started %v after its cancellation was acknowledged", j.ID, last.Sub(acked))
 			}
 			return
 		}
 		duty.Sleep(ctx, 300*time.Millisecond)
 	}
-	s.problem("%s could not be cancelled", j.ID)
+	s.problem("job %s could not be cancelled before the deadline", j.ID)
 }
 
-// await asks until the job is shown as done, which has to be true.
-func (s *Soak) await(ctx context.Context, c *fake.Caller, j fake.Job, at func() string) {
+// awaitCompleted polls the job's state until it is reported as completed, and checks that all
+// of its tasks are done by then.
+func (s *Soak) await(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
 	want := 0
 	for _, n := range j.Tasks {
 		want += n
 	}
 	status, state := 0, ""
-	for end := time.Now().Add(s.Time + healTime); time.Now().Before(end) && ctx.Err() == nil; {
-		status, state = c.State(ctx, at(), j)
+	for deadline := time.Now().Add(s.Time + healTime); time.Now().Before(deadline) && ctx.Err() == nil; {
+		status, state = c.State(ctx, pickEntry(), j)
 		switch {
 		case status == http.StatusGone:
-			s.problem("%s was accepted, and is not known", j.ID)
+			s.problem("job %s was accepted, but is no longer known", j.ID)
 			return
 		case state == "completed":
 			if _, _, done := s.site.Checker.JobStats(j.ID); done < want {
-				s.problem("%s is shown as completed, and %d of %d tasks are done", j.ID, done, want)
+				s.problem("job %s is reported as completed, but only %d of %d tasks are done", j.ID, done, want)
 			}
 			s.count(func(r *Report) { r.Done++ })
 			return
 		case state == "failed" || state == "cancelled":
-			s.problem("%s is shown as %s without cause", j.ID, state)
+			s.problem("job %s is reported as %s without cause", j.ID, state)
 			return
 		}
 		duty.Sleep(ctx, 200*time.Millisecond)
 	}
-	s.problem("%s never ended: last answer %d %q", j.ID, status, state)
+	s.problem("job %s did not end before the deadline: last response %d %q", j.ID, status, state)
 }
