--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,5 +1,5 @@
-// Package cell runs a whole cell in one process on loopback: the stand-in
-// platform, executors and workers, and the entries.
+// Package cell runs a whole cell in one process on the loopback interface: the entries, and
+// stand-ins for the platform, the executors and the workers.
 package cell
 
 import (
@@ -20,23 +20,23 @@
 	"plantainwinch/winch"
 )
 
-// Size is how large a cell is.
+// Size is the size of a cell.
 type Size struct {
 	Domains          int
 	EntriesPerDomain int
 	Executors        int
 	Slots            int
 	Connections      int
-	// ExecutorDomains is how many of the failure domains have executors; zero for all.
+	// ExecutorDomains is the number of failure domains that have executors. Zero means all.
 	ExecutorDomains int
 	Workers         int
 	RackSize        int
 	WorkerSize      winch.Resources
-	// Accelerators is how many workers have one accelerator.
+	// Accelerators is the number of workers that have one accelerator.
 	Accelerators int
 }
 
-// UsersSize is the size of the users' cells today.
+// ProductionSize returns the size of the cells that are in production use.
 func UsersSize() Size {
 	return Size{
 		Domains: 3, EntriesPerDomain: 2, Executors: 50, Slots: 8, Connections: 64, Workers: 50, RackSize: 8,
@@ -44,7 +44,7 @@
 	}
 }
 
-// SmallSize is a cell for tests of the command line.
+// SmallSize returns the size of a cell for tests of the command line.
 func SmallSize() Size {
 	return Size{
 		Domains: 1, EntriesPerDomain: 2, Executors: 2, Slots: 8, Connections: 64, Workers: 3, RackSize: 2,
@@ -59,14 +59,14 @@
 	return s.Domains
 }
 
-// Service is the name of the service that the executors serve.
+// Service is the name of the service that the executors provide.
 const Service = "render"
 
 // Cell is a running cell. Set the exported fields, then call Start.
 type Cell struct {
 	Size Size
 	Log  *zap.Logger
-	// Tune changes an entry's settings before it starts.
+	// Tune, if set, modifies the settings of each entry before the entry starts.
 	Tune func(*conf.Settings)
 
 	OperatorKey string
@@ -81,15 +81,16 @@
 	closers []func()
 	http    []*http.Server
 	specs   []conf.Settings
-	// listeners are open for the entries that have not started yet.
+	// listeners are the open listeners of the entries that have not started yet.
 	listeners []map[string]net.Listener
 }
 
-// readyWait bounds how long the entries may take to find each other.
+// readyTimeout bounds how long the entries may take to connect to each other and to elect
+// the placers.
 const readyWait = 15 * time.Second
 
-// Start starts everything and returns once all entries are linked and every
-// domain has a placer.
+// Start starts the stand-ins and the entries. It returns once all entries are connected to
+// each other and every failure domain has a placer.
 func (c *Cell) Start() error {
 	if c.Log == nil {
 		c.Log = zap.NewNop()
@@ -118,7 +119,7 @@
 	return ln.Addr().String(), nil
 }
 
-// DomainName returns the name of the failure domain with a number from zero.
+// DomainName returns the name of the failure domain with index i.
 func DomainName(i int) string { return fmt.Sprintf("d%d", i+1) }
 
 func (c *Cell) startBackends() error {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// settings returns the settings of all entries, on free ports.
+// buildSettings opens listeners on free ports for all entries and returns their settings.
 func (c *Cell) settings() ([]conf.Settings, error) {
 	secret, key := config.NewKey()
 	c.OperatorKey = secret
@@ -219,7 +220,7 @@
 	return c.waitReady()
 }
 
-// StartEntry starts the entry with a number, as after it was stopped.
+// StartEntry starts the entry with index i, for the first time or after StopEntry.
 func (c *Cell) StartEntry(i int) error {
 	s := &server.Server{Settings: c.specs[i], Log: c.Log.Named(c.specs[i].Entry.Name), Listeners: c.listeners[i]}
 	c.listeners[i] = nil
@@ -237,23 +238,23 @@
 	return nil
 }
 
-// StopEntry stops the entry with a number as planned and returns once it has.
+// StopEntry stops the entry with index i gracefully and returns once it has stopped.
 func (c *Cell) StopEntry(i int) {
 	c.cancels[i]()
 	c.closers[i]()
 }
 
-// waitReady waits until every entry is linked to all others and every domain
-// has a placer.
+// waitReady waits until all entries are connected to each other and every failure domain has
+// a placer.
 func (c *Cell) waitReady() error {
-	until := time.Now().Add(readyWait)
-	for time.Now().Before(until) {
+	deadline := time.Now().Add(readyWait)
+	for time.Now().Before(deadline) {
 		if c.ready() {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return merry.New("the entries did not find each other in time")
+	return merry.New("cell is not ready in time: entries are not connected to each other, or a failure domain has no placer")
 }
 
 func (c *Cell) ready() bool {
@@ -271,7 +272,7 @@
 	return true
 }
 
-// Stop stops everything.
+// Stop stops the entries and the stand-ins.
 func (c *Cell) Stop() {
 	for _, cancel := range c.cancels {
 		if cancel != nil {
--- a/cell/demo.go
+++ b/cell/demo.go
@@ -17,10 +17,10 @@
 	"plantainwinch/winch"
 )
 
-// demoWait bounds how long the demo waits for a job.
+// jobTimeout bounds how long the demo waits for a job to end.
 const demoWait = "20s"
 
-// Step is one line of the demo's table.
+// Step is the result of one step of the demo, printed as one row of its table.
 type Step struct {
 	Workload string
 	Want     string
@@ -28,18 +28,19 @@
 	Took     time.Duration
 }
 
-// OK reports whether the step went as it should.
+// OK reports whether the step had the expected outcome.
 func (s Step) OK() bool { return s.Want == s.Got }
 
-// demo runs one sample of every workload from outside, over HTTP.
+// demo runs one sample of every workload, as an external client over HTTP.
 type demo struct {
 	cell  *Cell
 	keys  Keys
 	steps []Step
 }
 
-// Demo runs one sample of every workload, prints a table and returns an error
-// if a step went wrong or a promise was broken.
+// Demo runs one sample of every workload and prints a table of the outcomes. It returns an
+// error if an outcome was not the expected one, a request did not run exactly once or a
+// worker was overcommitted.
 func (c *Cell) Demo(ctx context.Context, keys Keys, out io.Writer) error {
 	d := &demo{cell: c, keys: keys}
 	d.calls(ctx)
@@ -52,19 +53,19 @@
 }
 
 func (d *demo) step(workload, want string, f func() string) {
-	begin := time.Now()
+	started := time.Now()
 	got := f()
-	d.steps = append(d.steps, Step{Workload: workload, Want: want, Got: got, Took: time.Since(begin)})
+	d.steps = append(d.steps, Step{Workload: workload, Want: want, Got: got, Took: time.Since(started)})
 }
 
-// callers returns the callers' address of the entry with a number.
+// callersAddress returns the callers' address of entry i, modulo the number of entries.
 func (d *demo) callers(i int) string {
 	return d.cell.Servers[i%len(d.cell.Servers)].CallersAddress()
 }
 
-// call makes a call and returns status and outcome.
-func (d *demo) call(ctx context.Context, at int, team, class, id, body string, header http.Header) string {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callers(at)+"/Call/"+Service, bytes.NewBufferString(body))
+// call makes a call through one entry and returns its outcome, with the reason if there is one.
+func (d *demo) call(ctx context.Context, entryIndex int, team, class, id, body string, header http.Header) string {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callers(entryIndex)+"/Call/"+Service, bytes.NewBufferString(body))
 	if err != nil {
 		return err.Error()
 	}
@@ -80,16 +81,16 @@
 		return err.Error()
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	response, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "not whole"
+		return "response body truncated"
 	}
 	outcome := resp.Header.Get(front.OutcomeHeader) + resp.Trailer.Get(front.OutcomeHeader)
 	if reason := resp.Header.Get(front.ReasonHeader); reason != "" {
 		return outcome + " " + reason
 	}
-	if string(answer) != body {
-		return "wrong answer"
+	if string(response) != body {
+		return "response body differs from request body"
 	}
 	return outcome
 }
@@ -153,13 +154,14 @@
 	})
 }
 
-// request makes a request of the callers' interface and decodes the answer.
-func (d *demo) request(ctx context.Context, method, path string, at int, body, into any) string {
+// request sends a request to the callers' interface of one entry and decodes the response. It
+// returns the empty string, or the outcome and reason or the error of a failed request.
+func (d *demo) request(ctx context.Context, method, path string, entryIndex int, body, into any) string {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err.Error()
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers(at)+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers(entryIndex)+path, bytes.NewReader(data))
 	if err != nil {
 		return err.Error()
 	}
@@ -180,40 +182,42 @@
 	return ""
 }
 
-// job submits a job at one entry, waits for its end at the next and returns its state.
-func (d *demo) job(ctx context.Context, body front.JobBody, at int) string {
+// runJob submits a job to one entry, waits for its end at the next one and returns its final
+// state.
+func (d *demo) job(ctx context.Context, body front.JobBody, entryIndex int) string {
 	var rec winch.Job
-	if bad := d.request(ctx, http.MethodPost, "/Jobs", at, body, &rec); bad != "" {
-		return bad
+	if failure := d.request(ctx, http.MethodPost, "/Jobs", entryIndex, body, &rec); failure != "" {
+		return failure
 	}
 	var view entry.JobView
-	if bad := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+demoWait, at+1, nil, &view); bad != "" {
-		return bad
+	if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+demoWait, entryIndex+1, nil, &view); failure != "" {
+		return failure
 	}
 	return string(view.State)
 }
 
-// cancelled submits a job, waits until it runs, cancels it and waits for its end.
+// runCancelledJob submits a job, cancels it once all of its tasks run, waits for its end and
+// returns its final state.
 func (d *demo) cancelled(ctx context.Context, body front.JobBody) string {
 	var rec winch.Job
-	if bad := d.request(ctx, http.MethodPost, "/Jobs", 0, body, &rec); bad != "" {
-		return bad
+	if failure := d.request(ctx, http.MethodPost, "/Jobs", 0, body, &rec); failure != "" {
+		return failure
 	}
 	var view entry.JobView
 	for range 100 {
-		if bad := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID, 1, nil, &view); bad != "" {
-			return bad
+		if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID, 1, nil, &view); failure != "" {
+			return failure
 		}
 		if view.Running == body.Tasks {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if bad := d.request(ctx, http.MethodDelete, "/Jobs/"+rec.ID, 2, nil, &view); bad != "" {
-		return bad
+	if failure := d.request(ctx, http.MethodDelete, "/Jobs/"+rec.ID, 2, nil, &view); failure != "" {
+		return failure
 	}
-	if bad := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+demoWait, 3, nil, &view); bad != "" {
-		return bad
+	if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+demoWait, 3, nil, &view); failure != "" {
+		return failure
 	}
 	return string(view.State)
 }
@@ -251,11 +255,12 @@
 	return merry.Wrap(w.Flush())
 }
 
-// verdict checks from outside that nothing ran twice and no worker was overcommitted.
+// check returns an error unless each step had the expected outcome, the executors ran each
+// request exactly once and no worker was overcommitted.
 func (d *demo) verdict() error {
 	for _, s := range d.steps {
 		if !s.OK() {
-			return merry.Errorf("%s: %s instead of %s", s.Workload, s.Got, s.Want)
+			return merry.Errorf("%s: outcome is %s, expected %s", s.Workload, s.Got, s.Want)
 		}
 	}
 	runs := make(map[string]int)
--- a/cell/rolling_test.go
+++ b/cell/rolling_test.go
@@ -17,8 +17,8 @@
 	"plantainwinch/winch"
 )
 
-// balancer sends callers to entries that are ready, as the platform's does: it
-// looks at each every 100 ms.
+// balancer selects entries that are ready, as the platform's load balancer does. It checks
+// the readiness of the entries every 100 ms.
 type balancer struct {
 	mu    sync.Mutex
 	ready map[string]bool
@@ -53,8 +53,10 @@
 	return ""
 }
 
-// All entry VMs are replaced one after the other while callers go on. No call is
-// cut, none is answered with anything but its own body, and none runs twice.
+// All entry VMs are replaced one after the other while callers send requests. No call may be
+// interrupted or get the response of another one, and none that runs at most once may run
+// twice. An entry that stops before its requests are done, or whose calls are repeated
+// elsewhere, would break that.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	c := &Cell{Size: Size{
@@ -78,8 +80,8 @@
 	for i := range 6 {
 		group.Go(func() {
 			for n := 0; calling.Err() == nil; n++ {
-				if at := b.pick(addresses); at != "" {
-					r.call(at, fmt.Sprintf("r%d-%d", i, n), i%2 == 0)
+				if address := b.pick(addresses); address != "" {
+					r.call(address, fmt.Sprintf("r%d-%d", i, n), i%2 == 0)
 				}
 			}
 		})
@@ -104,8 +106,8 @@
 	ids   []string
 }
 
-func (r *roller) call(at, id string, invoice bool) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+at+"/Call/"+Service, bytes.NewBufferString(id))
+func (r *roller) call(address, id string, invoice bool) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/Call/"+Service, bytes.NewBufferString(id))
 	if err != nil {
 		r.t.Error(err)
 		return
@@ -121,14 +123,14 @@
 	req.Header.Set("Stand-Work", "20ms")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		r.t.Errorf("call %s was cut: %v", id, err)
+		r.t.Errorf("call %s was interrupted: %v", id, err)
 		return
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	outcome := resp.Header.Get(front.OutcomeHeader)
 	if err != nil || outcome == string(winch.Done) && string(body) != id {
-		r.t.Errorf("call %s: %v, answer %q", id, err, body)
+		r.t.Errorf("call %s: error %v, response %q", id, err, body)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,11 +144,11 @@
 	r.t.Logf("outcomes: %v", r.count)
 	for name := range r.count {
 		if name[:4] != "Done" && name[:6] != "NotRun" {
-			r.t.Errorf("outcome %s in a planned replacement", name)
+			r.t.Errorf("unexpected outcome %s during a planned replacement", name)
 		}
 	}
 	if r.count["Done "] == 0 {
-		r.t.Error("nothing was served")
+		r.t.Error("no call was done")
 	}
 	runs := make(map[string]int)
 	for _, e := range c.Executors {
--- a/cell/setup.go
+++ b/cell/setup.go
@@ -15,20 +15,21 @@
 
 // Classes of the cell's configuration.
 const (
-	ClassPreview = "preview" // ClassPreview is waited for and repeatable.
-	ClassInvoice = "invoice" // ClassInvoice is waited for and runs at most once.
-	ClassMix     = "mix"     // ClassMix is deferred, repeatable and preemptible.
-	ClassBilled  = "billed"  // ClassBilled is deferred and runs at most once.
+	ClassPreview = "preview" // ClassPreview is for calls that the caller waits for and that are repeatable.
+	ClassInvoice = "invoice" // ClassInvoice is for calls that the caller waits for and that run at most once.
+	ClassMix     = "mix"     // ClassMix is for deferred jobs that are repeatable and preemptible.
+	ClassBilled  = "billed"  // ClassBilled is for deferred jobs whose tasks run at most once.
 	ClassRoom    = "room"    // ClassRoom is for long-running services.
 )
 
-// teamCount is the number of teams, some of them large.
+// teamCount is the number of teams. The first two have a larger share and limit.
 const teamCount = 6
 
-// TeamName returns the name of the team with a number from zero.
+// TeamName returns the name of the team with index i.
 func TeamName(i int) string { return fmt.Sprintf("team-%d", i+1) }
 
-// Declared returns the configuration of the cell at the users' size.
+// Declared returns the configuration of teams, classes and services for a cell of
+// ProductionSize.
 func Declared() config.Declared {
 	d := config.Declared{
 		Teams: make(map[string]winch.Team), Classes: make(map[string]winch.Class),
@@ -53,14 +54,15 @@
 	return d
 }
 
-// Keys are the keys that Configure issued.
+// Keys are the keys that Configure issues: one for each team, by name, and the service
+// owner's.
 type Keys struct {
 	Teams map[string]string
 	Owner string
 }
 
-// Configure applies the configuration, issues a key for each team and one for
-// the owner of the service, and approves all teams but the last.
+// Configure applies the configuration, issues a key for each team and one for the owner of
+// the service, and approves all teams but the last for the service.
 func (c *Cell) Configure(ctx context.Context) (Keys, error) {
 	e := c.Servers[0].Entry
 	operator := entry.Actor{Name: "operator", Role: winch.KeyOperator}
@@ -90,7 +92,7 @@
 	return keys, nil
 }
 
-// Withdraw withdraws a key and waits until that is in force in all entries.
+// Withdraw withdraws a key and waits until all entries reject it.
 func (c *Cell) Withdraw(ctx context.Context, key string) winch.Result {
 	id, _, _ := strings.Cut(key, ".")
 	operator := entry.Actor{Name: "operator", Role: winch.KeyOperator}
--- a/server/region.go
+++ b/server/region.go
@@ -23,21 +23,22 @@
 )
 
 const (
-	// memoryPart is the part of a VM's memory that the runtime may use: what is
-	// received and not yet read counts against the VM too.
+	// memoryShare is the share of the entry's memory limit that the Go runtime may use. Data
+	// that was received and not yet read counts against the VM's memory too.
 	memoryPart = 0.7
-	// idleTimeout closes a caller's connection that is not used; callers come back
-	// within seconds while they wait for a job.
+	// idleTimeout is how long an idle connection of a caller stays open. Callers that wait
+	// for a job send the next request within seconds.
 	idleTimeout = 30 * time.Second
-	// noticeTime is how long the platform takes to see that an entry is not ready:
-	// it asks every second and believes the second answer.
+	// unreadyDelay is how long the platform takes to notice that an entry is not ready: it
+	// checks every second and acts on the second failed check.
 	noticeTime = 2300 * time.Millisecond
-	// endTime is kept free before SIGKILL for closing what is idle.
+	// closeReserve is the part of the grace period that is reserved for closing idle
+	// connections before SIGKILL.
 	endTime = 1500 * time.Millisecond
 )
 
 // Region is one entry of a region with its listeners. Set the exported fields,
-// then Prepare and Run.
+// then call Prepare and Run.
 type Region struct {
 	Settings conf.Region
 	Log      *zap.Logger
@@ -79,15 +80,14 @@
 	s.Mesh.FirstMessage = s.Node.First
 	s.Mesh.Addresses = s.Node.PeerAddresses
 	s.Mesh.OnLinkChange = func(hello proto.Hello, up bool) {
-		s.Log.Info("peer link", zap.String("peer", hello.Entry), zap.String("domain", hello.Domain), zap.Bool("up", up))
+		s.Log.Info("peer connection changed", zap.String("peer", hello.Entry), zap.String("domain", hello.Domain), zap.Bool("up", up))
 		s.Node.LinkChanged()
 	}
 	s.gauges()
 	return nil
 }
 
-// Reload puts changed settings in force. What names addresses stays as it is
-// until the next start.
+// Reload applies changed settings. Changes of addresses take effect at the next start.
 func (s *Region) Reload(settings conf.Region) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,9 +138,10 @@
 	return nil
 }
 
-// Run serves until ctx ends, and then stops as planned: the office and the
-// workers go to others at once, callers are served until the platform sends no
-// more of them, and no request is cut.
+// Run serves until ctx ends, and then shuts down gracefully. It hands the office and the
+// workers over to other entries at once, serves callers until the platform no longer routes
+// them here, and lets the requests in progress finish within the grace period. The office is
+// the planner's leadership lease in the store.
 func (s *Region) Run(ctx context.Context) {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -151,24 +152,26 @@
 	}
 	group.Go(func() { s.Mesh.Run(background) })
 	group.Go(func() { s.Node.Run(background) })
-	s.Log.Info("serving", zap.String("name", s.Node.Name), zap.String("domain", s.Node.Domain), zap.String("callers", s.Settings.Listen.Callers))
+	s.Log.Info("entry is serving", zap.String("name", s.Node.Name), zap.String("domain", s.Node.Domain), zap.String("callers", s.Settings.Listen.Callers))
 	<-ctx.Done()
 	s.stop(servers)
 	cancel()
 	group.Wait()
-	s.Log.Info("stopped", zap.String("name", s.Node.Name))
+	s.Log.Info("entry stopped", zap.String("name", s.Node.Name))
 }
 
+// stop hands over the entry's work, waits until the platform has noticed that the entry is
+// not ready, and closes the servers once their requests are done or the grace period is over.
 func (s *Region) stop(servers map[string]*http.Server) {
-	s.Log.Info("stopping", zap.String("name", s.Node.Name))
-	begin := time.Now()
+	s.Log.Info("entry is stopping", zap.String("name", s.Node.Name))
+	started := time.Now()
 	s.Node.Stop(context.Background())
 	time.Sleep(noticeTime)
-	left := s.grace() - endTime - time.Since(begin)
-	ctx, cancel := context.WithTimeout(context.Background(), max(left, endTime/2))
+	remaining := s.grace() - endTime - time.Since(started)
+	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, endTime/2))
 	defer cancel()
 	if err := servers["Callers"].Shutdown(ctx); err != nil {
-		s.Log.Error("requests are cut", zap.Error(err))
+		s.Log.Error("closing connections with unfinished requests: the grace period is over", zap.Error(err))
 	}
 	for _, server := range servers {
 		_ = server.Close()
@@ -193,7 +196,7 @@
 	return out
 }
 
-// metricsHandler writes all metrics as text.
+// metricsHandler returns a handler that writes all metrics as text.
 func metricsHandler(reg metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain")
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,5 @@
-// Package server makes a running entry out of settings: it listens, links to
-// the peers and the platform, and stops in good order.
+// Package server runs an entry from its settings. It opens the listeners, connects the entry
+// to its peers and the platform, and shuts it down gracefully.
 package server
 
 import (
@@ -26,19 +26,21 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send its headers.
+	// headerTimeout bounds how long a client may take to send its request headers.
 	headerTimeout = 10 * time.Second
-	// closeWait bounds how long open connections are waited for after the drain.
+	// closeTimeout bounds how long shutdown waits for open connections after the entry has
+	// drained.
 	closeWait = 2 * time.Second
 )
 
-// Server is one entry with its listeners. Set the exported fields, then Run.
+// Server is one entry of a cell with its listeners. Set the exported fields, then call
+// Prepare and Run.
 type Server struct {
 	Settings conf.Settings
 	Log      *zap.Logger
 	Metrics  metrics.Registry
-	// Listeners are taken where they are given, by the names of the keys in
-	// [Listen]; the others are opened.
+	// Listeners are already open listeners to use, by the key of their address in the
+	// section [Listen]. Prepare opens the others.
 	Listeners map[string]net.Listener
 
 	Entry *entry.Entry
@@ -49,8 +51,8 @@
 	listeners map[string]net.Listener
 }
 
-// Prepare opens the listeners and builds the entry. Listening comes first, so
-// that an address in use is reported before anything else has begun.
+// Prepare opens the listeners and builds the entry. It opens the listeners first, to
+// report an address that is in use before anything else has started.
 func (s *Server) Prepare() error {
 	if s.Metrics == nil {
 		s.Metrics = metrics.NewRegistry()
@@ -85,10 +87,10 @@
 }
 
 func (s *Server) linked(hello proto.Hello, up bool) {
-	s.Log.Info("peer link", zap.String("Peer", hello.Entry), zap.String("Domain", hello.Domain), zap.Bool("Up", up))
+	s.Log.Info("peer connection changed", zap.String("Peer", hello.Entry), zap.String("Domain", hello.Domain), zap.Bool("Up", up))
 }
 
-// gauges export what control costs.
+// registerGauges registers gauges of the calls and bytes that the control plane costs.
 func (s *Server) gauges() {
 	gauge := func(name string, f func() (int64, int64), second bool) {
 		_ = s.Metrics.Register(name, metrics.NewFunctionalGauge(func() int64 {
@@ -138,7 +140,8 @@
 	}
 }
 
-// Run serves until ctx ends, and then stops as planned: no request is cut.
+// Run serves until ctx ends, and then shuts down gracefully: it lets the requests in
+// progress finish, for at most closeTimeout once the entry has drained.
 func (s *Server) Run(ctx context.Context) {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -171,8 +174,8 @@
 	return out
 }
 
-// shutdown closes the callers' and operators' listeners once their requests are
-// answered; the links to peers go last.
+// shutdown closes the servers of callers and operators once their requests are done or
+// closeTimeout is over. It closes the connections to peers last.
 func (s *Server) shutdown(servers map[string]*http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
 	defer cancel()
@@ -184,11 +187,11 @@
 	_ = servers["Peers"].Close()
 }
 
-// CallersAddress returns where callers reach the entry.
+// CallersAddress returns the address at which callers reach the entry.
 func (s *Server) CallersAddress() string { return s.listeners["Callers"].Addr().String() }
 
-// OperatorsAddress returns where operators reach the entry.
+// OperatorsAddress returns the address at which operators reach the entry.
 func (s *Server) OperatorsAddress() string { return s.listeners["Operators"].Addr().String() }
 
-// PeersAddress returns where peers reach the entry.
+// PeersAddress returns the address at which peers reach the entry.
 func (s *Server) PeersAddress() string { return s.listeners["Peers"].Addr().String() }
--- a/stand/exec.go
+++ b/stand/exec.go
@@ -11,23 +11,23 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// ExecFaults are the switches of an executor.
+// ExecFaults are the faults that can be injected into an executor.
 type ExecFaults struct {
-	// Hang holds every request until the switch is off or the connection breaks.
+	// Hang holds every request until Hang is unset or the connection breaks.
 	Hang bool
-	// FailAll answers every request with status 500.
+	// FailAll makes every request fail with status 500.
 	FailAll bool
-	// Cross answers with the id of the request before.
+	// Cross makes each response carry the ID of the preceding request.
 	Cross bool
-	// CutAnswer breaks the connection in the middle of the answer.
+	// CutAnswer breaks the connection in the middle of the response body.
 	CutAnswer bool
-	// Delay is added to each request.
+	// Delay is added to the work time of each request.
 	Delay time.Duration
 }
 
-// Executor is an HTTP service with slots. It echoes the request's body and id,
-// after the time given by the header Stand-Work, and counts what it runs, so
-// that a test can tell how often each request ran and how many ran at once.
+// Executor is an HTTP service with a limited number of slots. It echoes the body and ID of a
+// request after the work time given by the header Stand-Work. It counts its runs, so that a
+// test can check how often each request ran and how many ran at once.
 type Executor struct {
 	Name  string
 	Slots int
@@ -40,30 +40,30 @@
 	last    string
 }
 
-// RequestIDHeader carries the id of an attempt to the executor and back.
+// RequestIDHeader is the header that carries the ID of an attempt to the executor and back.
 const RequestIDHeader = "Winch-Request-Id"
 
-// Headers by which a caller steers the stand-in.
+// Headers of the stand-in: the work time in a request, and the executor's name in a response.
 const (
 	workHeader = "Stand-Work"
 	nameHeader = "Stand-Executor"
 )
 
-// ExecCounts is what an executor has seen.
+// ExecCounts are the counters of an executor.
 type ExecCounts struct {
 	Runs    map[string]int
 	Running int
 	Peak    int
 }
 
-// Set changes the switches.
+// Set replaces the injected faults.
 func (e *Executor) Set(f ExecFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Counts returns how often each caller's request ran, and the most at once.
+// Counts returns how often each caller's request ran, how many run now, and the peak.
 func (e *Executor) Counts() ExecCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,7 +74,8 @@
 	return out
 }
 
-// Handler serves calls on every path, PUT /Stand/Faults and GET /Stand/Counts.
+// Handler serves requests to execute on every path except PUT /Stand/Faults, which replaces
+// the injected faults, and GET /Stand/Counts, which returns the counters.
 func (e *Executor) Handler() http.Handler {
 	r := httprouter.New()
 	r.PUT("/Stand/Faults", func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
@@ -90,6 +91,8 @@
 	return r
 }
 
+// acquireSlot occupies a slot for a request, if one is free, and returns the injected faults
+// and the ID of the preceding request.
 func (e *Executor) enter(id, caller string) (ExecFaults, string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,7 +124,8 @@
 	return e.faults.Hang
 }
 
-// serve reads the whole body first, as a real service would, works, and echoes.
+// serve reads the whole body first, as a real service does, simulates the work and echoes
+// the body.
 func (e *Executor) serve(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
@@ -153,6 +157,7 @@
 	_, _ = w.Write(body)
 }
 
+// hangPollInterval is the time between two checks whether a request still hangs.
 const hangPoll = 10 * time.Millisecond
 
 func (e *Executor) work(req *http.Request, faults ExecFaults) {
--- a/stand/httpd.go
+++ b/stand/httpd.go
@@ -11,9 +11,9 @@
 	"plantainwinch/winch"
 )
 
-// Handler serves the platform over HTTP. PUT /Faults sets the switches, GET
-// /Calls counts the calls, POST /VMs adds a row to the VM list and DELETE
-// /VMs/:ID removes one.
+// Handler serves the platform over HTTP. PUT /Faults replaces the injected faults, GET
+// /Calls returns the call counts, POST /VMs adds a VM to the VM list and DELETE /VMs/:ID
+// removes one.
 func (p *Platform) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST(store.PathPrefix+":Op", p.serveOp)
@@ -59,7 +59,7 @@
 	out, err := p.dispatch(req, store.Op(ps.ByName("Op")), in)
 	switch {
 	case errors.Is(err, winch.ErrUncertain):
-		panic(http.ErrAbortHandler) // The reply is lost: the connection breaks.
+		panic(http.ErrAbortHandler) // The response is lost: abort the connection.
 	case errors.Is(err, winch.ErrNotFound):
 		out.Code = store.CodeMissing
 	case errors.Is(err, winch.ErrConflict):
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -1,6 +1,5 @@
-// Package stand holds small stand-ins for the systems around a cell: the
-// platform's key-value service and VM list, an executor and a worker. Each has
-// switches with which tests bring about its failures.
+// Package stand provides in-memory stand-ins for the systems around a cell: the platform's
+// key-value service and VM list, an executor and a worker. Tests inject faults into each.
 package stand
 
 import (
@@ -14,23 +13,24 @@
 	"plantainwinch/winch"
 )
 
-// DefaultWatchWait is how long a watch waits for a change.
+// DefaultWatchTimeout is how long a watch waits for a change unless WatchTimeout is set.
 const DefaultWatchWait = 10 * time.Second
 
-// changesKept bounds the history that a watch can start from.
+// minChangesKept is the minimum number of recent changes that remain when the history from
+// which a watch can start is trimmed.
 const changesKept = 4096
 
-// Faults are the switches of the platform.
+// Faults are the faults that can be injected into the platform.
 type Faults struct {
 	// Down makes every call fail without effect.
 	Down bool
-	// Latency is waited before each call takes effect.
+	// Latency is the delay before each call takes effect.
 	Latency time.Duration
-	// LoseReplies is the number of writes whose reply is still to be lost after
-	// the write took effect. Only keys that start with LosePrefix count.
+	// LoseReplies is the number of writes whose response is still to be lost after the
+	// write took effect. Only writes of keys that start with LosePrefix count.
 	LoseReplies int
 	LosePrefix  string
-	// HideVMs lists VMs that the lagging list does not show yet, or no longer.
+	// HideVMs are the IDs of VMs that the VM list omits, as a list that lags behind does.
 	HideVMs []string
 }
 
@@ -44,8 +44,9 @@
 	lease string
 }
 
-// Platform is a key-value service and VM list in memory. The zero value is ready.
+// Platform is a key-value service and VM list in memory. The zero value is ready to use.
 type Platform struct {
+	// WatchTimeout is how long a watch waits for a change. Zero means DefaultWatchTimeout.
 	WatchWait time.Duration
 
 	mu       sync.Mutex
@@ -58,7 +59,7 @@
 	vms      map[string]winch.VM
 	calls    map[string]int64
 	leaseSeq int
-	// listVersion rises with each change of the VM list.
+	// listVersion is incremented with each change of the VM list.
 	listVersion uint64
 }
 
@@ -67,7 +68,7 @@
 	_ winch.Lister = (*Platform)(nil)
 )
 
-// Set changes the switches.
+// Set replaces the injected faults.
 func (p *Platform) Set(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +77,7 @@
 	p.notify()
 }
 
-// Calls returns the number of calls by name since the start.
+// Calls returns the number of calls since the start, by operation.
 func (p *Platform) Calls() map[string]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +88,7 @@
 	return out
 }
 
-// SetVM adds or replaces a row of the VM list.
+// SetVM adds a VM to the VM list or replaces it.
 func (p *Platform) SetVM(vm winch.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +99,7 @@
 	p.listVersion++
 }
 
-// RemoveVM drops a row of the VM list.
+// RemoveVM removes a VM from the VM list.
 func (p *Platform) RemoveVM(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,8 +107,8 @@
 	p.listVersion++
 }
 
-// begin counts the call, waits for the latency and returns with the lock held
-// and lapsed leases gone, or fails with the lock free.
+// lockForCall counts the call, waits for the injected latency, takes the lock and removes expired
+// leases. It returns with the lock held, or with an error and the lock released.
 func (p *Platform) begin(ctx context.Context, name string) error {
 	p.mu.Lock()
 	if p.calls == nil {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// end frees the lock and loses the reply of a write if a switch says so.
+// unlockAfterWrite releases the lock after a write, and returns an error if the response is to be lost.
 func (p *Platform) end(key string) error {
 	defer p.mu.Unlock()
 	if p.faults.LoseReplies > 0 && strings.HasPrefix(key, p.faults.LosePrefix) {
@@ -288,11 +289,11 @@
 		return nil, 0, err
 	}
 	for {
-		found := p.since(prefixes, after)
+		changes := p.since(prefixes, after)
 		version, wake, next := p.version, p.wake, p.nextExpiry()
 		p.mu.Unlock()
-		if len(found) > 0 {
-			return found, version, nil
+		if len(changes) > 0 {
+			return changes, version, nil
 		}
 		select {
 		case <-wake:
@@ -311,8 +312,8 @@
 	}
 }
 
-// nextExpiry returns how long it takes until the next lease can lapse, so that
-// its keys vanish even while no call comes in.
+// nextExpiry returns the time until the next lease can expire. A watch wakes up then, so that
+// the lease's keys are deleted even while there are no calls.
 func (p *Platform) nextExpiry() time.Duration {
 	next := DefaultWatchWait
 	for _, l := range p.leases {
@@ -321,11 +322,12 @@
 	return max(next, time.Millisecond)
 }
 
+// changesSince returns the latest change of each matching key after a version, in order.
 func (p *Platform) since(prefixes []string, after uint64) []winch.Change {
 	var out []winch.Change
 	for i := len(p.changes) - 1; i >= 0 && p.changes[i].Version > after; i-- {
 		c := p.changes[i]
-		match := slices.ContainsFunc(prefixes, func(s string) bool { return strings.HasPrefix(c.Key, s) })
+		match := slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(c.Key, prefix) })
 		seen := slices.ContainsFunc(out, func(o winch.Change) bool { return o.Key == c.Key })
 		if match && !seen {
 			out = append(out, c)
--- a/stand/wire_test.go
+++ b/stand/wire_test.go
@@ -24,8 +24,9 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// The client of the key-value service tells apart what the service can do to
-// it: refuse, be down, and lose the reply to a write that took effect.
+// The client of the key-value service must distinguish a refused write, an outage, and a
+// lost response to a write that took effect. A caller that takes one for another repeats a
+// write that took effect, or takes one for done that did not.
 func TestStoreOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -52,12 +53,13 @@
 	p.Set(stand.Faults{Down: true})
 	_, err = c.Put(ctx, "k", []byte("three"), got.Version, "")
 	is.True(errors.Is(err, winch.ErrUnavailable))
-	gone := &store.Client{Address: "127.0.0.1:1"}
-	_, err = gone.Put(ctx, "k", nil, 0, "")
-	is.True(errors.Is(err, winch.ErrUnavailable)) // it was not even reached
+	unreachable := &store.Client{Address: "127.0.0.1:1"}
+	_, err = unreachable.Put(ctx, "k", nil, 0, "")
+	is.True(errors.Is(err, winch.ErrUnavailable)) // the service was not reached
 }
 
-// A key under a lease vanishes with it, and a watch tells so without any other call.
+// A key under a lease is deleted when the lease expires. A watch must report that even if
+// there is no other call.
 func TestLeaseLapses(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -74,8 +76,8 @@
 	is.True(errors.Is(c.Renew(ctx, lease), winch.ErrNotFound))
 }
 
-// The client of the workers tells a start that was refused or fenced from one
-// whose reply was lost.
+// The client of the workers must distinguish a start that was refused or fenced from one
+// whose response was lost, since only the latter may have taken effect.
 func TestAgentOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -91,7 +93,7 @@
 	w.Set(stand.WorkerFaults{LoseReplies: 1})
 	err := c.Start(ctx, vm, 2, task(1), time.Minute)
 	is.True(err != nil && !errors.Is(err, winch.ErrRefused) && !errors.Is(err, winch.ErrFenced))
-	is.True(errors.Is(c.Start(ctx, vm, 2, task(2), time.Minute), winch.ErrRefused)) // it is full
+	is.True(errors.Is(c.Start(ctx, vm, 2, task(2), time.Minute), winch.ErrRefused)) // the worker is full
 	report, err := c.Renew(ctx, vm, winch.Renewal{Epoch: 3, Lease: time.Minute, Full: true})
 	is.NoErr(err)
 	is.Equal(len(report.Tasks), 2)
@@ -101,10 +103,10 @@
 	had, err = c.Stop(ctx, vm, 3, task(5))
 	is.NoErr(err)
 	is.Equal(had, false)
-	is.True(errors.Is(c.Start(ctx, vm, 3, task(5), time.Minute), winch.ErrRefused)) // it was barred
+	is.True(errors.Is(c.Start(ctx, vm, 3, task(5), time.Minute), winch.ErrRefused)) // it was stopped before it started
 	report, err = c.Renew(ctx, vm, winch.Renewal{Epoch: 3, Lease: time.Minute, Wait: time.Minute})
 	is.NoErr(err)
-	is.Equal(report.Tasks[0].State, winch.TaskStopped) // an end does not wait
+	is.Equal(report.Tasks[0].State, winch.TaskStopped) // a completion is reported without waiting
 	report, err = c.Renew(ctx, vm, winch.Renewal{Epoch: 3, Lease: time.Minute, Forget: []winch.Attempt{task(0).Ref()}})
 	is.NoErr(err)
 	is.Equal(len(report.Tasks), 0)
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -15,33 +15,33 @@
 	"plantainwinch/winch"
 )
 
-// WorkerFaults are the switches of a worker.
+// WorkerFaults are the faults that can be injected into a worker.
 type WorkerFaults struct {
-	// RefuseAll makes every start fail without effect.
+	// RefuseAll makes the worker refuse every start.
 	RefuseAll bool
 	// FailAll makes every task fail at once.
 	FailAll bool
-	// LoseReplies is the number of starts whose reply is still to be lost.
+	// LoseReplies is the number of starts whose response is still to be lost.
 	LoseReplies int
-	// Down breaks every call without effect; tasks run on until their lease lapses.
+	// Down breaks every call without effect. Tasks run on until their lease expires.
 	Down bool
 }
 
 type run struct {
 	task winch.Task
-	// reported says that a renewal has listed the end.
+	// reported is whether a renewal has reported the end of the run.
 	reported bool
 	started  time.Time
 	ends     time.Time
 	expires  time.Time
 }
 
-// Worker runs tasks that do nothing but take time. The first word of a task's
-// command says what it does: "echo" gives the rest as output, "fail" fails, and
-// "take" is followed by the true run time, where the declared one is wrong.
+// Worker simulates tasks that only take time. The first word of a task's command selects
+// what the task does: "echo" outputs the rest of the command, "fail" fails, and "take" is
+// followed by the actual run time if it differs from the declared one.
 type Worker struct {
 	VM winch.VM
-	// Fence makes the worker refuse epochs older than the newest it has seen.
+	// Fence makes the worker reject calls whose epoch is lower than the highest it has seen.
 	Fence bool
 
 	mu     sync.Mutex
@@ -54,22 +54,23 @@
 	over   int
 }
 
-// WorkerCounts is what a worker has seen.
+// WorkerCounts are the counters of a worker.
 type WorkerCounts struct {
 	Starts map[string]int
-	// Overcommitted counts the starts that exceeded the VM's size.
+	// Overcommitted counts the refused starts that would have exceeded the VM's size.
 	Overcommitted int
 	Running       int
 }
 
-// Set changes the switches.
+// Set replaces the injected faults.
 func (w *Worker) Set(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
 }
 
-// Counts returns how often each task was started.
+// Counts returns how often each task was started, the overcommitted starts and the number
+// of running tasks.
 func (w *Worker) Counts() WorkerCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +96,7 @@
 	return r != nil && r.task.State == winch.TaskRunning
 }
 
-// Running counts the running tasks by team.
+// Running returns the number of running tasks by team.
 func (w *Worker) Running() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +112,8 @@
 
 var errBroken = errors.New("connection broken")
 
-// begin takes the lock and checks the epoch.
+// lockForCall takes the lock, checks the epoch and ends the runs that are due. It returns with the
+// lock held, or with an error and the lock released.
 func (w *Worker) begin(epoch uint64) error {
 	w.mu.Lock()
 	if w.runs == nil {
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// settle ends the tasks whose time or lease is over.
+// endDueRuns ends the runs whose run time is over or whose lease has expired.
 func (w *Worker) settle() {
 	now := time.Now()
 	for _, r := range w.runs {
@@ -160,6 +162,7 @@
 	}
 }
 
+// actualRunTime returns the time that a task takes, which may differ from the declared one.
 func trueTime(t winch.Task) time.Duration {
 	if rest, ok := strings.CutPrefix(t.Command, "take "); ok {
 		if d, err := time.ParseDuration(rest); err == nil {
@@ -178,7 +181,7 @@
 	return sum
 }
 
-// Start starts a task; starting one that is there already is no error.
+// Start starts a task. It is idempotent: starting the same attempt again has no effect.
 func (w *Worker) Start(_ context.Context, epoch uint64, task winch.Task, lease time.Duration) error {
 	if err := w.begin(epoch); err != nil {
 		return err
@@ -215,7 +218,8 @@
 	w.wake = make(chan struct{})
 }
 
-// Renew extends the leases and waits up to the given time for the end of a task.
+// Renew extends the leases and waits up to call.Wait for the end of a run, unless the call
+// asks for a full report.
 func (w *Worker) Renew(ctx context.Context, call winch.Renewal) (winch.Report, error) {
 	timeout := time.NewTimer(call.Wait)
 	defer timeout.Stop()
@@ -249,7 +253,8 @@
 	}
 }
 
-// list returns the report, whether a task has ended, and when the next one will.
+// buildReport extends the leases and returns the report, whether it is the first to contain
+// the end of some run, and the time until the next run ends.
 func (w *Worker) list(call winch.Renewal) (out winch.Report, ended bool, next time.Duration) {
 	now := time.Now()
 	next = time.Hour
@@ -272,7 +277,8 @@
 	return out, ended, next
 }
 
-// Stop stops a task.
+// Stop stops a run and reports whether the worker had it. If not, a later start of the same
+// attempt is refused.
 func (w *Worker) Stop(_ context.Context, epoch uint64, task winch.Task) (bool, error) {
 	if err := w.begin(epoch); err != nil {
 		return false, err
@@ -291,7 +297,8 @@
 	return true, nil
 }
 
-// Handler serves the agent's calls, PUT /Stand/Faults and GET /Stand/Counts.
+// Handler serves the calls to the agent, PUT /Stand/Faults, which replaces the injected
+// faults, and GET /Stand/Counts, which returns the counters.
 func (w *Worker) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST(agent.PathPrefix+":Op", w.serveOp)
