--- a/soak/partition.go
+++ b/soak/partition.go
@@ -19,22 +19,22 @@
 	ways map[[2]string]int // active counts the active partitions by sender and receiver.
 }
 
-func (c *cuts) add(from, to string, n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ways == nil {
-		c.ways = make(map[[2]string]int)
+func (p *cuts) add(from, to string, n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.ways == nil {
+		p.ways = make(map[[2]string]int)
 	}
-	c.ways[[2]string{from, to}] += n
+	p.ways[[2]string{from, to}] += n
 }
 
-func (c *cuts) cut(from, to string) bool {
-	if c == nil {
+func (p *cuts) cut(from, to string) bool {
+	if p == nil {
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.ways[[2]string{from, to}] > 0
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.ways[[2]string{from, to}] > 0
 }
 
 // helloSniffer detects which entry has dialed a connection. The entry names itself in
@@ -51,25 +51,25 @@
 // bootPattern matches the name of an entry's boot and captures the entry's name.
 var entryName = regexp.MustCompile(`(e[0-9]+)/[A-Z0-9]{6}`)
 
-func (d *dialler) name() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.who
+func (h *dialler) name() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.who
 }
 
-func (d *dialler) listen(data []byte) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.who != "" || len(d.seen) > helloMost {
+func (h *dialler) listen(data []byte) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.who != "" || len(h.seen) > helloMost {
 		return
 	}
-	d.seen = append(d.seen, data...)
-	_, frame, ok := bytes.Cut(d.seen, []byte("\r\n\r\n"))
+	h.seen = append(h.seen, data...)
+	_, frame, ok := bytes.Cut(h.seen, []byte("\r\n\r\n"))
 	if !ok {
 		return
 	}
 	if m := entryName.FindSubmatch(unmask(frame)); m != nil {
-		d.who = string(m[1])
+		h.who = string(m[1])
 	}
 }
 
@@ -80,14 +80,14 @@
 	if len(frame) < 2 || frame[1]&maskBit == 0 {
 		return nil
 	}
-	at := 2
+	offset := 2
 	if frame[1]&^maskBit == extendedLength {
-		at += 2
+		offset += 2
 	}
-	if len(frame) < at+keySize {
+	if len(frame) < offset+keySize {
 		return nil
 	}
-	key, out := frame[at:at+keySize], bytes.Clone(frame[at+keySize:])
+	key, out := frame[offset:offset+keySize], bytes.Clone(frame[offset+keySize:])
 	for i := range out {
 		out[i] ^= key[i%keySize]
 	}
--- a/soak/partition_test.go
+++ b/soak/partition_test.go
@@ -62,8 +62,8 @@
 				}
 			}))
 			defer server.Close()
-			c := &cuts{}
-			r := &relay{target: strings.TrimPrefix(server.URL, "http://"), entry: "e0", cuts: c}
+			p := &cuts{}
+			r := &relay{target: strings.TrimPrefix(server.URL, "http://"), entry: "e0", cuts: p}
 			is.NoErr(r.start())
 			defer r.stop()
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -81,7 +81,7 @@
 			is.NoErr(err)
 			is.Equal(string(data), "a response")
 
-			c.add(x.from, x.to, 1)
+			p.add(x.from, x.to, 1)
 			send <- "another response"
 			is.NoErr(conn.Write(ctx, websocket.MessageBinary, []byte("another request")))
 			is.Equal(arrives(received), x.forward)
