--- a/soak/soak.go
+++ b/soak/soak.go
@@ -82,6 +82,8 @@
 	defer s.end()
 	s.started = time.Now()
 	duty.Sleep(ctx, settleTime)
+	// Callers submit jobs and faults are injected until activeCtx ends. The planned operations
+	// are over when plannedCtx ends.
 	activeCtx, stop := context.WithTimeout(ctx, s.Time)
 	defer stop()
 	var callers conc.WaitGroup
