--- a/cell/cell.go
+++ b/cell/cell.go
@@ -37,7 +37,7 @@
 }
 
 // ProductionSize returns the size of the cells that are in production use.
-func UsersSize() Size {
+func ProductionSize() Size {
 	return Size{
 		Domains: 3, EntriesPerDomain: 2, Executors: 50, Slots: 8, Connections: 64, Workers: 50, RackSize: 8,
 		WorkerSize: winch.Resources{Processors: 16, Memory: 32 << 30}, Accelerators: 8,
@@ -69,25 +69,25 @@
 	// Tune, if set, modifies the settings of each entry before the entry starts.
 	Tune func(*conf.Settings)
 
-	OperatorKey string
-	Platform    *stand.Platform
-	PlatformAt  string
-	Executors   []*stand.Executor
-	Workers     []*stand.Worker
-	Servers     []*server.Server
+	OperatorKey     string
+	Platform        *stand.Platform
+	PlatformAddress string
+	Executors       []*stand.Executor
+	Workers         []*stand.Worker
+	Servers         []*server.Server
 
-	group   conc.WaitGroup
-	cancels []context.CancelFunc
-	closers []func()
-	http    []*http.Server
-	specs   []conf.Settings
+	group         conc.WaitGroup
+	cancels       []context.CancelFunc
+	awaitStopped  []func()
+	httpServers   []*http.Server
+	entrySettings []conf.Settings
 	// listeners are the open listeners of the entries that have not started yet.
 	listeners []map[string]net.Listener
 }
 
 // readyTimeout bounds how long the entries may take to connect to each other and to elect
 // the placers.
-const readyWait = 15 * time.Second
+const readyTimeout = 15 * time.Second
 
 // Start starts the stand-ins and the entries. It returns once all entries are connected to
 // each other and every failure domain has a placer.
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	c.PlatformAt = address
+	c.PlatformAddress = address
 	if err := c.startBackends(); err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 		return "", merry.Wrap(err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, ErrorLog: zap.NewStdLog(zap.NewNop())}
-	c.http = append(c.http, s)
+	c.httpServers = append(c.httpServers, s)
 	c.group.Go(func() { _ = s.Serve(ln) })
 	return ln.Addr().String(), nil
 }
@@ -157,7 +157,7 @@
 }
 
 // buildSettings opens listeners on free ports for all entries and returns their settings.
-func (c *Cell) settings() ([]conf.Settings, error) {
+func (c *Cell) buildSettings() ([]conf.Settings, error) {
 	secret, key := config.NewKey()
 	c.OperatorKey = secret
 	var out []conf.Settings
@@ -175,7 +175,7 @@
 			s.Listen = conf.Listen{
 				Callers: open["Callers"].Addr().String(), Operators: open["Operators"].Addr().String(), Peers: open["Peers"].Addr().String(),
 			}
-			s.Platform.Address = c.PlatformAt
+			s.Platform.Address = c.PlatformAddress
 			s.Peers.Token = key.Hash[:32]
 			peers = append(peers, s.Listen.Peers)
 			out = append(out, s)
@@ -204,15 +204,15 @@
 }
 
 func (c *Cell) startEntries() error {
-	specs, err := c.settings()
+	specs, err := c.buildSettings()
 	if err != nil {
 		return err
 	}
-	c.specs = specs
+	c.entrySettings = specs
 	for i := range specs {
 		c.Servers = append(c.Servers, nil)
 		c.cancels = append(c.cancels, nil)
-		c.closers = append(c.closers, nil)
+		c.awaitStopped = append(c.awaitStopped, nil)
 		if err := c.StartEntry(i); err != nil {
 			return err
 		}
@@ -222,7 +222,7 @@
 
 // StartEntry starts the entry with index i, for the first time or after StopEntry.
 func (c *Cell) StartEntry(i int) error {
-	s := &server.Server{Settings: c.specs[i], Log: c.Log.Named(c.specs[i].Entry.Name), Listeners: c.listeners[i]}
+	s := &server.Server{Settings: c.entrySettings[i], Log: c.Log.Named(c.entrySettings[i].Entry.Name), Listeners: c.listeners[i]}
 	c.listeners[i] = nil
 	if err := s.Prepare(); err != nil {
 		return err
@@ -230,7 +230,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	c.Servers[i], c.cancels[i] = s, cancel
-	c.closers[i] = func() { <-done }
+	c.awaitStopped[i] = func() { <-done }
 	c.group.Go(func() {
 		defer close(done)
 		s.Run(ctx)
@@ -241,13 +241,13 @@
 // StopEntry stops the entry with index i gracefully and returns once it has stopped.
 func (c *Cell) StopEntry(i int) {
 	c.cancels[i]()
-	c.closers[i]()
+	c.awaitStopped[i]()
 }
 
 // waitReady waits until all entries are connected to each other and every failure domain has
 // a placer.
 func (c *Cell) waitReady() error {
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if c.ready() {
 			return nil
@@ -279,12 +279,12 @@
 			cancel()
 		}
 	}
-	for _, wait := range c.closers {
+	for _, wait := range c.awaitStopped {
 		if wait != nil {
 			wait()
 		}
 	}
-	for _, s := range c.http {
+	for _, s := range c.httpServers {
 		_ = s.Close()
 	}
 	c.group.Wait()
--- a/cell/demo.go
+++ b/cell/demo.go
@@ -18,7 +18,7 @@
 )
 
 // jobTimeout bounds how long the demo waits for a job to end.
-const demoWait = "20s"
+const jobTimeout = "20s"
 
 // Step is the result of one step of the demo, printed as one row of its table.
 type Step struct {
@@ -43,29 +43,29 @@
 // worker was overcommitted.
 func (c *Cell) Demo(ctx context.Context, keys Keys, out io.Writer) error {
 	d := &demo{cell: c, keys: keys}
-	d.calls(ctx)
-	d.jobs(ctx)
-	d.withdrawal(ctx)
-	if err := d.print(out); err != nil {
+	d.runCalls(ctx)
+	d.runJobs(ctx)
+	d.runKeyWithdrawal(ctx)
+	if err := d.printTable(out); err != nil {
 		return err
 	}
-	return d.verdict()
+	return d.check()
 }
 
-func (d *demo) step(workload, want string, f func() string) {
+func (d *demo) runStep(workload, want string, f func() string) {
 	started := time.Now()
 	got := f()
 	d.steps = append(d.steps, Step{Workload: workload, Want: want, Got: got, Took: time.Since(started)})
 }
 
 // callersAddress returns the callers' address of entry i, modulo the number of entries.
-func (d *demo) callers(i int) string {
+func (d *demo) callersAddress(i int) string {
 	return d.cell.Servers[i%len(d.cell.Servers)].CallersAddress()
 }
 
 // call makes a call through one entry and returns its outcome, with the reason if there is one.
 func (d *demo) call(ctx context.Context, entryIndex int, team, class, id, body string, header http.Header) string {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callers(entryIndex)+"/Call/"+Service, bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callersAddress(entryIndex)+"/Call/"+Service, bytes.NewBufferString(body))
 	if err != nil {
 		return err.Error()
 	}
@@ -95,9 +95,9 @@
 	return outcome
 }
 
-func (d *demo) calls(ctx context.Context) {
+func (d *demo) runCalls(ctx context.Context) {
 	done := string(winch.Done)
-	d.step("a call of team-1 through each entry", done, func() string {
+	d.runStep("a call of team-1 through each entry", done, func() string {
 		for i := range d.cell.Servers {
 			if got := d.call(ctx, i, TeamName(0), ClassPreview, fmt.Sprint("preview-", i), fmt.Sprint("part ", i), nil); got != done {
 				return got
@@ -105,52 +105,52 @@
 		}
 		return done
 	})
-	d.step("a call with 1 MB of answer, streamed", done, func() string {
+	d.runStep("a call with 1 MB of answer, streamed", done, func() string {
 		return d.call(ctx, 1, TeamName(1), ClassPreview, "large", string(bytes.Repeat([]byte("la"), 1<<19)), nil)
 	})
-	d.step("an invoice", done, func() string {
+	d.runStep("an invoice", done, func() string {
 		return d.call(ctx, 2, TeamName(0), ClassInvoice, "invoice-1", "lease 1", nil)
 	})
-	d.step("the same invoice through another entry", done, func() string {
+	d.runStep("the same invoice through another entry", done, func() string {
 		return d.call(ctx, 3, TeamName(0), ClassInvoice, "invoice-1", "lease 1", nil)
 	})
-	d.step("its id for another invoice", "NotRun DuplicateRequest", func() string {
+	d.runStep("its id for another invoice", "NotRun DuplicateRequest", func() string {
 		return d.call(ctx, 4, TeamName(0), ClassInvoice, "invoice-1", "lease 2", nil)
 	})
-	d.step("a call of a team that is not approved", "NotRun NotApproved", func() string {
+	d.runStep("a call of a team that is not approved", "NotRun NotApproved", func() string {
 		return d.call(ctx, 0, TeamName(teamCount-1), ClassPreview, "x", "part", nil)
 	})
-	d.step("a call past its deadline", "NotRun DeadlinePassed", func() string {
+	d.runStep("a call past its deadline", "NotRun DeadlinePassed", func() string {
 		return d.call(ctx, 0, TeamName(0), ClassPreview, "y", "part", http.Header{front.DeadlineHeader: {"-1s"}})
 	})
 }
 
-func (d *demo) jobs(ctx context.Context) {
+func (d *demo) runJobs(ctx context.Context) {
 	need := front.NeedBody{Processors: 2, Memory: "2GB"}
 	job := func(id, class string, kind winch.JobKind, tasks int, command string) front.JobBody {
 		return front.JobBody{RequestID: id, Class: class, Kind: kind, Tasks: tasks, Need: need, RunTime: "300ms", Command: command}
 	}
-	d.step("a batch job of 12 tasks", string(winch.JobDone), func() string {
-		return d.job(ctx, job("batch-1", ClassMix, winch.Batch, 12, "echo mixed"), 0)
+	d.runStep("a batch job of 12 tasks", string(winch.JobDone), func() string {
+		return d.runJob(ctx, job("batch-1", ClassMix, winch.Batch, 12, "echo mixed"), 0)
 	})
-	d.step("a gang of 24 tasks", string(winch.JobDone), func() string {
-		return d.job(ctx, job("gang-1", ClassMix, winch.Gang, 24, "echo together"), 1)
+	d.runStep("a gang of 24 tasks", string(winch.JobDone), func() string {
+		return d.runJob(ctx, job("gang-1", ClassMix, winch.Gang, 24, "echo together"), 1)
 	})
-	d.step("a billed job, run at most once", string(winch.JobDone), func() string {
-		return d.job(ctx, job("billed-1", ClassBilled, winch.Batch, 1, "echo billed"), 2)
+	d.runStep("a billed job, run at most once", string(winch.JobDone), func() string {
+		return d.runJob(ctx, job("billed-1", ClassBilled, winch.Batch, 1, "echo billed"), 2)
 	})
-	d.step("a job that fails everywhere", string(winch.JobFailed), func() string {
-		return d.job(ctx, job("bad-1", ClassMix, winch.Batch, 1, "fail"), 3)
+	d.runStep("a job that fails everywhere", string(winch.JobFailed), func() string {
+		return d.runJob(ctx, job("bad-1", ClassMix, winch.Batch, 1, "fail"), 3)
 	})
-	d.step("a job larger than any worker", "NotRun NeverFits", func() string {
+	d.runStep("a job larger than any worker", "NotRun NeverFits", func() string {
 		b := job("huge-1", ClassMix, winch.Batch, 1, "echo")
 		b.Need.Processors = 1000
-		return d.job(ctx, b, 4)
+		return d.runJob(ctx, b, 4)
 	})
-	d.step("a service, cancelled while it runs", string(winch.JobCancelled), func() string {
+	d.runStep("a service, cancelled while it runs", string(winch.JobCancelled), func() string {
 		b := job("room-1", ClassRoom, winch.LongRunning, 3, "echo open")
 		b.RunTime = "1h"
-		return d.cancelled(ctx, b)
+		return d.runCancelledJob(ctx, b)
 	})
 }
 
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers(entryIndex)+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+d.callersAddress(entryIndex)+path, bytes.NewReader(data))
 	if err != nil {
 		return err.Error()
 	}
@@ -184,13 +184,13 @@
 
 // runJob submits a job to one entry, waits for its end at the next one and returns its final
 // state.
-func (d *demo) job(ctx context.Context, body front.JobBody, entryIndex int) string {
+func (d *demo) runJob(ctx context.Context, body front.JobBody, entryIndex int) string {
 	var rec winch.Job
 	if failure := d.request(ctx, http.MethodPost, "/Jobs", entryIndex, body, &rec); failure != "" {
 		return failure
 	}
 	var view entry.JobView
-	if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+demoWait, entryIndex+1, nil, &view); failure != "" {
+	if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+jobTimeout, entryIndex+1, nil, &view); failure != "" {
 		return failure
 	}
 	return string(view.State)
@@ -198,7 +198,7 @@
 
 // runCancelledJob submits a job, cancels it once all of its tasks run, waits for its end and
 // returns its final state.
-func (d *demo) cancelled(ctx context.Context, body front.JobBody) string {
+func (d *demo) runCancelledJob(ctx context.Context, body front.JobBody) string {
 	var rec winch.Job
 	if failure := d.request(ctx, http.MethodPost, "/Jobs", 0, body, &rec); failure != "" {
 		return failure
@@ -216,14 +216,14 @@
 	if failure := d.request(ctx, http.MethodDelete, "/Jobs/"+rec.ID, 2, nil, &view); failure != "" {
 		return failure
 	}
-	if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+demoWait, 3, nil, &view); failure != "" {
+	if failure := d.request(ctx, http.MethodGet, "/Jobs/"+rec.ID+"?Wait="+jobTimeout, 3, nil, &view); failure != "" {
 		return failure
 	}
 	return string(view.State)
 }
 
-func (d *demo) withdrawal(ctx context.Context) {
-	d.step("a call with a key that was just withdrawn", "NotRun UnknownKey", func() string {
+func (d *demo) runKeyWithdrawal(ctx context.Context) {
+	d.runStep("a call with a key that was just withdrawn", "NotRun UnknownKey", func() string {
 		operator := entry.Actor{Name: "operator", Role: winch.KeyOperator}
 		key, _, r := d.cell.Servers[0].Entry.IssueKey(ctx, operator, winch.KeyTeam, TeamName(0))
 		if !r.OK() {
@@ -242,7 +242,7 @@
 	})
 }
 
-func (d *demo) print(out io.Writer) error {
+func (d *demo) printTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WORKLOAD\tOUTCOME\tEXPECTED\tTOOK\t")
 	for _, s := range d.steps {
@@ -257,7 +257,7 @@
 
 // check returns an error unless each step had the expected outcome, the executors ran each
 // request exactly once and no worker was overcommitted.
-func (d *demo) verdict() error {
+func (d *demo) check() error {
 	for _, s := range d.steps {
 		if !s.OK() {
 			return merry.Errorf("%s: outcome is %s, expected %s", s.Workload, s.Got, s.Want)
--- a/cell/rolling_test.go
+++ b/cell/rolling_test.go
@@ -76,7 +76,7 @@
 	calling, stopCalling := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	group.Go(func() { b.watch(watching, addresses) })
-	r := &roller{t: t, key: keys.Teams[TeamName(0)], count: make(map[string]int)}
+	r := &callRecorder{t: t, key: keys.Teams[TeamName(0)], outcomes: make(map[string]int)}
 	for i := range 6 {
 		group.Go(func() {
 			for n := 0; calling.Err() == nil; n++ {
@@ -95,18 +95,18 @@
 	stopCalling()
 	stopWatching()
 	group.Wait()
-	r.verdict(c)
+	r.check(c)
 }
 
-type roller struct {
-	t     *testing.T
-	key   string
-	mu    sync.Mutex
-	count map[string]int
-	ids   []string
+type callRecorder struct {
+	t          *testing.T
+	key        string
+	mu         sync.Mutex
+	outcomes   map[string]int
+	invoiceIDs []string
 }
 
-func (r *roller) call(address, id string, invoice bool) {
+func (r *callRecorder) call(address, id string, invoice bool) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/Call/"+Service, bytes.NewBufferString(id))
 	if err != nil {
 		r.t.Error(err)
@@ -134,20 +134,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count[outcome+" "+resp.Header.Get(front.ReasonHeader)]++
+	r.outcomes[outcome+" "+resp.Header.Get(front.ReasonHeader)]++
 	if invoice {
-		r.ids = append(r.ids, id)
+		r.invoiceIDs = append(r.invoiceIDs, id)
 	}
 }
 
-func (r *roller) verdict(c *Cell) {
-	r.t.Logf("outcomes: %v", r.count)
-	for name := range r.count {
+func (r *callRecorder) check(c *Cell) {
+	r.t.Logf("outcomes: %v", r.outcomes)
+	for name := range r.outcomes {
 		if name[:4] != "Done" && name[:6] != "NotRun" {
 			r.t.Errorf("unexpected outcome %s during a planned replacement", name)
 		}
 	}
-	if r.count["Done "] == 0 {
+	if r.outcomes["Done "] == 0 {
 		r.t.Error("no call was done")
 	}
 	runs := make(map[string]int)
@@ -156,7 +156,7 @@
 			runs[id] += n
 		}
 	}
-	for _, id := range r.ids {
+	for _, id := range r.invoiceIDs {
 		if runs[id] > 1 {
 			r.t.Errorf("invoice %s ran %d times", id, runs[id])
 		}
--- a/cmds/dev.go
+++ b/cmds/dev.go
@@ -28,7 +28,7 @@
 		Example: "  plantainwinch dev\n  plantainwinch dev --demo",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c := &cell.Cell{Size: cell.UsersSize()}
+			c := &cell.Cell{Size: cell.ProductionSize()}
 			if verbose {
 				c.Log = newLogger()
 			}
@@ -61,7 +61,7 @@
 // announce prints keys and addresses as lines that a shell can read.
 func announce(w io.Writer, path string, c *cell.Cell, keys cell.Keys) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "OPERATOR_KEY=%s\nOWNER_KEY=%s\nPLATFORM=%s\n", c.OperatorKey, keys.Owner, c.PlatformAt)
+	fmt.Fprintf(&b, "OPERATOR_KEY=%s\nOWNER_KEY=%s\nPLATFORM=%s\n", c.OperatorKey, keys.Owner, c.PlatformAddress)
 	for i, s := range c.Servers {
 		fmt.Fprintf(&b, "CALLERS_%d=%s\nOPERATORS_%d=%s\n", i+1, s.CallersAddress(), i+1, s.OperatorsAddress())
 	}
--- a/cmds/load.go
+++ b/cmds/load.go
@@ -125,7 +125,7 @@
 		t, err := load.ReadTarget(f.cell)
 		return t, func() {}, err
 	}
-	c := &cell.Cell{Size: cell.UsersSize()}
+	c := &cell.Cell{Size: cell.ProductionSize()}
 	if f.compare {
 		c.Size = load.CompareCellSize()
 	}
--- a/cmds/script_test.go
+++ b/cmds/script_test.go
@@ -39,7 +39,7 @@
 			env.Setenv("OPERATORS", c.Servers[0].OperatorsAddress())
 			env.Setenv("CALLERS", c.Servers[0].CallersAddress())
 			env.Setenv("OTHER", c.Servers[1].CallersAddress())
-			env.Setenv("PLATFORM", c.PlatformAt)
+			env.Setenv("PLATFORM", c.PlatformAddress)
 			return nil
 		},
 	})
--- a/cmds/soak.go
+++ b/cmds/soak.go
@@ -49,7 +49,7 @@
 	}
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "first seed")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
-	cmd.Flags().DurationVar(&o.Time, "time", 20*time.Second, "how long faults are brought about for each seed")
+	cmd.Flags().DurationVar(&o.Duration, "time", 20*time.Second, "how long faults are brought about for each seed")
 	cmd.Flags().IntVar(&o.Domains, "domains", 3, "failure domains")
 	cmd.Flags().IntVar(&o.Entries, "entries", 2, "entries in each failure domain")
 	cmd.Flags().IntVar(&o.Workers, "workers", 4, "workers in each failure domain")
@@ -78,6 +78,6 @@
 		cmd.Println("  " + p)
 	}
 	cmd.Println(fmt.Sprintf("  logs in %s; again: plantainwinch soak --seed %d --time %v --domains %d --entries %d --workers %d --callers %d",
-		dir, o.Seed, o.Time, o.Domains, o.Entries, o.Workers, o.Callers))
+		dir, o.Seed, o.Duration, o.Domains, o.Entries, o.Workers, o.Callers))
 	return false, nil
 }
--- a/load/target.go
+++ b/load/target.go
@@ -43,7 +43,7 @@
 
 // NewTarget returns the target for a running cell.
 func NewTarget(c *cell.Cell, keys cell.Keys) *Target {
-	t := &Target{Platform: c.PlatformAt, Operator: c.OperatorKey, HTTP: newClient()}
+	t := &Target{Platform: c.PlatformAddress, Operator: c.OperatorKey, HTTP: newClient()}
 	for _, s := range c.Servers {
 		t.Callers = append(t.Callers, s.CallersAddress())
 		t.Operators = append(t.Operators, s.OperatorsAddress())
--- a/server/region.go
+++ b/server/region.go
@@ -25,16 +25,16 @@
 const (
 	// memoryShare is the share of the entry's memory limit that the Go runtime may use. Data
 	// that was received and not yet read counts against the VM's memory too.
-	memoryPart = 0.7
+	memoryShare = 0.7
 	// idleTimeout is how long an idle connection of a caller stays open. Callers that wait
 	// for a job send the next request within seconds.
 	idleTimeout = 30 * time.Second
 	// unreadyDelay is how long the platform takes to notice that an entry is not ready: it
 	// checks every second and acts on the second failed check.
-	noticeTime = 2300 * time.Millisecond
+	unreadyDelay = 2300 * time.Millisecond
 	// closeReserve is the part of the grace period that is reserved for closing idle
 	// connections before SIGKILL.
-	endTime = 1500 * time.Millisecond
+	closeReserve = 1500 * time.Millisecond
 )
 
 // Region is one entry of a region with its listeners. Set the exported fields,
@@ -55,7 +55,7 @@
 
 // Prepare opens the listeners and builds the entry.
 func (s *Region) Prepare() error {
-	debug.SetMemoryLimit(int64(memoryPart * float64(s.Settings.Limits.Memory)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(s.Settings.Limits.Memory)))
 	if err := s.listen(); err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		s.Log.Info("peer connection changed", zap.String("peer", hello.Entry), zap.String("domain", hello.Domain), zap.Bool("up", up))
 		s.Node.LinkChanged()
 	}
-	s.gauges()
+	s.registerGauges()
 	return nil
 }
 
@@ -98,16 +98,16 @@
 	s.Settings = settings
 	s.Log.Info("settings reloaded", zap.Any("timing", settings.Timing), zap.Any("limits", settings.Limits),
 		zap.Bool("restart", settings.Listen != old.Listen || settings.Platform != old.Platform))
-	debug.SetMemoryLimit(int64(memoryPart * float64(settings.Limits.Memory)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(settings.Limits.Memory)))
 }
 
-func (s *Region) grace() time.Duration {
+func (s *Region) gracePeriod() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Settings.Timing.Grace
 }
 
-func (s *Region) gauges() {
+func (s *Region) registerGauges() {
 	for name, f := range map[string]func() int64{
 		"Control.Store.Calls":  s.table.Calls,
 		"Control.Worker.Calls": s.runner.Calls,
@@ -145,7 +145,7 @@
 func (s *Region) Run(ctx context.Context) {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	servers := s.servers()
+	servers := s.newServers()
 	var group conc.WaitGroup
 	for name, server := range servers {
 		group.Go(func() { _ = server.Serve(s.listeners[name]) })
@@ -166,9 +166,9 @@
 	s.Log.Info("entry is stopping", zap.String("name", s.Node.Name))
 	started := time.Now()
 	s.Node.Stop(context.Background())
-	time.Sleep(noticeTime)
-	remaining := s.grace() - endTime - time.Since(started)
-	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, endTime/2))
+	time.Sleep(unreadyDelay)
+	remaining := s.gracePeriod() - closeReserve - time.Since(started)
+	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, closeReserve/2))
 	defer cancel()
 	if err := servers["Callers"].Shutdown(ctx); err != nil {
 		s.Log.Error("closing connections with unfinished requests: the grace period is over", zap.Error(err))
@@ -178,7 +178,7 @@
 	}
 }
 
-func (s *Region) servers() map[string]*http.Server {
+func (s *Region) newServers() map[string]*http.Server {
 	callers := &platform.Front{Region: s.Node, Log: s.Log, Metrics: s.Metrics}
 	peers := http.NewServeMux()
 	peers.Handle(peer.Path, s.Mesh)
--- a/server/server.go
+++ b/server/server.go
@@ -30,7 +30,7 @@
 	headerTimeout = 10 * time.Second
 	// closeTimeout bounds how long shutdown waits for open connections after the entry has
 	// drained.
-	closeWait = 2 * time.Second
+	closeTimeout = 2 * time.Second
 )
 
 // Server is one entry of a cell with its listeners. Set the exported fields, then call
@@ -81,17 +81,17 @@
 	s.Entry.Prepare()
 	s.Mesh.Handler = s.Entry.Handle
 	s.Mesh.FirstMessage = s.Entry.First
-	s.Mesh.OnLinkChange = s.linked
-	s.gauges()
+	s.Mesh.OnLinkChange = s.logPeerConnection
+	s.registerGauges()
 	return nil
 }
 
-func (s *Server) linked(hello proto.Hello, up bool) {
+func (s *Server) logPeerConnection(hello proto.Hello, up bool) {
 	s.Log.Info("peer connection changed", zap.String("Peer", hello.Entry), zap.String("Domain", hello.Domain), zap.Bool("Up", up))
 }
 
 // registerGauges registers gauges of the calls and bytes that the control plane costs.
-func (s *Server) gauges() {
+func (s *Server) registerGauges() {
 	gauge := func(name string, f func() (int64, int64), second bool) {
 		_ = s.Metrics.Register(name, metrics.NewFunctionalGauge(func() int64 {
 			a, b := f()
@@ -145,7 +145,7 @@
 func (s *Server) Run(ctx context.Context) {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	servers := s.servers()
+	servers := s.newServers()
 	var group conc.WaitGroup
 	for name, server := range servers {
 		group.Go(func() { _ = server.Serve(s.listeners[name]) })
@@ -159,7 +159,7 @@
 	group.Wait()
 }
 
-func (s *Server) servers() map[string]*http.Server {
+func (s *Server) newServers() map[string]*http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(peer.Path, s.Mesh)
 	handlers := map[string]http.Handler{
@@ -177,7 +177,7 @@
 // shutdown closes the servers of callers and operators once their requests are done or
 // closeTimeout is over. It closes the connections to peers last.
 func (s *Server) shutdown(servers map[string]*http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	for _, name := range []string{"Callers", "Operators"} {
 		if servers[name].Shutdown(ctx) != nil {
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -16,19 +16,19 @@
 const (
 	// meanCrashInterval is the mean time between two jobs that crash their workers, and
 	// meanShrinkInterval is the mean time between two reductions of a worker's capacity.
-	crashPause  = 6 * time.Second
-	shrinkPause = 4 * time.Second
+	meanCrashInterval  = 6 * time.Second
+	meanShrinkInterval = 4 * time.Second
 )
 
 // runCrashingJobs submits jobs whose tasks crash the workers that start them, at once or
 // within a few seconds, until activeCtx ends. The region must give up each of these jobs.
-func (s *Soak) crashing(ctx, activeCtx context.Context) {
+func (s *Soak) runCrashingJobs(ctx, activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 4))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n := 0; activeCtx.Err() == nil; n++ {
-		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*crashPause))))
+		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*meanCrashInterval))))
 		j := fake.Job{
 			ID: fmt.Sprintf("%04x%04x%08x", s.Seed&0xffff, 0x3000, n), Team: []string{"choir", "duct"}[rnd.IntN(2)],
 			RunDuration: time.Second, Tasks: []int{1 + rnd.IntN(2)}, Crashes: true,
@@ -38,9 +38,9 @@
 		}
 		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() {
-			pickEntry := func() string { return s.procs[entryRnd.IntN(len(s.procs))].callers }
+			pickEntry := func() string { return s.procs[entryRnd.IntN(len(s.procs))].callersAddress }
 			if accepted, _ := s.submit(ctx, c, j, pickEntry); accepted {
-				s.count(func(r *Report) { r.Accepted++ })
+				s.updateReport(func(r *Report) { r.Accepted++ })
 				s.awaitFailed(ctx, c, j, pickEntry)
 			}
 		})
@@ -50,27 +50,27 @@
 // awaitFailed polls the job's state until it is reported as failed.
 func (s *Soak) awaitFailed(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
 	status, state := 0, ""
-	for deadline := time.Now().Add(s.Time + healTime); time.Now().Before(deadline) && ctx.Err() == nil; {
+	for deadline := time.Now().Add(s.Duration + recoveryTime); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if status, state = c.State(ctx, pickEntry(), j); state == "failed" {
-			s.count(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.site.Checker.CrashCount(j.ID) })
+			s.updateReport(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.site.Checker.CrashCount(j.ID) })
 			return
 		}
 		duty.Sleep(ctx, 200*time.Millisecond)
 	}
-	s.problem("job %s crashed %d workers and was not given up: last response %d %q", j.ID, s.site.Checker.CrashCount(j.ID), status, state)
+	s.addProblem("job %s crashed %d workers and was not given up: last response %d %q", j.ID, s.site.Checker.CrashCount(j.ID), status, state)
 }
 
 // shrinkWorkers has single workers report a reduced capacity for a while, until activeCtx ends.
-func (s *Soak) shrinks(ctx, activeCtx context.Context) {
+func (s *Soak) shrinkWorkers(ctx, activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 5))
 	for {
-		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*shrinkPause))))
+		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*meanShrinkInterval))))
 		if activeCtx.Err() != nil {
 			return
 		}
 		i, milli := rnd.IntN(s.site.Size()), int64(1000*rnd.IntN(6))
 		duration := time.Duration(1000+rnd.IntN(8000)) * time.Millisecond
-		s.note("worker %d has capacity for %d for %v", i, milli, duration)
+		s.logFault("worker %d has capacity for %d for %v", i, milli, duration)
 		s.site.SetCapacity(i, milli)
 		s.group.Go(func() {
 			duty.Sleep(ctx, duration)
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -15,15 +15,15 @@
 
 const (
 	// meanGangInterval is the mean time between two gang jobs of one caller.
-	gangPause = 1500 * time.Millisecond
+	meanGangInterval = 1500 * time.Millisecond
 	// finalGangsTime is the length of the last part of a run, when all planned operations are
 	// over. Callers submit gangs during its first half, and all of these have to begin.
-	gangsTime = 7 * time.Second
+	finalGangsTime = 7 * time.Second
 )
 
 // runGangJobs submits jobs whose last phase is a gang until activeCtx ends, and then waits for
 // the end of each. On average one of six is cancelled.
-func (s *Soak) gangs(ctx, activeCtx context.Context, i, round int) {
+func (s *Soak) runGangJobs(ctx, activeCtx context.Context, i, round int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(1000+100*round+i)))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
@@ -41,20 +41,20 @@
 		}
 		cancels := rnd.IntN(6) == 0
 		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
-		group.Go(func() { s.job(ctx, c, j, entryRnd, cancels) })
-		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*gangPause))))
+		group.Go(func() { s.runJob(ctx, c, j, entryRnd, cancels) })
+		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*meanGangInterval))))
 	}
 }
 
 // runFinalGangs has callers submit gangs while the only other events are a configuration
 // change and cancellations. Neither excuses a gang member that waits for the others in vain.
-func (s *Soak) quiet(ctx context.Context, callers *conc.WaitGroup) {
-	s.note("configuration")
+func (s *Soak) runFinalGangs(ctx context.Context, callers *conc.WaitGroup) {
+	s.logFault("configuration")
 	s.site.Configure()
-	activeCtx, stop := context.WithTimeout(ctx, gangsTime/2)
+	activeCtx, stop := context.WithTimeout(ctx, finalGangsTime/2)
 	defer stop()
 	for i := range s.Callers {
-		callers.Go(func() { s.gangs(ctx, activeCtx, i, 1) })
+		callers.Go(func() { s.runGangJobs(ctx, activeCtx, i, 1) })
 	}
-	duty.Sleep(ctx, gangsTime)
+	duty.Sleep(ctx, finalGangsTime)
 }
--- a/soak/lasting.go
+++ b/soak/lasting.go
@@ -17,10 +17,10 @@
 // tasks. On average two of three are cancelled while faults are being injected. The final
 // one is kept until plannedCtx ends; all of its lasting tasks must run then, and it is
 // cancelled too.
-func (s *Soak) lasting(ctx, activeCtx, plannedCtx context.Context, i int) {
+func (s *Soak) runLastingJobs(ctx, activeCtx, plannedCtx context.Context, i int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(500+i)))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
-	pickEntry := func() string { return s.procs[rnd.IntN(len(s.procs))].callers }
+	pickEntry := func() string { return s.procs[rnd.IntN(len(s.procs))].callersAddress }
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n, last := 0, false; !last; n++ {
@@ -36,21 +36,21 @@
 			j.Tasks = append([]int{1}, j.Tasks...)
 		}
 		last = rnd.IntN(3) == 0 || activeCtx.Err() != nil
-		if !s.insist(ctx, c, j, pickEntry) {
+		if !s.submitUntilAccepted(ctx, c, j, pickEntry) {
 			return
 		}
 		s.site.Checker.ExpectLasting(&j)
 		if last {
-			duty.Sleep(plannedCtx, s.Time+healTime)
+			duty.Sleep(plannedCtx, s.Duration+recoveryTime)
 			s.awaitRunning(ctx, &j)
 		} else {
 			duty.Sleep(activeCtx, time.Duration(1000+rnd.IntN(9000))*time.Millisecond)
 		}
 		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() {
-			s.cancel(ctx, c, j, func() string { return s.procs[entryRnd.IntN(len(s.procs))].callers })
+			s.cancelJob(ctx, c, j, func() string { return s.procs[entryRnd.IntN(len(s.procs))].callersAddress })
 			if last && s.site.Checker.RunningLasting(&j) > 0 { // All planned operations are over, so none delays the cancellation.
-				s.problem("job %s still runs %v after its cancellation was acknowledged", j.ID, 2*cancelTime)
+				s.addProblem("job %s still runs %v after its cancellation was acknowledged", j.ID, 2*cancelGrace)
 			}
 		})
 	}
@@ -58,14 +58,14 @@
 
 // submitUntilAccepted submits a job until it is accepted, the deadline has passed or ctx
 // ends, and reports whether it was accepted.
-func (s *Soak) insist(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) bool {
-	for deadline := time.Now().Add(s.Time + healTime); time.Now().Before(deadline) && ctx.Err() == nil; {
+func (s *Soak) submitUntilAccepted(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) bool {
+	for deadline := time.Now().Add(s.Duration + recoveryTime); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if accepted, _ := s.submit(ctx, c, j, pickEntry); accepted {
-			s.count(func(r *Report) { r.Accepted++ })
+			s.updateReport(func(r *Report) { r.Accepted++ })
 			return true
 		}
 	}
-	s.problem("job %s was not accepted before the deadline", j.ID)
+	s.addProblem("job %s was not accepted before the deadline", j.ID)
 	return false
 }
 
@@ -74,12 +74,12 @@
 func (s *Soak) awaitRunning(ctx context.Context, j *fake.Job) {
 	want := len(j.LastingTasks())
 	got := 0
-	for deadline := time.Now().Add(healTime); time.Now().Before(deadline) && ctx.Err() == nil; {
+	for deadline := time.Now().Add(recoveryTime); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if got = s.site.Checker.RunningLasting(j); got == want {
-			s.count(func(r *Report) { r.Lasting += want })
+			s.updateReport(func(r *Report) { r.Lasting += want })
 			return
 		}
 		duty.Sleep(ctx, 200*time.Millisecond)
 	}
-	s.problem("job %s has runs for %d of its %d lasting tasks", j.ID, got, want)
+	s.addProblem("job %s has runs for %d of its %d lasting tasks", j.ID, got, want)
 }
--- a/soak/partition.go
+++ b/soak/partition.go
@@ -14,62 +14,62 @@
 
 // partitions records between which entries the network is partitioned, and in which
 // direction. The zero value and nil have no partition.
-type cuts struct {
-	mu   sync.Mutex
-	ways map[[2]string]int // active counts the active partitions by sender and receiver.
+type partitions struct {
+	mu     sync.Mutex
+	active map[[2]string]int // active counts the active partitions by sender and receiver.
 }
 
-func (p *cuts) add(from, to string, n int) {
+func (p *partitions) add(from, to string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ways == nil {
-		p.ways = make(map[[2]string]int)
+	if p.active == nil {
+		p.active = make(map[[2]string]int)
 	}
-	p.ways[[2]string{from, to}] += n
+	p.active[[2]string{from, to}] += n
 }
 
-func (p *cuts) cut(from, to string) bool {
+func (p *partitions) blocked(from, to string) bool {
 	if p == nil {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ways[[2]string{from, to}] > 0
+	return p.active[[2]string{from, to}] > 0
 }
 
 // helloSniffer detects which entry has dialed a connection. The entry names itself in
 // the first message after the WebSocket handshake.
-type dialler struct {
-	mu   sync.Mutex
-	seen []byte
-	who  string
+type helloSniffer struct {
+	mu       sync.Mutex
+	received []byte
+	entry    string
 }
 
 // maxHelloSize bounds how many bytes of a connection are searched for the entry's name.
-const helloMost = 4 << 10
+const maxHelloSize = 4 << 10
 
 // bootPattern matches the name of an entry's boot and captures the entry's name.
-var entryName = regexp.MustCompile(`(e[0-9]+)/[A-Z0-9]{6}`)
+var bootPattern = regexp.MustCompile(`(e[0-9]+)/[A-Z0-9]{6}`)
 
-func (h *dialler) name() string {
+func (h *helloSniffer) entryName() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.who
+	return h.entry
 }
 
-func (h *dialler) listen(data []byte) {
+func (h *helloSniffer) observe(data []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.who != "" || len(h.seen) > helloMost {
+	if h.entry != "" || len(h.received) > maxHelloSize {
 		return
 	}
-	h.seen = append(h.seen, data...)
-	_, frame, ok := bytes.Cut(h.seen, []byte("\r\n\r\n"))
+	h.received = append(h.received, data...)
+	_, frame, ok := bytes.Cut(h.received, []byte("\r\n\r\n"))
 	if !ok {
 		return
 	}
-	if m := entryName.FindSubmatch(unmask(frame)); m != nil {
-		h.who = string(m[1])
+	if m := bootPattern.FindSubmatch(unmask(frame)); m != nil {
+		h.entry = string(m[1])
 	}
 }
 
@@ -97,7 +97,7 @@
 // injectPartitions partitions the network at random times until activeCtx ends. It cuts an
 // entry, or its whole failure domain, off from one other entry or from all others, in one
 // direction or both. Partitions may overlap.
-func (s *Soak) cutting(activeCtx context.Context) {
+func (s *Soak) injectPartitions(activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 4))
 	for {
 		duty.Sleep(activeCtx, time.Duration(1000+rnd.IntN(5000))*time.Millisecond)
@@ -123,27 +123,27 @@
 				outside = append(outside, x.name)
 			}
 		}
-		s.note("cut %s from %s, outgoing %v, incoming %v, for %v", strings.Join(inside, ","), strings.Join(outside, ","), out, in, duration)
+		s.logFault("cut %s from %s, outgoing %v, incoming %v, for %v", strings.Join(inside, ","), strings.Join(outside, ","), out, in, duration)
 		s.group.Go(func() {
 			s.site.Checker.RecordDisturbance(true)
 			defer s.site.Checker.RecordDisturbance(false)
-			s.cut(inside, outside, out, in, 1)
+			s.setPartition(inside, outside, out, in, 1)
 			duty.Sleep(activeCtx, duration)
-			s.cut(inside, outside, out, in, -1)
+			s.setPartition(inside, outside, out, in, -1)
 		})
 	}
 }
 
 // setPartition adds n to the partitions between two groups of entries in the given
 // directions: n is 1 to begin a partition and -1 to end it.
-func (s *Soak) cut(inside, outside []string, out, in bool, n int) {
+func (s *Soak) setPartition(inside, outside []string, out, in bool, n int) {
 	for _, a := range inside {
 		for _, b := range outside {
 			if out {
-				s.cuts.add(a, b, n)
+				s.partitions.add(a, b, n)
 			}
 			if in {
-				s.cuts.add(b, a, n)
+				s.partitions.add(b, a, n)
 			}
 		}
 	}
--- a/soak/partition_test.go
+++ b/soak/partition_test.go
@@ -17,7 +17,7 @@
 // between the two must drop data in that direction only, and a partition that involves other
 // entries must not affect the connection. Without this, the soak would test other partitions
 // than its fault log lists.
-func TestCutsBetweenEntries(t *testing.T) {
+func TestPartitionsBetweenEntries(t *testing.T) {
 	const hello = "some fields, e1/ABCDEF, and others that make it a longer message than the shortest frames carry: " +
 		"................................................................................................"
 	for _, x := range []struct {
@@ -62,8 +62,8 @@
 				}
 			}))
 			defer server.Close()
-			p := &cuts{}
-			r := &relay{target: strings.TrimPrefix(server.URL, "http://"), entry: "e0", cuts: p}
+			p := &partitions{}
+			r := &relay{target: strings.TrimPrefix(server.URL, "http://"), entry: "e0", partitions: p}
 			is.NoErr(r.start())
 			defer r.stop()
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -84,8 +84,8 @@
 			p.add(x.from, x.to, 1)
 			send <- "another response"
 			is.NoErr(conn.Write(ctx, websocket.MessageBinary, []byte("another request")))
-			is.Equal(arrives(received), x.forward)
-			short, stop := context.WithTimeout(ctx, awhile)
+			is.Equal(messageArrives(received), x.forward)
+			short, stop := context.WithTimeout(ctx, noMessageTimeout)
 			defer stop()
 			_, _, err = conn.Read(short)
 			is.Equal(err == nil, x.backward)
@@ -94,14 +94,14 @@
 }
 
 // noMessageTimeout is how long the test waits for a message that must not arrive.
-const awhile = 300 * time.Millisecond
+const noMessageTimeout = 300 * time.Millisecond
 
 // messageArrives reports whether a message arrives within noMessageTimeout.
-func arrives(ch chan string) bool {
+func messageArrives(ch chan string) bool {
 	select {
 	case <-ch:
 		return true
-	case <-time.After(awhile):
+	case <-time.After(noMessageTimeout):
 		return false
 	}
 }
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -12,35 +12,35 @@
 const (
 	// stopInterval is the time between two entries of a series of planned stops, and
 	// maxStops bounds the number of stops in a series.
-	stopEvery = 2 * time.Second
-	mostStops = 6
+	stopInterval = 2 * time.Second
+	maxStops     = 6
 	// replaceInterval is the time between two workers that a rolling release replaces.
-	replaceEvery = 700 * time.Millisecond
+	replaceInterval = 700 * time.Millisecond
 	// minDrainTime is the minimum time from when a worker reports that it is draining until
 	// it is removed from the platform's list. The maximum is twice that.
-	leaveTime = 3 * time.Second
+	minDrainTime = 3 * time.Second
 	// crashedRecordTime is how long the platform's list still contains a crashed worker.
-	expireTime = 1500 * time.Millisecond
+	crashedRecordTime = 1500 * time.Millisecond
 	// lastingRestartTime is the time within which a lasting task that a planned operation has
 	// interrupted must run again, counted from the end of the last planned operation.
-	settledTime = 10 * time.Second
+	lastingRestartTime = 10 * time.Second
 )
 
 // disruptWorkers replaces and crashes single workers at random times, besides the other
 // faults, until activeCtx ends.
-func (s *Soak) workers(ctx, activeCtx context.Context) {
+func (s *Soak) disruptWorkers(ctx, activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 2))
 	for {
 		duty.Sleep(activeCtx, time.Duration(500+rnd.IntN(3000))*time.Millisecond)
 		if activeCtx.Err() != nil {
 			return
 		}
-		i, lost, after := rnd.IntN(s.site.Size()), rnd.IntN(3) == 0, leaveIn(rnd)
+		i, lost, after := rnd.IntN(s.site.Size()), rnd.IntN(3) == 0, drainTime(rnd)
 		s.group.Go(func() {
 			if lost {
-				s.lose(ctx, i)
+				s.crashWorker(ctx, i)
 			} else {
-				s.replace(ctx, i, after)
+				s.replaceWorker(ctx, i, after)
 			}
 		})
 	}
@@ -49,65 +49,65 @@
 // startPlannedOperations starts the operations that operators plan: the entries are restarted
 // one after the other while, at the same time, the workers are replaced one after the other.
 // The crash of one worker at the beginning is the only unplanned disturbance.
-func (s *Soak) planned(ctx context.Context) {
+func (s *Soak) startPlannedOperations(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 3))
 	lost := rnd.IntN(s.site.Size())
-	s.group.Go(func() { s.lose(ctx, lost) })
+	s.group.Go(func() { s.crashWorker(ctx, lost) })
 	first, order := rnd.IntN(len(s.procs)), rnd.Perm(s.site.Size())
 	s.group.Go(func() {
-		for i := range min(len(s.procs), mostStops) {
+		for i := range min(len(s.procs), maxStops) {
 			p := s.procs[(first+i)%len(s.procs)]
-			s.note("planned stop %s", p.name)
+			s.logFault("planned stop %s", p.name)
 			s.group.Go(func() {
 				s.site.Checker.RecordPlannedWork(true)
 				defer s.site.Checker.RecordPlannedWork(false)
-				p.end(syscall.SIGTERM)
+				p.stop(syscall.SIGTERM)
 				s.restart(p)
 			})
-			duty.Sleep(ctx, stopEvery)
+			duty.Sleep(ctx, stopInterval)
 		}
 	})
 	s.group.Go(func() {
 		for _, i := range order[:len(order)*2/3] {
-			after := leaveIn(rnd)
-			s.group.Go(func() { s.replace(ctx, i, after) })
-			duty.Sleep(ctx, replaceEvery)
+			after := drainTime(rnd)
+			s.group.Go(func() { s.replaceWorker(ctx, i, after) })
+			duty.Sleep(ctx, replaceInterval)
 		}
 	})
 }
 
 // drainTime returns a random time between minDrainTime and twice that.
-func leaveIn(rnd *rand.Rand) time.Duration {
-	return leaveTime + time.Duration(rnd.Int64N(int64(leaveTime)))
+func drainTime(rnd *rand.Rand) time.Duration {
+	return minDrainTime + time.Duration(rnd.Int64N(int64(minDrainTime)))
 }
 
 // replaceWorker replaces a worker as planned: the worker drains while its successor runs, and
 // is removed after the given time.
-func (s *Soak) replace(ctx context.Context, i int, after time.Duration) {
-	s.note("worker %d drains for %v", i, after)
+func (s *Soak) replaceWorker(ctx context.Context, i int, after time.Duration) {
+	s.logFault("worker %d drains for %v", i, after)
 	s.site.Checker.RecordPlannedWork(true)
 	defer s.site.Checker.RecordPlannedWork(false)
 	leave, err := s.site.Replace(i)
 	if err != nil {
-		s.problem("platform stand-in could not start a replacement worker: %v", err)
+		s.addProblem("platform stand-in could not start a replacement worker: %v", err)
 		return
 	}
 	duty.Sleep(ctx, after)
-	s.note("worker %d leaves", i)
+	s.logFault("worker %d leaves", i)
 	leave()
 }
 
 // crashWorker crashes a worker without notice and starts its successor. The platform's list
 // contains the crashed worker for crashedRecordTime.
-func (s *Soak) lose(ctx context.Context, i int) {
-	s.note("worker %d is lost", i)
+func (s *Soak) crashWorker(ctx context.Context, i int) {
+	s.logFault("worker %d is lost", i)
 	s.site.Checker.RecordDisturbance(true)
 	expire, err := s.site.Lose(i)
 	s.site.Checker.RecordDisturbance(false)
 	if err != nil {
-		s.problem("platform stand-in could not start a replacement worker: %v", err)
+		s.addProblem("platform stand-in could not start a replacement worker: %v", err)
 		return
 	}
-	duty.Sleep(ctx, expireTime)
+	duty.Sleep(ctx, crashedRecordTime)
 	expire()
 }
--- a/soak/proc.go
+++ b/soak/proc.go
@@ -14,19 +14,19 @@
 
 // proc runs one entry as a separate process that can be stopped and started again.
 type proc struct {
-	name, domain string
-	program      string
-	dir          string
-	callers      string
-	relay        *relay // storeRelay is between the entry and the store, peerRelay between its peers and it.
-	peers        *relay
-	file         string
+	name, domain   string
+	program        string
+	dir            string
+	callersAddress string
+	storeRelay     *relay // storeRelay is between the entry and the store, peerRelay between its peers and it.
+	peerRelay      *relay
+	settingsFile   string
 
 	// lifecycle is held while the process is started or stopped. A second process that
 	// is started meanwhile would find the addresses in use.
-	life sync.Mutex
-	mu   sync.Mutex
-	cmd  *exec.Cmd
+	lifecycle sync.Mutex
+	mu        sync.Mutex
+	cmd       *exec.Cmd
 }
 
 // freeAddress returns a loopback address with a free port.
@@ -40,7 +40,7 @@
 }
 
 // writeSettings chooses the entry's addresses and writes its settings file.
-func (p *proc) settings(advice string) error {
+func (p *proc) writeSettings(advice string) error {
 	var addresses [3]string
 	for i := range addresses {
 		a, err := freeAddress()
@@ -49,8 +49,8 @@
 		}
 		addresses[i] = a
 	}
-	p.callers, p.peers.target = addresses[0], addresses[2]
-	p.file = filepath.Join(p.dir, p.name+".ini")
+	p.callersAddress, p.peerRelay.target = addresses[0], addresses[2]
+	p.settingsFile = filepath.Join(p.dir, p.name+".ini")
 	text := fmt.Sprintf(`[Entry]
 Name = %s
 Domain = %s
@@ -72,16 +72,16 @@
 Lease = 6s
 Keep = 5m
 Grace = 5s
-`, p.name, p.domain, addresses[0], addresses[1], addresses[2], p.peers.address(), p.relay.address(), advice)
-	return merry.Wrap(os.WriteFile(p.file, []byte(text), 0o600))
+`, p.name, p.domain, addresses[0], addresses[1], addresses[2], p.peerRelay.address(), p.storeRelay.address(), advice)
+	return merry.Wrap(os.WriteFile(p.settingsFile, []byte(text), 0o600))
 }
 
 // start starts the process unless it is running. Its log is appended to that of earlier
 // processes of the entry.
 func (p *proc) start() error {
-	p.life.Lock()
-	defer p.life.Unlock()
-	if p.running() != nil {
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
+	if p.currentCmd() != nil {
 		return nil // Another fault has already restarted it.
 	}
 	log, err := os.OpenFile(filepath.Join(p.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -89,22 +89,22 @@
 		return merry.Wrap(err)
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(p.program, "serve", "-c", p.file)
+	cmd := exec.Command(p.program, "serve", "-c", p.settingsFile)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return merry.Wrap(err)
 	}
-	p.set(cmd)
+	p.setCmd(cmd)
 	return nil
 }
 
-func (p *proc) running() *exec.Cmd {
+func (p *proc) currentCmd() *exec.Cmd {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd
 }
 
-func (p *proc) set(cmd *exec.Cmd) {
+func (p *proc) setCmd(cmd *exec.Cmd) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd = cmd
@@ -112,7 +112,7 @@
 
 // signal sends signals to the process, if there is one, and returns its command.
 func (p *proc) signal(signals ...syscall.Signal) *exec.Cmd {
-	cmd := p.running()
+	cmd := p.currentCmd()
 	for _, s := range signals {
 		if cmd != nil {
 			_ = cmd.Process.Signal(s) // The process may have exited.
@@ -123,11 +123,11 @@
 
 // stop stops the process with a signal and waits until it has exited. A kill takes effect at
 // once, even while a planned stop is in progress.
-func (p *proc) end(s syscall.Signal) {
+func (p *proc) stop(s syscall.Signal) {
 	signalled := p.signal(s, syscall.SIGCONT) // A paused process must be resumed to handle a signal.
-	p.life.Lock()
-	defer p.life.Unlock()
-	cmd := p.running()
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
+	cmd := p.currentCmd()
 	if cmd == nil {
 		return
 	}
@@ -135,5 +135,5 @@
 		p.signal(s, syscall.SIGCONT)
 	}
 	_ = cmd.Wait()
-	p.set(nil)
+	p.setCmd(nil)
 }
--- a/soak/relay.go
+++ b/soak/relay.go
@@ -15,16 +15,16 @@
 	target string
 	// entry is the name of the entry that peers reach through the relay, and partitions are
 	// the network partitions between entries. A relay to the store has neither.
-	entry string
-	cuts  *cuts
+	entry      string
+	partitions *partitions
 
 	ln    net.Listener
 	group conc.WaitGroup
 	mu    sync.Mutex
-	open  map[net.Conn]bool
+	conns map[net.Conn]bool
 	// dropping makes the relay drop all data that it receives.
-	silent bool
-	delay  time.Duration
+	dropping bool
+	delay    time.Duration
 }
 
 func (r *relay) start() error {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	r.ln, r.open = ln, make(map[net.Conn]bool)
+	r.ln, r.conns = ln, make(map[net.Conn]bool)
 	r.group.Go(r.accept)
 	return nil
 }
@@ -51,9 +51,13 @@
 			continue
 		}
 		r.track(in, out)
-		sniffer := &dialler{}
-		r.group.Go(func() { r.pass(in, out, sniffer.listen, func() bool { return r.cuts.cut(sniffer.name(), r.entry) }) })
-		r.group.Go(func() { r.pass(out, in, func([]byte) {}, func() bool { return r.cuts.cut(r.entry, sniffer.name()) }) })
+		sniffer := &helloSniffer{}
+		r.group.Go(func() {
+			r.forward(in, out, sniffer.observe, func() bool { return r.partitions.blocked(sniffer.entryName(), r.entry) })
+		})
+		r.group.Go(func() {
+			r.forward(out, in, func([]byte) {}, func() bool { return r.partitions.blocked(r.entry, sniffer.entryName()) })
+		})
 	}
 }
 
@@ -61,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
-		r.open[c] = true
+		r.conns[c] = true
 	}
 }
 
@@ -69,16 +73,16 @@
 // data or a partition blocks this direction, and everything after that: the stream has a
 // hole and can't be resumed, so the connection stays open without carrying data. Between
 // entries, the close of one side isn't forwarded after that either.
-func (r *relay) pass(from, to net.Conn, observe func([]byte), blocked func() bool) {
+func (r *relay) forward(from, to net.Conn, observe func([]byte), blocked func() bool) {
 	lost := false
 	defer func() {
 		_ = from.Close()
-		if !lost || r.cuts == nil {
+		if !lost || r.partitions == nil {
 			_ = to.Close()
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.open, from)
+		delete(r.conns, from)
 	}()
 	buf := make([]byte, 32<<10)
 	for {
@@ -88,7 +92,7 @@
 		}
 		observe(buf[:n])
 		r.mu.Lock()
-		lost = lost || r.silent || blocked()
+		lost = lost || r.dropping || blocked()
 		delay := r.delay
 		r.mu.Unlock()
 		if lost {
@@ -101,10 +105,10 @@
 	}
 }
 
-func (r *relay) setSilent(on bool) {
+func (r *relay) setDropping(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = on
+	r.dropping = on
 }
 
 func (r *relay) setDelay(d time.Duration) {
@@ -117,7 +121,7 @@
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.open {
+	for c := range r.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -22,44 +22,44 @@
 
 const (
 	// startupTime is how long the entries have to connect to each other before the first fault.
-	settleTime = 3 * time.Second
+	startupTime = 3 * time.Second
 	// recoveryTime is how long accepted work may take to end once all faults are over: twice
 	// the longest wait of a new planner for earlier leases, and the work itself.
-	healTime = 60 * time.Second
+	recoveryTime = 60 * time.Second
 	// cancelGrace is how long after an acknowledged cancellation a task may still start: the
 	// start may already be in flight, or a planner may be taking over.
-	cancelTime = 5 * time.Second
+	cancelGrace = 5 * time.Second
 	// limitMilli is the second team's limit, low enough to be always in use.
 	limitMilli = 9000
 	// meanJobInterval is the mean time between two jobs of one caller.
-	jobPause = 400 * time.Millisecond
+	meanJobInterval = 400 * time.Millisecond
 )
 
 // Options are the settings of a run.
 type Options struct {
-	Program string // Program is the path of the plantainwinch executable under test.
-	Dir     string // Dir is where settings and logs are written.
-	Seed    uint64
-	Time    time.Duration // Duration is how long faults are injected.
-	Domains int
-	Entries int // Entries and Workers are per failure domain.
-	Workers int
-	Callers int
+	Program  string // Program is the path of the plantainwinch executable under test.
+	Dir      string // Dir is where settings and logs are written.
+	Seed     uint64
+	Duration time.Duration // Duration is how long faults are injected.
+	Domains  int
+	Entries  int // Entries and Workers are per failure domain.
+	Workers  int
+	Callers  int
 }
 
 // Soak is one run. Set the options before Run.
 type Soak struct {
 	Options
 
-	site    *fake.Platform
-	procs   []*proc
-	cuts    cuts
-	rnd     *rand.Rand
-	group   conc.WaitGroup
-	mu      sync.Mutex
-	report  Report
-	started time.Time
-	faults  *os.File
+	site       *fake.Platform
+	procs      []*proc
+	partitions partitions
+	rnd        *rand.Rand
+	group      conc.WaitGroup
+	mu         sync.Mutex
+	report     Report
+	started    time.Time
+	faultLog   *os.File
 }
 
 // Report is the result of a run: counts of events, and the problems found.
@@ -79,33 +79,33 @@
 	if err := s.prepare(); err != nil {
 		return s.report, err
 	}
-	defer s.end()
+	defer s.close()
 	s.started = time.Now()
-	duty.Sleep(ctx, settleTime)
+	duty.Sleep(ctx, startupTime)
 	// Callers submit jobs and faults are injected until activeCtx ends. The planned operations
 	// are over when plannedCtx ends.
-	activeCtx, stop := context.WithTimeout(ctx, s.Time)
+	activeCtx, stop := context.WithTimeout(ctx, s.Duration)
 	defer stop()
 	var callers conc.WaitGroup
 	plannedCtx, endPlanned := context.WithCancel(ctx)
 	defer endPlanned()
 	for i := range s.Callers {
-		callers.Go(func() { s.caller(ctx, activeCtx, i) })
-		callers.Go(func() { s.lasting(ctx, activeCtx, plannedCtx, i) })
-		callers.Go(func() { s.gangs(ctx, activeCtx, i, 0) })
+		callers.Go(func() { s.runCaller(ctx, activeCtx, i) })
+		callers.Go(func() { s.runLastingJobs(ctx, activeCtx, plannedCtx, i) })
+		callers.Go(func() { s.runGangJobs(ctx, activeCtx, i, 0) })
 	}
-	callers.Go(func() { s.crashing(ctx, activeCtx) })
-	s.group.Go(func() { s.workers(ctx, activeCtx) })
-	s.group.Go(func() { s.shrinks(ctx, activeCtx) })
-	s.group.Go(func() { s.cutting(activeCtx) })
+	callers.Go(func() { s.runCrashingJobs(ctx, activeCtx) })
+	s.group.Go(func() { s.disruptWorkers(ctx, activeCtx) })
+	s.group.Go(func() { s.shrinkWorkers(ctx, activeCtx) })
+	s.group.Go(func() { s.injectPartitions(activeCtx) })
 	for activeCtx.Err() == nil {
-		s.fault(activeCtx)
+		s.injectFault(activeCtx)
 		duty.Sleep(activeCtx, time.Duration(100+s.rnd.IntN(1500))*time.Millisecond)
 	}
-	s.planned(ctx)
+	s.startPlannedOperations(ctx)
 	s.group.Wait() // Each fault reverts itself.
-	duty.Sleep(ctx, settledTime-gangsTime)
-	s.quiet(ctx, &callers)
+	duty.Sleep(ctx, lastingRestartTime-finalGangsTime)
+	s.runFinalGangs(ctx, &callers)
 	endPlanned()
 	callers.Wait()
 	s.mu.Lock()
@@ -121,7 +121,7 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	s.faults = faults
+	s.faultLog = faults
 	s.site = &fake.Platform{Workers: s.Workers, Milli: 8000, Teams: []fake.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
 	for d := range s.Domains {
 		s.site.Domains = append(s.site.Domains, fmt.Sprintf("d%d", d))
@@ -133,15 +133,15 @@
 		name := fmt.Sprintf("e%d", i)
 		p := &proc{
 			name: name, domain: s.site.Domains[i%s.Domains], program: s.Program, dir: s.Dir,
-			relay: &relay{target: s.site.StoreAddress}, peers: &relay{entry: name, cuts: &s.cuts},
+			storeRelay: &relay{target: s.site.StoreAddress}, peerRelay: &relay{entry: name, partitions: &s.partitions},
 		}
-		if err := p.relay.start(); err != nil {
+		if err := p.storeRelay.start(); err != nil {
 			return err
 		}
-		if err := p.peers.start(); err != nil {
+		if err := p.peerRelay.start(); err != nil {
 			return err
 		}
-		if err := p.settings(s.site.AdviceAddress); err != nil {
+		if err := p.writeSettings(s.site.AdviceAddress); err != nil {
 			return err
 		}
 		if err := p.start(); err != nil {
@@ -152,24 +152,24 @@
 	return nil
 }
 
-func (s *Soak) end() {
+func (s *Soak) close() {
 	for _, p := range s.procs {
-		p.end(syscall.SIGKILL)
-		p.relay.stop()
-		p.peers.stop()
+		p.stop(syscall.SIGKILL)
+		p.storeRelay.stop()
+		p.peerRelay.stop()
 	}
 	s.site.Stop()
-	_ = s.faults.Close()
+	_ = s.faultLog.Close()
 }
 
 // addProblem adds to the report what a caller observed and must not occur.
-func (s *Soak) problem(format string, args ...any) {
+func (s *Soak) addProblem(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Problems = append(s.report.Problems, fmt.Sprintf(format, args...))
 }
 
-func (s *Soak) count(f func(r *Report)) {
+func (s *Soak) updateReport(f func(r *Report)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.report)
@@ -177,7 +177,7 @@
 
 // runCaller submits jobs until activeCtx ends, and then waits for the end of each. On average
 // one of eight is cancelled.
-func (s *Soak) caller(ctx, activeCtx context.Context, i int) {
+func (s *Soak) runCaller(ctx, activeCtx context.Context, i int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
 	var group conc.WaitGroup
@@ -189,40 +189,40 @@
 		}
 		cancels := rnd.IntN(8) == 0
 		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
-		group.Go(func() { s.job(ctx, c, j, entryRnd, cancels) })
-		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*jobPause))))
+		group.Go(func() { s.runJob(ctx, c, j, entryRnd, cancels) })
+		duty.Sleep(activeCtx, time.Duration(rnd.Int64N(int64(2*meanJobInterval))))
 	}
 }
 
 // runJob submits one job and checks its course.
-func (s *Soak) job(ctx context.Context, c *fake.Caller, j fake.Job, rnd *rand.Rand, cancels bool) {
-	pickEntry := func() string { return s.procs[rnd.IntN(len(s.procs))].callers }
+func (s *Soak) runJob(ctx context.Context, c *fake.Caller, j fake.Job, rnd *rand.Rand, cancels bool) {
+	pickEntry := func() string { return s.procs[rnd.IntN(len(s.procs))].callersAddress }
 	accepted, unsure := s.submit(ctx, c, j, pickEntry)
 	switch {
 	case accepted:
-		s.count(func(r *Report) { r.Accepted++ })
+		s.updateReport(func(r *Report) { r.Accepted++ })
 	case unsure:
 		return // The job may or may not have been accepted, so there is nothing to check.
 	default:
-		s.count(func(r *Report) { r.Refused++ })
-		s.refused(ctx, j)
+		s.updateReport(func(r *Report) { r.Refused++ })
+		s.checkRefused(ctx, j)
 		return
 	}
 	if cancels {
-		s.cancel(ctx, c, j, pickEntry)
+		s.cancelJob(ctx, c, j, pickEntry)
 		return
 	}
-	s.await(ctx, c, j, pickEntry)
+	s.awaitCompleted(ctx, c, j, pickEntry)
 }
 
 // maxSubmitAttempts is how often a caller tries to submit a job before it gives up.
-const submitTries = 6
+const maxSubmitAttempts = 6
 
 // submit submits a job until it is accepted, at most maxSubmitAttempts times. The result
 // unsure reports whether an attempt ended without a clear response, so that the job may
 // have been accepted.
 func (s *Soak) submit(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) (accepted, unsure bool) {
-	for range submitTries {
+	for range maxSubmitAttempts {
 		switch c.Submit(ctx, pickEntry(), j) {
 		case http.StatusOK:
 			return true, unsure
@@ -236,58 +236,58 @@
 }
 
 // checkRefused checks that a job never runs if all attempts to submit it were refused.
-func (s *Soak) refused(ctx context.Context, j fake.Job) {
-	duty.Sleep(ctx, cancelTime)
+func (s *Soak) checkRefused(ctx context.Context, j fake.Job) {
+	duty.Sleep(ctx, cancelGrace)
 	if starts, _, _ := s.site.Checker.JobStats(j.ID); starts > 0 {
-		s.problem("job %s was refused, but its tasks were started", j.ID)
+		s.addProblem("job %s was refused, but its tasks were started", j.ID)
 	}
 }
 
 // cancelJob cancels a job, and checks that none of its tasks starts later than cancelGrace
 // after the cancellation was acknowledged.
-func (s *Soak) cancel(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
+func (s *Soak) cancelJob(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
 	s.site.Checker.ExpectCancel(&j)
-	deadline := time.Now().Add(s.Time + healTime)
+	deadline := time.Now().Add(s.Duration + recoveryTime)
 	for time.Now().Before(deadline) {
 		if status := c.Cancel(ctx, pickEntry(), j); status == http.StatusOK || status == http.StatusNoContent {
-			s.count(func(r *Report) { r.Cancelled++ })
+			s.updateReport(func(r *Report) { r.Cancelled++ })
 			acked := time.Now()
-			duty.Sleep(ctx, 2*cancelTime)
-			if _, last, _ := s.site.Checker.JobStats(j.ID); last.After(acked.Add(cancelTime)) {
-				s.problem("job %s had a task started %v after its cancellation was acknowledged", j.ID, last.Sub(acked))
+			duty.Sleep(ctx, 2*cancelGrace)
+			if _, last, _ := s.site.Checker.JobStats(j.ID); last.After(acked.Add(cancelGrace)) {
+				s.addProblem("job %s had a task started %v after its cancellation was acknowledged", j.ID, last.Sub(acked))
 			}
 			return
 		}
 		duty.Sleep(ctx, 300*time.Millisecond)
 	}
-	s.problem("job %s could not be cancelled before the deadline", j.ID)
+	s.addProblem("job %s could not be cancelled before the deadline", j.ID)
 }
 
 // awaitCompleted polls the job's state until it is reported as completed, and checks that all
 // of its tasks are done by then.
-func (s *Soak) await(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
+func (s *Soak) awaitCompleted(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
 	want := 0
 	for _, n := range j.Tasks {
 		want += n
 	}
 	status, state := 0, ""
-	for deadline := time.Now().Add(s.Time + healTime); time.Now().Before(deadline) && ctx.Err() == nil; {
+	for deadline := time.Now().Add(s.Duration + recoveryTime); time.Now().Before(deadline) && ctx.Err() == nil; {
 		status, state = c.State(ctx, pickEntry(), j)
 		switch {
 		case status == http.StatusGone:
-			s.problem("job %s was accepted, but is no longer known", j.ID)
+			s.addProblem("job %s was accepted, but is no longer known", j.ID)
 			return
 		case state == "completed":
 			if _, _, done := s.site.Checker.JobStats(j.ID); done < want {
-				s.problem("job %s is reported as completed, but only %d of %d tasks are done", j.ID, done, want)
+				s.addProblem("job %s is reported as completed, but only %d of %d tasks are done", j.ID, done, want)
 			}
-			s.count(func(r *Report) { r.Done++ })
+			s.updateReport(func(r *Report) { r.Done++ })
 			return
 		case state == "failed" || state == "cancelled":
-			s.problem("job %s is reported as %s without cause", j.ID, state)
+			s.addProblem("job %s is reported as %s without cause", j.ID, state)
 			return
 		}
 		duty.Sleep(ctx, 200*time.Millisecond)
 	}
-	s.problem("job %s did not end before the deadline: last response %d %q", j.ID, status, state)
+	s.addProblem("job %s did not end before the deadline: last response %d %q", j.ID, status, state)
 }
--- a/stand/exec.go
+++ b/stand/exec.go
@@ -32,12 +32,12 @@
 	Name  string
 	Slots int
 
-	mu      sync.Mutex
-	faults  ExecFaults
-	runs    map[string]int
-	running int
-	peak    int
-	last    string
+	mu           sync.Mutex
+	faults       ExecFaults
+	runsByCaller map[string]int
+	running      int
+	peak         int
+	lastID       string
 }
 
 // RequestIDHeader is the header that carries the ID of an attempt to the executor and back.
@@ -45,8 +45,8 @@
 
 // Headers of the stand-in: the work time in a request, and the executor's name in a response.
 const (
-	workHeader = "Stand-Work"
-	nameHeader = "Stand-Executor"
+	workTimeHeader     = "Stand-Work"
+	executorNameHeader = "Stand-Executor"
 )
 
 // ExecCounts are the counters of an executor.
@@ -67,8 +67,8 @@
 func (e *Executor) Counts() ExecCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := ExecCounts{Runs: make(map[string]int, len(e.runs)), Running: e.running, Peak: e.peak}
-	for k, v := range e.runs {
+	out := ExecCounts{Runs: make(map[string]int, len(e.runsByCaller)), Running: e.running, Peak: e.peak}
+	for k, v := range e.runsByCaller {
 		out.Runs[k] = v
 	}
 	return out
@@ -93,26 +93,26 @@
 
 // acquireSlot occupies a slot for a request, if one is free, and returns the injected faults
 // and the ID of the preceding request.
-func (e *Executor) enter(id, caller string) (ExecFaults, string, bool) {
+func (e *Executor) acquireSlot(id, caller string) (ExecFaults, string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.Slots > 0 && e.running >= e.Slots {
 		return e.faults, "", false
 	}
-	if e.runs == nil {
-		e.runs = make(map[string]int)
+	if e.runsByCaller == nil {
+		e.runsByCaller = make(map[string]int)
 	}
 	if caller != "" {
-		e.runs[caller]++
+		e.runsByCaller[caller]++
 	}
 	e.running++
 	e.peak = max(e.peak, e.running)
-	last := e.last
-	e.last = id
+	last := e.lastID
+	e.lastID = id
 	return e.faults, last, true
 }
 
-func (e *Executor) leave() {
+func (e *Executor) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
@@ -132,18 +132,18 @@
 		return
 	}
 	id := req.Header.Get(RequestIDHeader)
-	faults, last, ok := e.enter(id, req.Header.Get("Stand-Caller"))
+	faults, last, ok := e.acquireSlot(id, req.Header.Get("Stand-Caller"))
 	if !ok {
 		http.Error(w, "no free slot", http.StatusServiceUnavailable)
 		return
 	}
-	defer e.leave()
-	e.work(req, faults)
+	defer e.releaseSlot()
+	e.simulateWork(req, faults)
 	if faults.Cross {
 		id = last
 	}
 	w.Header().Set(RequestIDHeader, id)
-	w.Header().Set(nameHeader, e.Name)
+	w.Header().Set(executorNameHeader, e.Name)
 	if faults.FailAll {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
@@ -158,13 +158,13 @@
 }
 
 // hangPollInterval is the time between two checks whether a request still hangs.
-const hangPoll = 10 * time.Millisecond
+const hangPollInterval = 10 * time.Millisecond
 
-func (e *Executor) work(req *http.Request, faults ExecFaults) {
-	work, _ := time.ParseDuration(req.Header.Get(workHeader))
+func (e *Executor) simulateWork(req *http.Request, faults ExecFaults) {
+	work, _ := time.ParseDuration(req.Header.Get(workTimeHeader))
 	time.Sleep(work + faults.Delay)
 	for e.hanging() && req.Context().Err() == nil {
-		time.Sleep(hangPoll)
+		time.Sleep(hangPollInterval)
 	}
 }
 
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -14,11 +14,11 @@
 )
 
 // DefaultWatchTimeout is how long a watch waits for a change unless WatchTimeout is set.
-const DefaultWatchWait = 10 * time.Second
+const DefaultWatchTimeout = 10 * time.Second
 
 // minChangesKept is the minimum number of recent changes that remain when the history from
 // which a watch can start is trimmed.
-const changesKept = 4096
+const minChangesKept = 4096
 
 // Faults are the faults that can be injected into the platform.
 type Faults struct {
@@ -47,7 +47,7 @@
 // Platform is a key-value service and VM list in memory. The zero value is ready to use.
 type Platform struct {
 	// WatchTimeout is how long a watch waits for a change. Zero means DefaultWatchTimeout.
-	WatchWait time.Duration
+	WatchTimeout time.Duration
 
 	mu       sync.Mutex
 	faults   Faults
@@ -74,7 +74,7 @@
 	defer p.mu.Unlock()
 	p.faults = f
 	p.listVersion++
-	p.notify()
+	p.wakeWatches()
 }
 
 // Calls returns the number of calls since the start, by operation.
@@ -109,7 +109,7 @@
 
 // lockForCall counts the call, waits for the injected latency, takes the lock and removes expired
 // leases. It returns with the lock held, or with an error and the lock released.
-func (p *Platform) begin(ctx context.Context, name string) error {
+func (p *Platform) lockForCall(ctx context.Context, name string) error {
 	p.mu.Lock()
 	if p.calls == nil {
 		p.calls = make(map[string]int64)
@@ -131,12 +131,12 @@
 		p.mu.Unlock()
 		return winch.ErrUnavailable
 	}
-	p.expire()
+	p.removeExpiredLeases()
 	return nil
 }
 
 // unlockAfterWrite releases the lock after a write, and returns an error if the response is to be lost.
-func (p *Platform) end(key string) error {
+func (p *Platform) unlockAfterWrite(key string) error {
 	defer p.mu.Unlock()
 	if p.faults.LoseReplies > 0 && strings.HasPrefix(key, p.faults.LosePrefix) {
 		p.faults.LoseReplies--
@@ -145,45 +145,45 @@
 	return nil
 }
 
-func (p *Platform) notify() {
+func (p *Platform) wakeWatches() {
 	if p.wake != nil {
 		close(p.wake)
 		p.wake = make(chan struct{})
 	}
 }
 
-func (p *Platform) record(key string, deleted bool) uint64 {
+func (p *Platform) recordChange(key string, deleted bool) uint64 {
 	p.version++
 	p.changes = append(p.changes, winch.Change{Key: key, Version: p.version, Deleted: deleted})
-	if len(p.changes) > 2*changesKept {
-		p.changes = slices.Clone(p.changes[changesKept:])
+	if len(p.changes) > 2*minChangesKept {
+		p.changes = slices.Clone(p.changes[minChangesKept:])
 	}
-	p.notify()
+	p.wakeWatches()
 	return p.version
 }
 
-func (p *Platform) expire() {
+func (p *Platform) removeExpiredLeases() {
 	now := time.Now()
 	for id, l := range p.leases {
 		if now.After(l.expires) {
-			p.drop(id)
+			p.removeLease(id)
 		}
 	}
 }
 
-func (p *Platform) drop(id string) {
+func (p *Platform) removeLease(id string) {
 	delete(p.leases, id)
 	for key, it := range p.items {
 		if it.lease == id {
 			delete(p.items, key)
-			p.record(key, true)
+			p.recordChange(key, true)
 		}
 	}
 }
 
 // Get implements winch.Store.
 func (p *Platform) Get(ctx context.Context, key string) (winch.Value, error) {
-	if err := p.begin(ctx, "Get"); err != nil {
+	if err := p.lockForCall(ctx, "Get"); err != nil {
 		return winch.Value{}, err
 	}
 	defer p.mu.Unlock()
@@ -196,7 +196,7 @@
 
 // Put implements winch.Store.
 func (p *Platform) Put(ctx context.Context, key string, data []byte, version uint64, leaseID string) (uint64, error) {
-	if err := p.begin(ctx, "Put"); err != nil {
+	if err := p.lockForCall(ctx, "Put"); err != nil {
 		return 0, err
 	}
 	if p.items[key].value.Version != version {
@@ -207,14 +207,14 @@
 		p.mu.Unlock()
 		return 0, winch.ErrNotFound
 	}
-	v := p.record(key, false)
+	v := p.recordChange(key, false)
 	p.items[key] = item{value: winch.Value{Key: key, Data: slices.Clone(data), Version: v}, lease: leaseID}
-	return v, p.end(key)
+	return v, p.unlockAfterWrite(key)
 }
 
 // Delete implements winch.Store.
 func (p *Platform) Delete(ctx context.Context, key string, version uint64) error {
-	if err := p.begin(ctx, "Delete"); err != nil {
+	if err := p.lockForCall(ctx, "Delete"); err != nil {
 		return err
 	}
 	it, ok := p.items[key]
@@ -223,13 +223,13 @@
 		return winch.ErrConflict
 	}
 	delete(p.items, key)
-	p.record(key, true)
-	return p.end(key)
+	p.recordChange(key, true)
+	return p.unlockAfterWrite(key)
 }
 
 // List implements winch.Store.
 func (p *Platform) List(ctx context.Context, prefix string) ([]winch.Value, error) {
-	if err := p.begin(ctx, "List"); err != nil {
+	if err := p.lockForCall(ctx, "List"); err != nil {
 		return nil, err
 	}
 	defer p.mu.Unlock()
@@ -245,18 +245,18 @@
 
 // Grant implements winch.Store.
 func (p *Platform) Grant(ctx context.Context, ttl time.Duration) (string, error) {
-	if err := p.begin(ctx, "Grant"); err != nil {
+	if err := p.lockForCall(ctx, "Grant"); err != nil {
 		return "", err
 	}
 	p.leaseSeq++
 	id := fmt.Sprintf("L%d", p.leaseSeq)
 	p.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	return id, p.end("Grant")
+	return id, p.unlockAfterWrite("Grant")
 }
 
 // Renew implements winch.Store.
 func (p *Platform) Renew(ctx context.Context, id string) error {
-	if err := p.begin(ctx, "Renew"); err != nil {
+	if err := p.lockForCall(ctx, "Renew"); err != nil {
 		return err
 	}
 	l := p.leases[id]
@@ -265,31 +265,31 @@
 		return winch.ErrNotFound
 	}
 	l.expires = time.Now().Add(l.ttl)
-	return p.end("Renew")
+	return p.unlockAfterWrite("Renew")
 }
 
 // Revoke implements winch.Store.
 func (p *Platform) Revoke(ctx context.Context, id string) error {
-	if err := p.begin(ctx, "Revoke"); err != nil {
+	if err := p.lockForCall(ctx, "Revoke"); err != nil {
 		return err
 	}
-	p.drop(id)
-	return p.end("Revoke")
+	p.removeLease(id)
+	return p.unlockAfterWrite("Revoke")
 }
 
 // Watch implements winch.Store.
 func (p *Platform) Watch(ctx context.Context, prefixes []string, after uint64) ([]winch.Change, uint64, error) {
-	wait := p.WatchWait
+	wait := p.WatchTimeout
 	if wait == 0 {
-		wait = DefaultWatchWait
+		wait = DefaultWatchTimeout
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
-	if err := p.begin(ctx, "Watch"); err != nil {
+	if err := p.lockForCall(ctx, "Watch"); err != nil {
 		return nil, 0, err
 	}
 	for {
-		changes := p.since(prefixes, after)
+		changes := p.changesSince(prefixes, after)
 		version, wake, next := p.version, p.wake, p.nextExpiry()
 		p.mu.Unlock()
 		if len(changes) > 0 {
@@ -308,14 +308,14 @@
 			p.mu.Unlock()
 			return nil, 0, winch.ErrUnavailable
 		}
-		p.expire()
+		p.removeExpiredLeases()
 	}
 }
 
 // nextExpiry returns the time until the next lease can expire. A watch wakes up then, so that
 // the lease's keys are deleted even while there are no calls.
 func (p *Platform) nextExpiry() time.Duration {
-	next := DefaultWatchWait
+	next := DefaultWatchTimeout
 	for _, l := range p.leases {
 		next = min(next, time.Until(l.expires)+time.Millisecond)
 	}
@@ -323,7 +323,7 @@
 }
 
 // changesSince returns the latest change of each matching key after a version, in order.
-func (p *Platform) since(prefixes []string, after uint64) []winch.Change {
+func (p *Platform) changesSince(prefixes []string, after uint64) []winch.Change {
 	var out []winch.Change
 	for i := len(p.changes) - 1; i >= 0 && p.changes[i].Version > after; i-- {
 		c := p.changes[i]
@@ -339,7 +339,7 @@
 
 // VMs implements winch.Lister.
 func (p *Platform) VMs(ctx context.Context, known uint64) ([]winch.VM, uint64, error) {
-	if err := p.begin(ctx, "VMs"); err != nil {
+	if err := p.lockForCall(ctx, "VMs"); err != nil {
 		return nil, 0, err
 	}
 	defer p.mu.Unlock()
--- a/stand/wire_test.go
+++ b/stand/wire_test.go
@@ -30,7 +30,7 @@
 func TestStoreOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	p := &stand.Platform{WatchWait: 50 * time.Millisecond}
+	p := &stand.Platform{WatchTimeout: 50 * time.Millisecond}
 	c := &store.Client{Address: serve(t, p.Handler())}
 	_, err := c.Get(ctx, "k")
 	is.True(errors.Is(err, winch.ErrNotFound))
@@ -60,7 +60,7 @@
 
 // A key under a lease is deleted when the lease expires. A watch must report that even if
 // there is no other call.
-func TestLeaseLapses(t *testing.T) {
+func TestLeaseExpiryDeletesKeys(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	p := &stand.Platform{}
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -44,14 +44,14 @@
 	// Fence makes the worker reject calls whose epoch is lower than the highest it has seen.
 	Fence bool
 
-	mu     sync.Mutex
-	faults WorkerFaults
-	epoch  uint64
-	runs   map[winch.TaskID]*run
-	starts map[winch.TaskID]int
-	barred map[winch.Attempt]bool
-	wake   chan struct{}
-	over   int
+	mu                 sync.Mutex
+	faults             WorkerFaults
+	epoch              uint64
+	runs               map[winch.TaskID]*run
+	startCounts        map[winch.TaskID]int
+	stoppedBeforeStart map[winch.Attempt]bool
+	wake               chan struct{}
+	overcommitted      int
 }
 
 // WorkerCounts are the counters of a worker.
@@ -74,9 +74,9 @@
 func (w *Worker) Counts() WorkerCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
-	out := WorkerCounts{Starts: make(map[string]int, len(w.starts)), Overcommitted: w.over}
-	for id, n := range w.starts {
+	w.endDueRuns()
+	out := WorkerCounts{Starts: make(map[string]int, len(w.startCounts)), Overcommitted: w.overcommitted}
+	for id, n := range w.startCounts {
 		out.Starts[id.String()] = n
 	}
 	for _, r := range w.runs {
@@ -91,7 +91,7 @@
 func (w *Worker) Runs(id winch.TaskID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.endDueRuns()
 	r := w.runs[id]
 	return r != nil && r.task.State == winch.TaskRunning
 }
@@ -100,7 +100,7 @@
 func (w *Worker) Running() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.endDueRuns()
 	out := make(map[string]int)
 	for _, r := range w.runs {
 		if r.task.State == winch.TaskRunning {
@@ -110,33 +110,33 @@
 	return out
 }
 
-var errBroken = errors.New("connection broken")
+var errConnectionBroken = errors.New("connection broken")
 
 // lockForCall takes the lock, checks the epoch and ends the runs that are due. It returns with the
 // lock held, or with an error and the lock released.
-func (w *Worker) begin(epoch uint64) error {
+func (w *Worker) lockForCall(epoch uint64) error {
 	w.mu.Lock()
 	if w.runs == nil {
 		w.runs = make(map[winch.TaskID]*run)
-		w.starts = make(map[winch.TaskID]int)
-		w.barred = make(map[winch.Attempt]bool)
+		w.startCounts = make(map[winch.TaskID]int)
+		w.stoppedBeforeStart = make(map[winch.Attempt]bool)
 		w.wake = make(chan struct{})
 	}
 	if w.faults.Down {
 		w.mu.Unlock()
-		return errBroken
+		return errConnectionBroken
 	}
 	if w.Fence && epoch < w.epoch {
 		w.mu.Unlock()
 		return winch.ErrFenced
 	}
 	w.epoch = max(w.epoch, epoch)
-	w.settle()
+	w.endDueRuns()
 	return nil
 }
 
 // endDueRuns ends the runs whose run time is over or whose lease has expired.
-func (w *Worker) settle() {
+func (w *Worker) endDueRuns() {
 	now := time.Now()
 	for _, r := range w.runs {
 		if r.task.State != winch.TaskRunning {
@@ -144,14 +144,14 @@
 		}
 		switch {
 		case !now.Before(r.ends) && r.ends.Before(r.expires):
-			finish(r)
+			finishRun(r)
 		case !now.Before(r.expires):
 			r.task.State = winch.TaskStopped
 		}
 	}
 }
 
-func finish(r *run) {
+func finishRun(r *run) {
 	r.task.State = winch.TaskDone
 	word, rest, _ := strings.Cut(r.task.Command, " ")
 	switch word {
@@ -163,7 +163,7 @@
 }
 
 // actualRunTime returns the time that a task takes, which may differ from the declared one.
-func trueTime(t winch.Task) time.Duration {
+func actualRunTime(t winch.Task) time.Duration {
 	if rest, ok := strings.CutPrefix(t.Command, "take "); ok {
 		if d, err := time.ParseDuration(rest); err == nil {
 			return d
@@ -172,7 +172,7 @@
 	return t.RunTime
 }
 
-func (w *Worker) used() (sum winch.Resources) {
+func (w *Worker) usedResources() (sum winch.Resources) {
 	for _, r := range w.runs {
 		if r.task.State == winch.TaskRunning {
 			sum = sum.Add(r.task.Need)
@@ -183,37 +183,37 @@
 
 // Start starts a task. It is idempotent: starting the same attempt again has no effect.
 func (w *Worker) Start(_ context.Context, epoch uint64, task winch.Task, lease time.Duration) error {
-	if err := w.begin(epoch); err != nil {
+	if err := w.lockForCall(epoch); err != nil {
 		return err
 	}
 	defer w.mu.Unlock()
-	if w.faults.RefuseAll || w.barred[task.Ref()] {
+	if w.faults.RefuseAll || w.stoppedBeforeStart[task.Ref()] {
 		return winch.ErrRefused
 	}
 	if r := w.runs[task.ID]; r != nil && r.task.Attempt == task.Attempt {
 		return nil
 	}
-	if !w.used().Add(task.Need).Fits(w.VM.Size) {
-		w.over++
+	if !w.usedResources().Add(task.Need).Fits(w.VM.Size) {
+		w.overcommitted++
 		return winch.ErrRefused
 	}
-	w.launch(task, lease)
+	w.startRun(task, lease)
 	if w.faults.LoseReplies > 0 {
 		w.faults.LoseReplies--
-		return errBroken
+		return errConnectionBroken
 	}
 	return nil
 }
 
-func (w *Worker) launch(task winch.Task, lease time.Duration) {
+func (w *Worker) startRun(task winch.Task, lease time.Duration) {
 	now := time.Now()
 	task.State = winch.TaskRunning
-	r := &run{task: task, started: now, ends: now.Add(trueTime(task)), expires: now.Add(lease)}
+	r := &run{task: task, started: now, ends: now.Add(actualRunTime(task)), expires: now.Add(lease)}
 	if w.faults.FailAll {
 		r.task.State = winch.TaskFailed
 	}
 	w.runs[task.ID] = r
-	w.starts[task.ID]++
+	w.startCounts[task.ID]++
 	close(w.wake)
 	w.wake = make(chan struct{})
 }
@@ -224,11 +224,11 @@
 	timeout := time.NewTimer(call.Wait)
 	defer timeout.Stop()
 	for {
-		if err := w.begin(call.Epoch); err != nil {
+		if err := w.lockForCall(call.Epoch); err != nil {
 			return winch.Report{}, err
 		}
-		w.forget(call.Forget)
-		report, ended, next := w.list(call)
+		w.forgetEnded(call.Forget)
+		report, ended, next := w.buildReport(call)
 		wake := w.wake
 		w.mu.Unlock()
 		if ended || call.Full {
@@ -245,7 +245,7 @@
 	}
 }
 
-func (w *Worker) forget(ended []winch.Attempt) {
+func (w *Worker) forgetEnded(ended []winch.Attempt) {
 	for _, a := range ended {
 		if r := w.runs[a.Task]; r != nil && r.task.Ref() == a && r.task.State != winch.TaskRunning {
 			delete(w.runs, a.Task)
@@ -255,7 +255,7 @@
 
 // buildReport extends the leases and returns the report, whether it is the first to contain
 // the end of some run, and the time until the next run ends.
-func (w *Worker) list(call winch.Renewal) (out winch.Report, ended bool, next time.Duration) {
+func (w *Worker) buildReport(call winch.Renewal) (out winch.Report, ended bool, next time.Duration) {
 	now := time.Now()
 	next = time.Hour
 	for _, r := range w.runs {
@@ -280,13 +280,13 @@
 // Stop stops a run and reports whether the worker had it. If not, a later start of the same
 // attempt is refused.
 func (w *Worker) Stop(_ context.Context, epoch uint64, task winch.Task) (bool, error) {
-	if err := w.begin(epoch); err != nil {
+	if err := w.lockForCall(epoch); err != nil {
 		return false, err
 	}
 	defer w.mu.Unlock()
 	r := w.runs[task.ID]
 	if r == nil || r.task.Attempt != task.Attempt {
-		w.barred[task.Ref()] = true
+		w.stoppedBeforeStart[task.Ref()] = true
 		return false, nil
 	}
 	if r.task.State == winch.TaskRunning {
