--- a/cmds/apply.go
+++ b/cmds/apply.go
@@ -36,7 +36,7 @@
 			return c.print(cmd, reply, func(w io.Writer) { printApply(w, body.DryRun, reply) })
 		},
 	}
-	c.operatorFlags(cmd)
+	c.addOperatorFlags(cmd)
 	cmd.Flags().StringArrayVarP(&files, "file", "f", nil, "file with declarations; may be repeated")
 	cmd.Flags().BoolVar(&body.DryRun, "dry-run", false, "show what would change without changing it")
 	cmd.Flags().Uint64Var(&body.Base, "base", 0, "version that the change is based on; the change is refused if this is not the current version")
@@ -56,7 +56,7 @@
 func printChanges(w io.Writer, lines []winch.Audit) {
 	signs := map[string]string{"add": "+", "remove": "-", "change": "~"}
 	for _, l := range lines {
-		row(w, signs[l.Action], l.Object, l.Detail)
+		printRow(w, signs[l.Action], l.Object, l.Detail)
 	}
 }
 
--- a/cmds/call.go
+++ b/cmds/call.go
@@ -35,10 +35,10 @@
 				return err
 			}
 			defer resp.Body.Close()
-			return copyAnswer(cmd, resp)
+			return copyResponse(cmd, resp)
 		},
 	}
-	c.callersFlags(cmd)
+	c.addCallerFlags(cmd)
 	f := cmd.Flags()
 	f.StringVar(&class, "class", "", "class of the work")
 	f.StringVar(&id, "id", "", "request id; required if the class is not repeatable")
@@ -65,15 +65,15 @@
 
 // copyResponse writes the response to standard output. A response of an executor counts as done, whatever its status.
 // A response with a reason comes from the cell and reports why the call has another outcome.
-func copyAnswer(cmd *cobra.Command, resp *http.Response) error {
+func copyResponse(cmd *cobra.Command, resp *http.Response) error {
 	if outcome := resp.Header.Get(front.OutcomeHeader); outcome != "" && resp.Header.Get(front.ReasonHeader) != "" {
-		return answerError(resp)
+		return responseError(resp)
 	}
 	if _, err := io.Copy(cmd.OutOrStdout(), resp.Body); err != nil {
-		return withCode(exitUnknown, merry.Prepend(err, "response truncated"))
+		return withExitCode(exitUnknown, merry.Prepend(err, "response truncated"))
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return withCode(exitRefused, merry.Errorf("the executor responded with %s", resp.Status))
+		return withExitCode(exitRefused, merry.Errorf("the executor responded with %s", resp.Status))
 	}
 	return nil
 }
--- a/cmds/client.go
+++ b/cmds/client.go
@@ -25,22 +25,22 @@
 }
 
 // keyEnv is the environment variable that holds the key if --key is not given.
-const keyVariable = "WINCH_KEY"
+const keyEnv = "WINCH_KEY"
 
 // addCallerFlags adds the flags of commands that use the callers' interface.
-func (c *client) callersFlags(cmd *cobra.Command) {
+func (c *client) addCallerFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.Address, "callers", "127.0.0.1:7001", "address of an entry's callers' interface")
-	c.commonFlags(cmd)
+	c.addCommonFlags(cmd)
 }
 
 // addOperatorFlags adds the flags of commands that use the operators' interface.
-func (c *client) operatorFlags(cmd *cobra.Command) {
+func (c *client) addOperatorFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.Address, "operators", "127.0.0.1:7002", "address of an entry's operators' interface")
-	c.commonFlags(cmd)
+	c.addCommonFlags(cmd)
 }
 
-func (c *client) commonFlags(cmd *cobra.Command) {
-	cmd.PersistentFlags().StringVar(&c.Key, "key", "", "key that authorizes the request; taken from the environment variable "+keyVariable+" if not given")
+func (c *client) addCommonFlags(cmd *cobra.Command) {
+	cmd.PersistentFlags().StringVar(&c.Key, "key", "", "key that authorizes the request; taken from the environment variable "+keyEnv+" if not given")
 	cmd.PersistentFlags().StringVar(&c.Output, "output", "table", "output format: table or json")
 }
 
@@ -64,7 +64,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
-		return answerError(resp)
+		return responseError(resp)
 	}
 	return merry.Wrap(json.NewDecoder(resp.Body).Decode(out))
 }
@@ -81,30 +81,30 @@
 	}
 	key := c.Key
 	if key == "" {
-		key = os.Getenv(keyVariable)
+		key = os.Getenv(keyEnv)
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, withCode(exitUnknown, merry.Prepend(err, "the entry cannot be reached, or the connection was lost"))
+		return nil, withExitCode(exitUnknown, merry.Prepend(err, "the entry cannot be reached, or the connection was lost"))
 	}
 	return resp, nil
 }
 
 // responseError returns the error that an error response describes.
-func answerError(resp *http.Response) error {
+func responseError(resp *http.Response) error {
 	var body front.ErrorBody
 	if json.NewDecoder(resp.Body).Decode(&body) != nil || body.Outcome == "" {
-		return withCode(exitUnknown, merry.Errorf("unexpected response %s", resp.Status))
+		return withExitCode(exitUnknown, merry.Errorf("unexpected response %s", resp.Status))
 	}
 	err := merry.Errorf("%s, %s: %s", body.Outcome, body.Reason, body.Detail)
 	if body.RetryAfter != "" {
 		err = merry.Errorf("%v (retry after %s)", err, body.RetryAfter)
 	}
 	if body.Outcome == winch.Unknown {
-		return withCode(exitUnknown, err)
+		return withExitCode(exitUnknown, err)
 	}
-	return withCode(exitRefused, err)
+	return withExitCode(exitRefused, err)
 }
 
 // print writes v as JSON or, for table output, calls table with a writer that aligns columns.
@@ -120,7 +120,7 @@
 }
 
 // printRow writes one row of a table.
-func row(w io.Writer, cells ...any) {
+func printRow(w io.Writer, cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
 			fmt.Fprint(w, "\t")
--- a/cmds/dev.go
+++ b/cmds/dev.go
@@ -15,7 +15,7 @@
 )
 
 // demoTimeout limits the duration of the demo.
-const demoTime = 50 * time.Second
+const demoTimeout = 50 * time.Second
 
 func newDev() *cobra.Command {
 	var demo, verbose bool
@@ -41,11 +41,11 @@
 				return err
 			}
 			if demo {
-				ctx, cancel := context.WithTimeout(cmd.Context(), demoTime)
+				ctx, cancel := context.WithTimeout(cmd.Context(), demoTimeout)
 				defer cancel()
-				return withCode(exitRefused, c.Demo(ctx, keys, cmd.OutOrStdout()))
+				return withExitCode(exitRefused, c.Demo(ctx, keys, cmd.OutOrStdout()))
 			}
-			if err := announce(cmd.OutOrStdout(), out, c, keys); err != nil {
+			if err := printAddresses(cmd.OutOrStdout(), out, c, keys); err != nil {
 				return err
 			}
 			<-cmd.Context().Done()
@@ -59,7 +59,7 @@
 }
 
 // printAddresses writes the keys and addresses as shell variable assignments to w and, if path is set, to that file.
-func announce(w io.Writer, path string, c *cell.Cell, keys cell.Keys) error {
+func printAddresses(w io.Writer, path string, c *cell.Cell, keys cell.Keys) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "OPERATOR_KEY=%s\nOWNER_KEY=%s\nPLATFORM=%s\n", c.OperatorKey, keys.Owner, c.PlatformAddress)
 	for i, s := range c.Servers {
--- a/cmds/job.go
+++ b/cmds/job.go
@@ -17,7 +17,7 @@
 func newJob() *cobra.Command {
 	var c client
 	cmd := &cobra.Command{Use: "job", Short: "Submit, show, cancel and list jobs", Example: "  plantainwinch job list"}
-	c.callersFlags(cmd)
+	c.addCallerFlags(cmd)
 	cmd.AddCommand(newJobSubmit(&c), newJobStatus(&c), newJobCancel(&c), newJobList(&c))
 	return cmd
 }
@@ -75,21 +75,21 @@
 }
 
 func printJob(w io.Writer, v entry.JobView) {
-	row(w, "Job", v.ID)
-	row(w, "State", v.State)
-	row(w, "Tasks", fmt.Sprintf("%d of %d ended, %d running", len(v.EndedTasks), v.Spec.Tasks, v.Running))
-	row(w, "Domain", v.Domain)
+	printRow(w, "Job", v.ID)
+	printRow(w, "State", v.State)
+	printRow(w, "Tasks", fmt.Sprintf("%d of %d ended, %d running", len(v.EndedTasks), v.Spec.Tasks, v.Running))
+	printRow(w, "Domain", v.Domain)
 	if v.Why != "" {
-		row(w, "Why", v.Why)
+		printRow(w, "Why", v.Why)
 	}
 	if v.Forecast > 0 {
-		row(w, "Forecast", "starts in about "+v.Forecast.Round(time.Second).String())
+		printRow(w, "Forecast", "starts in about "+v.Forecast.Round(time.Second).String())
 	}
 	if v.Reason != "" {
-		row(w, "Reason", string(v.Reason)+": "+v.Detail)
+		printRow(w, "Reason", string(v.Reason)+": "+v.Detail)
 	}
 	for _, out := range v.Output {
-		row(w, "Output", out)
+		printRow(w, "Output", out)
 	}
 }
 
@@ -121,9 +121,9 @@
 				return err
 			}
 			return c.print(cmd, jobs, func(w io.Writer) {
-				row(w, "JOB", "REQUEST", "CLASS", "KIND", "STATE", "DOMAIN")
+				printRow(w, "JOB", "REQUEST", "CLASS", "KIND", "STATE", "DOMAIN")
 				for _, j := range jobs {
-					row(w, j.ID, j.RequestID, j.Class, j.Spec.Kind, j.State, j.Domain)
+					printRow(w, j.ID, j.RequestID, j.Class, j.Spec.Kind, j.State, j.Domain)
 				}
 			})
 		},
--- a/cmds/key.go
+++ b/cmds/key.go
@@ -20,8 +20,8 @@
 func newKey() *cobra.Command {
 	var c client
 	cmd := &cobra.Command{Use: "key", Short: "Issue, withdraw and list keys", Example: "  plantainwinch key list"}
-	c.operatorFlags(cmd)
-	cmd.AddCommand(newKeyIssue(&c), newKeyWithdraw(&c), objectList(&c, "key", keyRows), newKeyHash())
+	c.addOperatorFlags(cmd)
+	cmd.AddCommand(newKeyIssue(&c), newKeyWithdraw(&c), newObjectList(&c, "key", keyRows), newKeyHash())
 	return cmd
 }
 
@@ -57,7 +57,7 @@
 			if err := c.do(cmd.Context(), http.MethodDelete, "/Operator/Keys/"+id, nil, &reply); err != nil {
 				return err
 			}
-			return c.printChange(cmd, reply)
+			return c.printAppliedReply(cmd, reply)
 		},
 	}
 }
@@ -78,9 +78,9 @@
 }
 
 func keyRows(w io.Writer, doc *winch.Document) {
-	row(w, "KEY", "ROLE", "HOLDER", "ISSUED")
+	printRow(w, "KEY", "ROLE", "HOLDER", "ISSUED")
 	for _, id := range slices.Sorted(maps.Keys(doc.Keys)) {
 		k := doc.Keys[id]
-		row(w, k.ID, k.Role, k.Holder, k.Issued.Format(time.RFC3339))
+		printRow(w, k.ID, k.Role, k.Holder, k.Issued.Format(time.RFC3339))
 	}
 }
--- a/cmds/load.go
+++ b/cmds/load.go
@@ -18,16 +18,16 @@
 
 // loadFlags are the flags of the load command.
 type loadFlags struct {
-	cell, output, out, profile string
-	compare                    bool
-	rounds                     int
-	run                        load.Run
+	cellFile, output, reportFile, profileFile string
+	compare                                   bool
+	rounds                                    int
+	run                                       load.Run
 }
 
 // maxDuration and maxRate are the largest values that --duration and --rate accept.
 const (
-	durationMost = 10 * time.Minute
-	rateMost     = 20000
+	maxDuration = 10 * time.Minute
+	maxRate     = 20000
 )
 
 func newLoad() *cobra.Command {
@@ -44,10 +44,10 @@
 		RunE:    func(cmd *cobra.Command, _ []string) error { return f.do(cmd) },
 	}
 	fs := cmd.Flags()
-	fs.StringVar(&f.cell, "cell", "", "file written by dev --out; if empty, a separate cell is started")
+	fs.StringVar(&f.cellFile, "cell", "", "file written by dev --out; if empty, a separate cell is started")
 	fs.StringVar(&f.output, "output", "table", "output format: table or json")
-	fs.StringVar(&f.out, "out", "", "also write the report as JSON to this file")
-	fs.StringVar(&f.profile, "profile", "", "write a CPU profile of this process to this file")
+	fs.StringVar(&f.reportFile, "out", "", "also write the report as JSON to this file")
+	fs.StringVar(&f.profileFile, "profile", "", "write a CPU profile of this process to this file")
 	fs.BoolVar(&f.compare, "compare", false, "compare direct calls with calls through one entry and with calls over one hop between entries")
 	fs.IntVar(&f.rounds, "rounds", 3, "number of rounds of --compare")
 	fs.Float64Var(&f.run.Rate, "rate", 300, "arrivals per second over all entries")
@@ -63,13 +63,13 @@
 	switch {
 	case f.output != "table" && f.output != "json":
 		return merry.Errorf("--output %s: write table or json", f.output)
-	case f.run.Duration <= 0 || f.run.Duration > durationMost:
-		return merry.Errorf("--duration %s: write a time above zero, up to %s", f.run.Duration, durationMost)
-	case f.run.Rate <= 0 || f.run.Rate > rateMost:
-		return merry.Errorf("--rate %g: write a number above zero, up to %d", f.run.Rate, rateMost)
+	case f.run.Duration <= 0 || f.run.Duration > maxDuration:
+		return merry.Errorf("--duration %s: write a time above zero, up to %s", f.run.Duration, maxDuration)
+	case f.run.Rate <= 0 || f.run.Rate > maxRate:
+		return merry.Errorf("--rate %g: write a number above zero, up to %d", f.run.Rate, maxRate)
 	case f.run.Outage < 0 || f.run.Outage >= f.run.Duration:
 		return merry.Errorf("--outage %s: write a time that is not negative and shorter than --duration", f.run.Outage)
-	case f.compare && f.cell != "":
+	case f.compare && f.cellFile != "":
 		return merry.New("--compare starts a separate cell: leave --cell out")
 	}
 	return nil
@@ -79,13 +79,13 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	target, stop, err := f.target(cmd.Context())
+	target, stop, err := f.openTarget(cmd.Context())
 	if err != nil {
 		return err
 	}
 	defer stop()
-	if f.profile != "" {
-		file, err := os.Create(f.profile)
+	if f.profileFile != "" {
+		file, err := os.Create(f.profileFile)
 		if err != nil {
 			return merry.Prepend(err, "--profile")
 		}
@@ -107,7 +107,7 @@
 		return err
 	}
 	if n := report.Broken.Sum(); n > 0 {
-		return withCode(exitRefused, merry.Errorf("%d guarantees were violated", n))
+		return withExitCode(exitRefused, merry.Errorf("%d guarantees were violated", n))
 	}
 	return nil
 }
@@ -121,9 +121,9 @@
 }
 
 // openTarget returns the cell to load and a function that stops it if it was started here.
-func (f *loadFlags) target(ctx context.Context) (*load.Target, func(), error) {
-	if f.cell != "" {
-		t, err := load.ReadTarget(f.cell)
+func (f *loadFlags) openTarget(ctx context.Context) (*load.Target, func(), error) {
+	if f.cellFile != "" {
+		t, err := load.ReadTarget(f.cellFile)
 		return t, func() {}, err
 	}
 	c := &cell.Cell{Size: cell.ProductionSize()}
@@ -147,8 +147,8 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	if f.out != "" {
-		if err := os.WriteFile(f.out, data, 0o600); err != nil {
+	if f.reportFile != "" {
+		if err := os.WriteFile(f.reportFile, data, 0o600); err != nil {
 			return merry.Prepend(err, "--out")
 		}
 	}
--- a/cmds/phased.go
+++ b/cmds/phased.go
@@ -21,8 +21,8 @@
 		Example: "  plantainwinch phased state jobs 0123456789abcdef",
 	}
 	cmd.PersistentFlags().StringVar(&c.Address, "jobs", "127.0.0.1:7004", "address of an entry's interface for phased jobs")
-	c.commonFlags(cmd)
-	cmd.AddCommand(newPhasedSubmit(&c), newPhasedOne(&c, "state", "Show a job", http.MethodGet), newPhasedOne(&c, "cancel", "Cancel a job", http.MethodDelete), newPhasedQueue(&c))
+	c.addCommonFlags(cmd)
+	cmd.AddCommand(newPhasedSubmit(&c), newPhasedJob(&c, "state", "Show a job", http.MethodGet), newPhasedJob(&c, "cancel", "Cancel a job", http.MethodDelete), newPhasedQueue(&c))
 	return cmd
 }
 
@@ -37,11 +37,11 @@
 		Example: "  plantainwinch phased submit jobs 0123456789abcdef --file mix.json",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			body, err := readPhased(cmd, file)
+			body, err := readPhasedJob(cmd, file)
 			if err != nil {
 				return err
 			}
-			return c.phased(cmd, http.MethodPost, args, body)
+			return c.phasedRequest(cmd, http.MethodPost, args, body)
 		},
 	}
 	cmd.Flags().StringVar(&file, "file", "-", "file with the job, - for standard input")
@@ -49,7 +49,7 @@
 }
 
 // readPhasedJob reads a job's JSON from a file or, for "-", standard input. Only a file's JSON is checked here.
-func readPhased(cmd *cobra.Command, file string) (json.RawMessage, error) {
+func readPhasedJob(cmd *cobra.Command, file string) (json.RawMessage, error) {
 	if file == "-" {
 		data, err := io.ReadAll(cmd.InOrStdin())
 		return data, merry.Wrap(err)
@@ -65,20 +65,20 @@
 }
 
 // newPhasedJob returns a command that sends a request for one job and prints the job's state.
-func newPhasedOne(c *client, name, short, method string) *cobra.Command {
+func newPhasedJob(c *client, name, short, method string) *cobra.Command {
 	return &cobra.Command{
 		Use:     name + " QUEUE ID",
 		Short:   short,
 		Example: "  plantainwinch phased " + name + " jobs 0123456789abcdef",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return c.phased(cmd, method, args, nil)
+			return c.phasedRequest(cmd, method, args, nil)
 		},
 	}
 }
 
 // phasedRequest sends a request for one job, given as queue and id, and prints the job's state.
-func (c *client) phased(cmd *cobra.Command, method string, args []string, body any) error {
+func (c *client) phasedRequest(cmd *cobra.Command, method string, args []string, body any) error {
 	var state front.PhasedState
 	if err := c.do(cmd.Context(), method, "/Queues/"+args[0]+"/Jobs/"+args[1], body, &state); err != nil {
 		return err
--- a/cmds/process_test.go
+++ b/cmds/process_test.go
@@ -29,53 +29,53 @@
 )
 
 // asProgramEnv is an environment variable that makes the test binary run as the program.
-const asProgram = "WINCH_TEST_AS_PROGRAM"
+const asProgramEnv = "WINCH_TEST_AS_PROGRAM"
 
 // processCell is a cell of real processes on loopback.
-type plant struct {
-	t        *testing.T
-	dir      string
-	platform string
-	procs    map[string]*exec.Cmd
-	at       map[string]string // The address of each process; for an entry, of its callers' interface.
-	desk     map[string]string // The address of each entry's operators' interface.
-	operator string            // The operator's key.
-	key      string            // The key of the team choir.
+type processCell struct {
+	t                 *testing.T
+	dir               string
+	platform          string
+	processes         map[string]*exec.Cmd
+	addresses         map[string]string // The address of each process; for an entry, of its callers' interface.
+	operatorAddresses map[string]string // The address of each entry's operators' interface.
+	operatorKey       string            // The operator's key.
+	teamKey           string            // The key of the team choir.
 }
 
 // newProcessCell starts a platform, two executors, two workers and the entries, all in one failure domain. It returns
 // when every entry serves calls and the planner knows both workers.
-func newPlant(t *testing.T, entries ...string) *plant {
+func newProcessCell(t *testing.T, entries ...string) *processCell {
 	t.Helper()
 	secret, key := config.NewKey()
-	p := &plant{
-		t: t, dir: t.TempDir(), procs: make(map[string]*exec.Cmd), at: make(map[string]string), desk: make(map[string]string),
-		operator: secret,
+	p := &processCell{
+		t: t, dir: t.TempDir(), processes: make(map[string]*exec.Cmd), addresses: make(map[string]string), operatorAddresses: make(map[string]string),
+		operatorKey: secret,
 	}
 	t.Cleanup(p.stop)
 	p.platform = freeAddress(t)
-	p.start("platform", "stand", "platform", "--listen", p.platform)
+	p.startProcess("platform", "stand", "platform", "--listen", p.platform)
 	for _, name := range []string{"e1", "e2"} {
-		p.at[name] = freeAddress(t)
-		p.start(name, "stand", "executor", "--name", name, "--platform", p.platform, "--listen", p.at[name])
+		p.addresses[name] = freeAddress(t)
+		p.startProcess(name, "stand", "executor", "--name", name, "--platform", p.platform, "--listen", p.addresses[name])
 	}
 	for _, name := range []string{"w1", "w2"} {
-		p.at[name] = freeAddress(t)
-		p.start(name, "stand", "worker", "--name", name, "--platform", p.platform, "--listen", p.at[name], "--processors", "8")
+		p.addresses[name] = freeAddress(t)
+		p.startProcess(name, "stand", "worker", "--name", name, "--platform", p.platform, "--listen", p.addresses[name], "--processors", "8")
 	}
 	peers := make([]string, len(entries))
 	for i := range peers {
 		peers[i] = freeAddress(t)
 	}
 	for i, name := range entries {
-		p.at[name], p.desk[name] = freeAddress(t), freeAddress(t)
-		p.write(name, peers[i], peers, key.Hash)
-		p.start(name, "serve", "-c", p.file(name))
+		p.addresses[name], p.operatorAddresses[name] = freeAddress(t), freeAddress(t)
+		p.writeSettings(name, peers[i], peers, key.Hash)
+		p.startProcess(name, "serve", "-c", p.settingsFile(name))
 	}
 	p.configure(entries[0])
 	p.await("the entries to know each other, a planner and the slots", func() bool {
 		var s entry.CellStatus
-		if p.operate(http.MethodGet, entries[0], "/Operator/Status", nil, &s) != nil || len(s.Entries) < len(entries) {
+		if p.operatorRequest(http.MethodGet, entries[0], "/Operator/Status", nil, &s) != nil || len(s.Entries) < len(entries) {
 			return false
 		}
 		for _, name := range entries {
@@ -107,10 +107,10 @@
 	return ""
 }
 
-func (p *plant) file(name string) string { return filepath.Join(p.dir, name+".ini") }
+func (p *processCell) settingsFile(name string) string { return filepath.Join(p.dir, name+".ini") }
 
 // writeSettings writes the settings file of an entry.
-func (p *plant) write(name, peer string, peers []string, hash string) {
+func (p *processCell) writeSettings(name, peer string, peers []string, hash string) {
 	text := fmt.Sprintf(`[Entry]
 Name = %s
 Domain = d1
@@ -130,21 +130,21 @@
 Heartbeat = 200ms
 Office = 1s
 Tasks = 3s
-`, name, hash, p.at[name], p.desk[name], peer, p.platform, strings.Join(peers, ", "))
-	if err := os.WriteFile(p.file(name), []byte(text), 0o600); err != nil {
+`, name, hash, p.addresses[name], p.operatorAddresses[name], peer, p.platform, strings.Join(peers, ", "))
+	if err := os.WriteFile(p.settingsFile(name), []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
 // startProcess starts the test binary as the program with the given arguments, under a name of the test.
-func (p *plant) start(name string, args ...string) {
+func (p *processCell) startProcess(name string, args ...string) {
 	p.t.Helper()
 	program, err := os.Executable()
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	cmd := exec.Command(program, args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), asProgramEnv+"=1")
 	log, err := os.Create(filepath.Join(p.dir, name+".log"))
 	if err != nil {
 		p.t.Fatal(err)
@@ -153,26 +153,26 @@
 	if err := cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.procs[name] = cmd
+	p.processes[name] = cmd
 }
 
-func (p *plant) signal(name string, s syscall.Signal) {
+func (p *processCell) signal(name string, s syscall.Signal) {
 	p.t.Helper()
-	if err := p.procs[name].Process.Signal(s); err != nil {
+	if err := p.processes[name].Process.Signal(s); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
 // kill kills a process with SIGKILL and waits for its exit.
-func (p *plant) kill(name string) {
-	_ = p.procs[name].Process.Kill()
-	_ = p.procs[name].Wait()
-	delete(p.procs, name)
+func (p *processCell) kill(name string) {
+	_ = p.processes[name].Process.Kill()
+	_ = p.processes[name].Wait()
+	delete(p.processes, name)
 }
 
 // stop kills all processes. If the test failed, it logs the end of each process's output.
-func (p *plant) stop() {
-	for name := range p.procs {
+func (p *processCell) stop() {
+	for name := range p.processes {
 		if p.t.Failed() {
 			log, _ := os.ReadFile(filepath.Join(p.dir, name+".log"))
 			p.t.Logf("%s:\n%s", name, log[max(0, len(log)-3000):])
@@ -183,7 +183,7 @@
 
 // await polls until f returns true and returns how long that took. The timeout only keeps a failing test from running
 // forever.
-func (p *plant) await(what string, f func() bool) time.Duration {
+func (p *processCell) await(what string, f func() bool) time.Duration {
 	p.t.Helper()
 	begin := time.Now()
 	for time.Since(begin) < time.Minute {
@@ -197,7 +197,7 @@
 }
 
 // request sends a request and decodes the response into into, if that is set.
-func (p *plant) request(method, url, key string, body, into any) error {
+func (p *processCell) request(method, url, key string, body, into any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -225,12 +225,12 @@
 }
 
 // operatorRequest sends a request to the operators' interface of an entry.
-func (p *plant) operate(method, name, path string, body, into any) error {
-	return p.request(method, "http://"+p.desk[name]+path, p.operator, body, into)
+func (p *processCell) operatorRequest(method, name, path string, body, into any) error {
+	return p.request(method, "http://"+p.operatorAddresses[name]+path, p.operatorKey, body, into)
 }
 
 // configure declares a team, classes and a service at an entry, and issues the keys that the tests need.
-func (p *plant) configure(name string) {
+func (p *processCell) configure(name string) {
 	p.t.Helper()
 	declared := config.Declared{
 		Teams: map[string]winch.Team{"choir": {Name: "choir", Share: 1, Limit: 40, CutOffTrust: time.Minute}},
@@ -243,74 +243,74 @@
 		Services: map[string]winch.Service{"render": {Name: "render", MaxBody: 1 << 20}},
 	}
 	p.await("the configuration to be accepted", func() bool {
-		return p.operate(http.MethodPost, name, "/Operator/Apply", front.ApplyBody{Declared: declared}, nil) == nil
+		return p.operatorRequest(http.MethodPost, name, "/Operator/Apply", front.ApplyBody{Declared: declared}, nil) == nil
 	})
 	var team, owner front.KeyReply
 	for _, k := range []struct {
 		body front.KeyBody
 		into *front.KeyReply
 	}{{front.KeyBody{Role: winch.KeyTeam, Holder: "choir"}, &team}, {front.KeyBody{Role: winch.KeyOwner, Holder: "render"}, &owner}} {
-		if err := p.operate(http.MethodPost, name, "/Operator/Keys", k.body, k.into); err != nil {
+		if err := p.operatorRequest(http.MethodPost, name, "/Operator/Keys", k.body, k.into); err != nil {
 			p.t.Fatal(err)
 		}
 	}
-	p.key = team.Key
-	url := "http://" + p.desk[name] + "/Operator/Services/render/Approved/choir"
+	p.teamKey = team.Key
+	url := "http://" + p.operatorAddresses[name] + "/Operator/Services/render/Approved/choir"
 	if err := p.request(http.MethodPut, url, owner.Key, nil, nil); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
 // callResponse is the result of a call as its caller sees it.
-type answer struct {
+type callResponse struct {
 	outcome, reason, body string
 	err                   error
 }
 
 // call sends a call of the service render through an entry.
-func (p *plant) call(name, class, id, body string, header http.Header) answer {
+func (p *processCell) call(name, class, id, body string, header http.Header) callResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.at[name]+"/Call/render", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.addresses[name]+"/Call/render", strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return callResponse{err: err}
 	}
 	for k, v := range header {
 		req.Header[k] = v
 	}
-	req.Header.Set("Authorization", "Bearer "+p.key)
+	req.Header.Set("Authorization", "Bearer "+p.teamKey)
 	req.Header.Set(front.ClassHeader, class)
 	req.Header.Set(front.RequestIDHeader, id)
 	req.Header.Set("Stand-Caller", id)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return callResponse{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return answer{resp.Header.Get(front.OutcomeHeader), resp.Header.Get(front.ReasonHeader), string(data), err}
+	return callResponse{resp.Header.Get(front.OutcomeHeader), resp.Header.Get(front.ReasonHeader), string(data), err}
 }
 
-func (p *plant) submit(name, class, id string, tasks int, run string) winch.Job {
+func (p *processCell) submit(name, class, id string, tasks int, run string) winch.Job {
 	p.t.Helper()
 	var job winch.Job
 	body := front.JobBody{
 		RequestID: id, Class: class, Kind: winch.Batch, Tasks: tasks, RunTime: run, Command: "echo x",
 		Need: front.NeedBody{Processors: 1, Memory: "1GB"},
 	}
-	if err := p.request(http.MethodPost, "http://"+p.at[name]+"/Jobs", p.key, body, &job); err != nil {
+	if err := p.request(http.MethodPost, "http://"+p.addresses[name]+"/Jobs", p.teamKey, body, &job); err != nil {
 		p.t.Fatal(err)
 	}
 	return job
 }
 
-func (p *plant) job(name, id string) (v entry.JobView, err error) {
-	err = p.request(http.MethodGet, "http://"+p.at[name]+"/Jobs/"+id+"?Wait=1s", p.key, nil, &v)
+func (p *processCell) job(name, id string) (v entry.JobView, err error) {
+	err = p.request(http.MethodGet, "http://"+p.addresses[name]+"/Jobs/"+id+"?Wait=1s", p.teamKey, nil, &v)
 	return v, err
 }
 
 // awaitJob waits for a job to end and returns it.
-func (p *plant) finished(name, id string) entry.JobView {
+func (p *processCell) awaitJob(name, id string) entry.JobView {
 	p.t.Helper()
 	var out entry.JobView
 	p.await("job "+id+" to end", func() bool {
@@ -322,19 +322,19 @@
 }
 
 // planner returns the entry that is the planner, as another entry reports it.
-func (p *plant) placer(name string) string {
+func (p *processCell) planner(name string) string {
 	var s entry.CellStatus
-	if p.operate(http.MethodGet, name, "/Operator/Status", nil, &s) != nil || len(s.Domains) == 0 {
+	if p.operatorRequest(http.MethodGet, name, "/Operator/Status", nil, &s) != nil || len(s.Domains) == 0 {
 		return ""
 	}
 	return s.Domains[0].Placer
 }
 
 // runCount returns how often a request ran on the executors that still respond.
-func (p *plant) runs(id string) (n int) {
+func (p *processCell) runCount(id string) (n int) {
 	for _, name := range []string{"e1", "e2"} {
 		var c stand.ExecCounts
-		if p.request(http.MethodGet, "http://"+p.at[name]+"/Stand/Counts", "", nil, &c) == nil {
+		if p.request(http.MethodGet, "http://"+p.addresses[name]+"/Stand/Counts", "", nil, &c) == nil {
 			n += c.Runs[id]
 		}
 	}
@@ -342,11 +342,11 @@
 }
 
 // startViolations lists the tasks that were started more than once and the workers that were overcommitted.
-func (p *plant) startedTwice() (out []string) {
+func (p *processCell) startViolations() (out []string) {
 	sum := make(map[string]int)
 	for _, name := range []string{"w1", "w2"} {
 		var c stand.WorkerCounts
-		if err := p.request(http.MethodGet, "http://"+p.at[name]+"/Stand/Counts", "", nil, &c); err != nil {
+		if err := p.request(http.MethodGet, "http://"+p.addresses[name]+"/Stand/Counts", "", nil, &c); err != nil {
 			p.t.Fatal(err)
 		}
 		if c.Overcommitted > 0 {
@@ -364,16 +364,16 @@
 // TestProcessInvoicesOfKilledAndPausedExecutorsAreUnknown guards against a second run of a call that is not
 // repeatable. One executor process is killed and another paused while each runs an invoice. Both callers must get an
 // unknown outcome, and a request with the same id must not send the invoice again.
-func TestProcessExecutorKilledAndFrozen(t *testing.T) {
+func TestProcessInvoicesOfKilledAndPausedExecutorsAreUnknown(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(t, "a", "b")
+	p := newProcessCell(t, "a", "b")
 	work := http.Header{"Stand-Work": {"5s"}, front.DeadlineHeader: {"3s"}}
-	var results [2]answer
+	var results [2]callResponse
 	var group conc.WaitGroup
 	for i := range results {
 		group.Go(func() { results[i] = p.call("a", "invoice", fmt.Sprint("i", i), "x", work) })
 	}
-	p.await("both invoices to run", func() bool { return p.runs("i0")+p.runs("i1") == 2 })
+	p.await("both invoices to run", func() bool { return p.runCount("i0")+p.runCount("i1") == 2 })
 	p.kill("e1")
 	p.signal("e2", syscall.SIGSTOP)
 	group.Wait()
@@ -384,16 +384,16 @@
 		again := p.call("b", "invoice", fmt.Sprint("i", i), "x", http.Header{front.DeadlineHeader: {"1s"}})
 		is.Equal(again.outcome, "Unknown")
 	}
-	is.True(p.runs("i0")+p.runs("i1") <= 2)
+	is.True(p.runCount("i0")+p.runCount("i1") <= 2)
 }
 
 // TestProcessJobsEndAfterPlannersAreKilledAndPaused guards against lost jobs and double starts at takeovers. The
 // planner process is killed; then its successor is paused for longer than its lease and resumed. Every job must end,
 // and no task may be started twice.
-func TestProcessPlacerKilledAndFrozen(t *testing.T) {
+func TestProcessJobsEndAfterPlannersAreKilledAndPaused(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(t, "a", "b", "c")
-	first := p.placer("a")
+	p := newProcessCell(t, "a", "b", "c")
+	first := p.planner("a")
 	survivor := "a"
 	if first == "a" {
 		survivor = "b"
@@ -403,9 +403,9 @@
 	p.kill(first)
 	begin := time.Now()
 	afterKill := p.submit(survivor, "mix", "j3", 1, "1ms")
-	p.finished(survivor, afterKill.ID)
+	p.awaitJob(survivor, afterKill.ID)
 	t.Logf("a job ended %s after the planner was killed", time.Since(begin).Round(time.Millisecond))
-	second := p.placer(survivor)
+	second := p.planner(survivor)
 	is.True(second != first)
 	for _, name := range []string{"a", "b", "c"} {
 		if name != first && name != second {
@@ -415,23 +415,23 @@
 	p.signal(second, syscall.SIGSTOP)
 	jobs = append(jobs, p.submit(survivor, "billed", "j4", 6, "300ms"))
 	whilePaused := p.submit(survivor, "mix", "j5", 12, "300ms")
-	p.finished(survivor, whilePaused.ID)
+	p.awaitJob(survivor, whilePaused.ID)
 	p.signal(second, syscall.SIGCONT)
 	for _, j := range jobs {
-		is.Equal(p.finished(survivor, j.ID).State, winch.JobDone)
+		is.Equal(p.awaitJob(survivor, j.ID).State, winch.JobDone)
 	}
-	is.Equal(p.startedTwice(), nil)
+	is.Equal(p.startViolations(), nil)
 }
 
 // TestProcessPlannedStopInterruptsNoCall guards against calls that a planned stop interrupts. An entry gets SIGTERM
 // while callers send calls through it. The load balancer notices only after a delay that the entry is not ready. Until
 // then every call must end completely or be refused as not run.
-func TestProcessPlannedStop(t *testing.T) {
+func TestProcessPlannedStopInterruptsNoCall(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(t, "a", "b")
+	p := newProcessCell(t, "a", "b")
 	var group conc.WaitGroup
 	var mu sync.Mutex
-	interrupted, done := []answer{}, 0
+	interrupted, done := []callResponse{}, 0
 	var ready atomic.Bool
 	ready.Store(true)
 	for i := range 8 {
@@ -449,40 +449,40 @@
 		})
 	}
 	group.Go(func() { // The load balancer polls every 100 ms and sends no calls to an entry that is not ready.
-		for p.request(http.MethodGet, "http://"+p.at["a"]+"/Ready", "", nil, nil) == nil {
+		for p.request(http.MethodGet, "http://"+p.addresses["a"]+"/Ready", "", nil, nil) == nil {
 			time.Sleep(100 * time.Millisecond)
 		}
 		ready.Store(false)
 	})
 	p.await("calls to be served", func() bool { mu.Lock(); defer mu.Unlock(); return done > 50 })
 	p.signal("a", syscall.SIGTERM)
-	is.NoErr(p.procs["a"].Wait())
-	delete(p.procs, "a")
+	is.NoErr(p.processes["a"].Wait())
+	delete(p.processes, "a")
 	group.Wait()
 	for _, b := range interrupted {
 		t.Errorf("interrupted call: %+v: %v", b, b.err)
 	}
 	is.Equal(p.call("b", "preview", "after", "x", nil).outcome, "Done")
 	job := p.submit("b", "mix", "after", 4, "10ms")
-	is.Equal(p.finished("b", job.ID).State, winch.JobDone)
+	is.Equal(p.awaitJob("b", job.ID).State, winch.JobDone)
 }
 
 // TestProcessCallsContinueWhileThePlatformIsPaused guards against repeatable calls that depend on the platform. While
 // the platform process is paused, calls of a repeatable class must succeed and a batch job must be refused. The job
 // must be accepted once the platform is resumed.
-func TestProcessPlatformFrozen(t *testing.T) {
+func TestProcessCallsContinueWhileThePlatformIsPaused(t *testing.T) {
 	is := is.New(t)
-	p := newPlant(t, "a", "b")
+	p := newProcessCell(t, "a", "b")
 	p.signal("platform", syscall.SIGSTOP)
 	for i := range 100 {
 		is.Equal(p.call([]string{"a", "b"}[i%2], "preview", fmt.Sprint("p", i), "x", nil).outcome, "Done")
 	}
 	body := front.JobBody{RequestID: "j", Class: "mix", Kind: winch.Batch, Tasks: 1, Need: front.NeedBody{Processors: 1, Memory: "1GB"}, RunTime: "10ms"}
-	err := p.request(http.MethodPost, "http://"+p.at["a"]+"/Jobs", p.key, body, nil)
+	err := p.request(http.MethodPost, "http://"+p.addresses["a"]+"/Jobs", p.teamKey, body, nil)
 	is.True(err != nil)
 	p.signal("platform", syscall.SIGCONT)
 	p.await("the job to be accepted", func() bool {
-		return p.request(http.MethodPost, "http://"+p.at["a"]+"/Jobs", p.key, body, nil) == nil
+		return p.request(http.MethodPost, "http://"+p.addresses["a"]+"/Jobs", p.teamKey, body, nil) == nil
 	})
-	is.Equal(p.startedTwice(), nil)
+	is.Equal(p.startViolations(), nil)
 }
--- a/cmds/root.go
+++ b/cmds/root.go
@@ -23,23 +23,23 @@
 )
 
 // exitError is an error that sets the exit code of the program.
-type codeError struct {
+type exitError struct {
 	code int
 	err  error
 }
 
 // Error implements error.
-func (c *codeError) Error() string { return c.err.Error() }
+func (c *exitError) Error() string { return c.err.Error() }
 
 // Unwrap returns the wrapped error for errors.Is and errors.As.
-func (c *codeError) Unwrap() error { return c.err }
+func (c *exitError) Unwrap() error { return c.err }
 
 // withExitCode attaches an exit code to err. It returns nil if err is nil.
-func withCode(code int, err error) error {
+func withExitCode(code int, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &codeError{code: code, err: err}
+	return &exitError{code: code, err: err}
 }
 
 // Execute runs the command given by args and returns the exit code. SIGINT and SIGTERM cancel the command's context.
@@ -53,7 +53,7 @@
 		return exitDone
 	}
 	fmt.Fprintln(os.Stderr, "Error:", err)
-	var coded *codeError
+	var coded *exitError
 	if errors.As(err, &coded) {
 		return coded.code
 	}
--- a/cmds/script_test.go
+++ b/cmds/script_test.go
@@ -12,7 +12,7 @@
 
 // TestMain lets the scripts and the process tests run the test binary as the program.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(asProgramEnv) != "" {
 		os.Exit(Execute(os.Args[1:]))
 	}
 	testscript.Main(m, map[string]func(){
--- a/cmds/serve.go
+++ b/cmds/serve.go
@@ -76,21 +76,21 @@
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	group.Go(func() { reload(writerCtx, path, s) })
+	group.Go(func() { reloadSettings(writerCtx, path, s) })
 	s.Run(ctx)
 	return nil
 }
 
 // reloadInterval is the interval at which the settings file is read again, as it may change without a signal.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // reloadSettings reads the settings file at intervals and on SIGHUP and applies it, until ctx ends. If the file cannot
 // be loaded, the present settings stay.
-func reload(ctx context.Context, path string, s *server.Region) {
+func reloadSettings(ctx context.Context, path string, s *server.Region) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/cmds/service.go
+++ b/cmds/service.go
@@ -16,10 +16,10 @@
 func newService() *cobra.Command {
 	var c client
 	cmd := &cobra.Command{Use: "service", Short: "Create, list and show services, and approve teams", Example: "  plantainwinch service list"}
-	c.operatorFlags(cmd)
+	c.addOperatorFlags(cmd)
 	cmd.AddCommand(
-		newServiceCreate(&c), objectList(&c, "service", serviceRows),
-		objectShow(&c, "service", func(d *winch.Document) map[string]winch.Service { return d.Services }),
+		newServiceCreate(&c), newObjectList(&c, "service", serviceRows),
+		newObjectShow(&c, "service", func(d *winch.Document) map[string]winch.Service { return d.Services }),
 		newApprove(&c, "approve", http.MethodPut, "Allow a team to call the service; requires the key of the service's owner"),
 		newApprove(&c, "revoke", http.MethodDelete, "Revoke a team's permission to call the service; requires the key of the service's owner"),
 	)
@@ -59,13 +59,13 @@
 			if err := c.do(cmd.Context(), method, path, nil, &reply); err != nil {
 				return err
 			}
-			return c.printChange(cmd, reply)
+			return c.printAppliedReply(cmd, reply)
 		},
 	}
 }
 
 // printAppliedReply prints the version that a change produced and the entries that confirmed it.
-func (c *client) printChange(cmd *cobra.Command, reply entry.Applied) error {
+func (c *client) printAppliedReply(cmd *cobra.Command, reply entry.Applied) error {
 	return c.print(cmd, reply, func(w io.Writer) {
 		printApplied(w, reply.Version, reply.Unchanged, reply.Confirmed, reply.Missing)
 	})
--- a/cmds/stand.go
+++ b/cmds/stand.go
@@ -155,7 +155,7 @@
 }
 
 // maxRegisterAttempts limits how long register waits for a platform that has not started yet.
-const registerTries = 50
+const maxRegisterAttempts = 50
 
 // register adds a VM to the platform's list. It retries, as the platform may still be starting.
 func register(platform string, vm winch.VM) error {
@@ -163,8 +163,8 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	for range registerTries {
-		if err = post(platform, data); err == nil {
+	for range maxRegisterAttempts {
+		if err = postVM(platform, data); err == nil {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -173,7 +173,7 @@
 }
 
 // postVM sends an encoded VM to the platform once.
-func post(platform string, data []byte) error {
+func postVM(platform string, data []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+platform+"/VMs", bytes.NewReader(data))
--- a/cmds/status.go
+++ b/cmds/status.go
@@ -28,30 +28,30 @@
 			return c.print(cmd, s, func(w io.Writer) { printStatus(w, s) })
 		},
 	}
-	c.operatorFlags(cmd)
+	c.addOperatorFlags(cmd)
 	return cmd
 }
 
 func printStatus(w io.Writer, s entry.CellStatus) {
-	row(w, "ENTRY", "DOMAIN", "CONFIG", "SERVICE", "SLOTS", "BUSY", "QUEUED")
+	printRow(w, "ENTRY", "DOMAIN", "CONFIG", "SERVICE", "SLOTS", "BUSY", "QUEUED")
 	for _, e := range s.Entries {
 		for _, l := range e.Loads {
-			row(w, e.Name, e.Domain, e.Config, l.Service, l.Slots, l.Busy, l.Queued)
+			printRow(w, e.Name, e.Domain, e.Config, l.Service, l.Slots, l.Busy, l.Queued)
 		}
 		if len(e.Loads) == 0 {
-			row(w, e.Name, e.Domain, e.Config, "-", "-", "-", "-")
+			printRow(w, e.Name, e.Domain, e.Config, "-", "-", "-", "-")
 		}
 	}
 	fmt.Fprintln(w)
-	row(w, "DOMAIN", "PLACER", "EPOCH", "PROCESSORS", "MEMORY", "WAITING")
+	printRow(w, "DOMAIN", "PLACER", "EPOCH", "PROCESSORS", "MEMORY", "WAITING")
 	for _, d := range s.Domains {
-		row(w, d.Name, d.Placer, d.Epoch, fmt.Sprintf("%d of %d", d.Used.Processors, d.Size.Processors),
+		printRow(w, d.Name, d.Placer, d.Epoch, fmt.Sprintf("%d of %d", d.Used.Processors, d.Size.Processors),
 			conf.FormatBytes(d.Used.Memory)+" of "+conf.FormatBytes(d.Size.Memory), d.Waiting)
 	}
 	fmt.Fprintln(w)
-	row(w, "TEAM", "RUNNING", "LIMIT", "SHARE", "WAITING FOR LIMIT")
+	printRow(w, "TEAM", "RUNNING", "LIMIT", "SHARE", "WAITING FOR LIMIT")
 	for _, t := range s.Teams {
-		row(w, t.Name, t.Running, t.Limit, t.Share, t.Waiting)
+		printRow(w, t.Name, t.Running, t.Limit, t.Share, t.Waiting)
 	}
 }
 
@@ -68,13 +68,13 @@
 				return err
 			}
 			return c.print(cmd, lines, func(w io.Writer) {
-				row(w, "VERSION", "TIME", "ACTOR", "ACTION", "OBJECT", "DETAIL")
+				printRow(w, "VERSION", "TIME", "ACTOR", "ACTION", "OBJECT", "DETAIL")
 				for _, l := range lines {
-					row(w, l.Version, l.Time.Format(time.RFC3339), l.Actor, l.Action, l.Object, l.Detail)
+					printRow(w, l.Version, l.Time.Format(time.RFC3339), l.Actor, l.Action, l.Object, l.Detail)
 				}
 			})
 		},
 	}
-	c.operatorFlags(cmd)
+	c.addOperatorFlags(cmd)
 	return cmd
 }
--- a/cmds/team.go
+++ b/cmds/team.go
@@ -19,8 +19,8 @@
 func newTeam() *cobra.Command {
 	var c client
 	cmd := &cobra.Command{Use: "team", Short: "Create, list and show teams", Example: "  plantainwinch team list"}
-	c.operatorFlags(cmd)
-	cmd.AddCommand(newTeamCreate(&c), objectList(&c, "team", teamRows), objectShow(&c, "team", func(d *winch.Document) map[string]winch.Team { return d.Teams }))
+	c.addOperatorFlags(cmd)
+	cmd.AddCommand(newTeamCreate(&c), newObjectList(&c, "team", teamRows), newObjectShow(&c, "team", func(d *winch.Document) map[string]winch.Team { return d.Teams }))
 	return cmd
 }
 
@@ -56,20 +56,20 @@
 }
 
 // fetchDocument fetches the whole configuration.
-func (c *client) document(cmd *cobra.Command) (*winch.Document, error) {
+func (c *client) fetchDocument(cmd *cobra.Command) (*winch.Document, error) {
 	doc := new(winch.Document)
 	return doc, c.do(cmd.Context(), http.MethodGet, "/Operator/Document", nil, doc)
 }
 
 // newObjectList returns the command that lists one kind of declared object.
-func objectList(c *client, kind string, rows func(w io.Writer, doc *winch.Document)) *cobra.Command {
+func newObjectList(c *client, kind string, rows func(w io.Writer, doc *winch.Document)) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
 		Short:   "List the declared objects",
 		Example: "  plantainwinch " + kind + " list --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			doc, err := c.document(cmd)
+			doc, err := c.fetchDocument(cmd)
 			if err != nil {
 				return err
 			}
@@ -79,21 +79,21 @@
 }
 
 // newObjectShow returns the command that shows one declared object as JSON.
-func objectShow[T any](c *client, kind string, pick func(*winch.Document) map[string]T) *cobra.Command {
+func newObjectShow[T any](c *client, kind string, pick func(*winch.Document) map[string]T) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show NAME",
 		Short:   "Show one declared object as JSON",
 		Example: "  plantainwinch " + kind + " show NAME",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			doc, err := c.document(cmd)
+			doc, err := c.fetchDocument(cmd)
 			if err != nil {
 				return err
 			}
 			v, ok := pick(doc)[args[0]]
 			if !ok {
 				known := slices.Sorted(maps.Keys(pick(doc)))
-				return withCode(exitRefused, merry.Errorf("%s %q is not declared; declared are %s", kind, args[0], strings.Join(known, ", ")))
+				return withExitCode(exitRefused, merry.Errorf("%s %q is not declared; declared are %s", kind, args[0], strings.Join(known, ", ")))
 			}
 			c.Output = "json"
 			return c.print(cmd, v, nil)
@@ -102,18 +102,18 @@
 }
 
 func teamRows(w io.Writer, doc *winch.Document) {
-	row(w, "TEAM", "SHARE", "LIMIT", "CUT-OFF TRUST")
+	printRow(w, "TEAM", "SHARE", "LIMIT", "CUT-OFF TRUST")
 	for _, name := range slices.Sorted(maps.Keys(doc.Teams)) {
 		t := doc.Teams[name]
-		row(w, t.Name, t.Share, t.Limit, t.CutOffTrust)
+		printRow(w, t.Name, t.Share, t.Limit, t.CutOffTrust)
 	}
 }
 
 func newClass() *cobra.Command {
 	var c client
 	cmd := &cobra.Command{Use: "class", Short: "Create, list and show classes of work", Example: "  plantainwinch class list"}
-	c.operatorFlags(cmd)
-	cmd.AddCommand(newClassCreate(&c), objectList(&c, "class", classRows), objectShow(&c, "class", func(d *winch.Document) map[string]winch.Class { return d.Classes }))
+	c.addOperatorFlags(cmd)
+	cmd.AddCommand(newClassCreate(&c), newObjectList(&c, "class", classRows), newObjectShow(&c, "class", func(d *winch.Document) map[string]winch.Class { return d.Classes }))
 	return cmd
 }
 
@@ -142,21 +142,21 @@
 }
 
 func classRows(w io.Writer, doc *winch.Document) {
-	row(w, "CLASS", "TARGET", "MAX RUN", "REPEATABLE", "PREEMPTIBLE")
+	printRow(w, "CLASS", "TARGET", "MAX RUN", "REPEATABLE", "PREEMPTIBLE")
 	for _, name := range slices.Sorted(maps.Keys(doc.Classes)) {
 		k := doc.Classes[name]
 		target := "done by " + k.By
 		if k.By == "" {
 			target = "started within " + k.Wait.String()
 		}
-		row(w, k.Name, target, k.MaxRun, k.Repeatable, k.Preemptible)
+		printRow(w, k.Name, target, k.MaxRun, k.Repeatable, k.Preemptible)
 	}
 }
 
 func serviceRows(w io.Writer, doc *winch.Document) {
-	row(w, "SERVICE", "MAX BODY", "APPROVED TEAMS")
+	printRow(w, "SERVICE", "MAX BODY", "APPROVED TEAMS")
 	for _, name := range slices.Sorted(maps.Keys(doc.Services)) {
 		s := doc.Services[name]
-		row(w, s.Name, conf.FormatBytes(s.MaxBody), strings.Join(s.Approved, ", "))
+		printRow(w, s.Name, conf.FormatBytes(s.MaxBody), strings.Join(s.Approved, ", "))
 	}
 }
--- a/cmds/trial.go
+++ b/cmds/trial.go
@@ -15,13 +15,13 @@
 // trialOptions holds the flags of the trial command.
 type trialOptions struct {
 	client
-	seed     uint64
-	patterns []string
-	without  []string
-	plot     string
-	each     bool
-	fleets   bool
-	growth   bool
+	seed       uint64
+	patterns   []string
+	without    []string
+	plotFolder string
+	each       bool
+	fleets     bool
+	growth     bool
 }
 
 func newTrial() *cobra.Command {
@@ -42,7 +42,7 @@
 	cmd.Flags().StringSliceVar(&o.patterns, "pattern", nil, "load patterns to simulate; all if none is given")
 	cmd.Flags().StringSliceVar(&o.without, "without", nil, "mechanisms to switch off")
 	cmd.Flags().BoolVar(&o.each, "each", false, "also simulate with each single mechanism switched off")
-	cmd.Flags().StringVar(&o.plot, "plot", "", "folder for SVG plots")
+	cmd.Flags().StringVar(&o.plotFolder, "plot", "", "folder for SVG plots")
 	cmd.Flags().BoolVar(&o.fleets, "fleets", false, "measure the planner of a failure domain")
 	cmd.Flags().BoolVar(&o.growth, "growth", false, "measure how the cost of its decisions grows with the fleet")
 	cmd.Flags().StringVar(&o.Output, "output", "table", "output format: table or json")
@@ -52,11 +52,11 @@
 func (o *trialOptions) run(cmd *cobra.Command) error {
 	switch {
 	case o.growth:
-		return o.placer(cmd, trial.Growth(o.seed))
+		return o.printResults(cmd, trial.Growth(o.seed))
 	case o.fleets:
-		return o.placer(cmd, fleets(o.seed))
+		return o.printResults(cmd, compareFleets(o.seed))
 	}
-	patterns, err := o.chosen()
+	patterns, err := o.selectedPatterns()
 	if err != nil {
 		return err
 	}
@@ -80,8 +80,8 @@
 			all = append(all, out)
 		}
 	}
-	if o.plot != "" {
-		if err := trial.Plot(o.plot, all); err != nil {
+	if o.plotFolder != "" {
+		if err := trial.Plot(o.plotFolder, all); err != nil {
 			return err
 		}
 	}
@@ -89,7 +89,7 @@
 }
 
 // selectedPatterns returns the patterns given with --pattern, or all patterns without it.
-func (o *trialOptions) chosen() ([]trial.Pattern, error) {
+func (o *trialOptions) selectedPatterns() ([]trial.Pattern, error) {
 	all := trial.Patterns()
 	if len(o.patterns) == 0 {
 		return all, nil
@@ -110,12 +110,12 @@
 }
 
 // printResults prints the results of the planner of a failure domain.
-func (o *trialOptions) placer(cmd *cobra.Command, all []trial.Result) error {
+func (o *trialOptions) printResults(cmd *cobra.Command, all []trial.Result) error {
 	return o.print(cmd, all, func(w io.Writer) { _ = trial.Print(w, all) })
 }
 
 // compareFleets runs the baseline and both placement preferences on the arrivals of each fleet.
-func fleets(seed uint64) (out []trial.Result) {
+func compareFleets(seed uint64) (out []trial.Result) {
 	for _, f := range trial.Fleets() {
 		out = append(out,
 			trial.Run(f, seed, place.Packing, true), trial.Run(f, seed, place.Packing, false), trial.Run(f, seed, place.Waiting, false))
