--- a/coord/fleet/account.go
+++ b/coord/fleet/account.go
@@ -18,7 +18,8 @@
 	// Waited is the time during which a task was ready and did not run, by reason, summed over the
 	// phases. Phases that wait at the same time are counted separately.
 	Waited map[Reason]time.Duration
-	// Unanswered counts the starts that got no response, Failed the runs that failed.
+	// FailedStarts counts the starts that a worker refused or did not respond to, Failed the runs
+	// that failed.
 	Unanswered, Failed int
 	// Crashes lists the worker crashes for which the job was failed.
 	Crashes []winch.Crash
--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -24,14 +24,14 @@
 	minRequestWorkers = 8
 	maxRequestWorkers = 100
 	// capacityFactor is the ratio of the capacity that a request covers to the capacity that the
-	// step needs, since other work takes some of it before the response arrives.
+	// phase needs, since other work takes some of it before the response arrives.
 	capacityFactor = 2.0
 	// objectiveWorkers is the number of workers in the request that objectives allow for.
 	objectiveWorkers = 30
 	// adviceRetryDelay is the delay after a failed request.
 	adviceRetryDelay = 100 * time.Millisecond
-	// starvationThreshold is the time without a request after which a step counts as starving. One
-	// in starvingDivisor of the allowed requests is reserved for such steps.
+	// starvationThreshold is the time without a request after which a phase counts as starving. One
+	// in starvingDivisor of the requests in the quota is reserved for such phases.
 	starvationThreshold = 3 * time.Second
 	starvingDivisor     = 8
 )
@@ -45,7 +45,7 @@
 // unlimitedQuota sets no limit on requests.
 var unlimitedQuota = RequestQuota{math.MaxInt, math.MaxInt}
 
-// forStep returns the quota that a step's requests count against.
+// forPhase returns the quota that a phase's requests count against.
 func (o *RequestQuota) forStep(s *phase) *int {
 	if s.job.inUrgentQueue() {
 		return &o.Urgent
@@ -53,8 +53,9 @@
 	return &o.Normal
 }
 
-// requestAdvice asks the advice service which workers may run a step if the step has waiting
-// tasks, or some more that are to move, and too few workers with free capacity and a valid ticket.
+// requestAdvice requests advice on which workers may run a phase, if the workers with free capacity
+// and a valid ticket do not suffice for its waiting tasks and the given number of tasks that are to
+// move.
 func (p *Planner) requestAdvice(s *phase, now time.Time, r rank, moving int) {
 	if !p.needsAdvice(s, now, moving) {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// needsAdvice reports whether a request about a step is due.
+// needsAdvice reports whether a request about a phase is due.
 func (p *Planner) needsAdvice(s *phase, now time.Time, moving int) bool {
 	if s.job.queue.Advice == nil || s.waiting+moving == 0 || s.advice.pending || now.Before(s.advice.retryAt) {
 		return false
@@ -75,7 +76,7 @@
 	return (moving > 0 || s.job.team.allows(s.spec.Need)) && p.sparesUrgent(s)
 }
 
-// starvingQuota returns how much of the quota is reserved for starving steps.
+// starvingQuota returns how much of the quota is reserved for starving phases.
 func (p *Planner) starvingQuota(s *phase) int {
 	if *p.initialOpenings.forStep(s) == math.MaxInt {
 		return 0
@@ -83,8 +84,8 @@
 	return *p.initialOpenings.forStep(s) / starvingDivisor
 }
 
-// requestForStarving sends requests for starving steps, the longest waiting first. With few lanes,
-// ordering by rank alone would never reach those with the lowest rank.
+// requestForStarving enqueues requests about starving phases, the longest waiting first. With few
+// lanes, ordering by rank alone would never reach those that rank last.
 func (p *Planner) requestForStarving(now time.Time) {
 	slices.SortFunc(p.starving, func(a, b waitingStep) int {
 		return cmp.Or(later(a.step.readySince, a.step.advice.requested).Compare(later(b.step.readySince, b.step.advice.requested)), compareWaitingSteps(a, b))
@@ -98,8 +99,8 @@
 	p.starving = p.starving[:0]
 }
 
-// sendRequest queues a request about a step, unless workers with free capacity and valid tickets
-// suffice.
+// enqueueRequest enqueues a request about a phase, unless the workers with free capacity and valid
+// tickets suffice.
 func (p *Planner) sendRequest(s *phase, now time.Time, r rank, moving int) {
 	cost := s.job.queue.Advice
 	wanted := s.waiting + moving
@@ -133,8 +134,7 @@
 	return n
 }
 
-// fitInto returns how many tasks of a step fit into some capacity of a worker, at most the given
-// number.
+// fitInto returns how many tasks of a phase fit into the given capacity, at most limit.
 func (s *phase) fitInto(capacity winch.Capacity, limit int) int {
 	charge := s.spec.Charge()
 	n := min(len(s.tasks), limit)
@@ -154,14 +154,14 @@
 type candidate struct {
 	w       *worker
 	slots   int
-	allowed bool // allowed says that the step is known to be allowed there and only needs a ticket.
+	allowed bool // allowed is set if the phase is known to be allowed there and only needs a ticket.
 	score   float64
 }
 
 // workersToRequest chooses the workers to name in a request for the given number of tasks: those
-// with free capacity and, where the step is known to be allowed, those expected to have some when
-// the response arrives, as many as probably suffice. A first request names as many workers as can
-// be added before they cost more than the request itself.
+// with free capacity and, where the phase is known to be allowed, those expected to have some when
+// the response arrives, as many as probably suffice. A phase's first request names further workers
+// until they cost as much as the request itself.
 func (p *Planner) workersToRequest(s *phase, now time.Time, wanted int) []string {
 	first := p.Policy.AskAll && s.advice.requested.IsZero()
 	full := !s.spec.Charge().Fits(p.pool(s.job.queue.Service).maxFree)
@@ -194,7 +194,7 @@
 	return out
 }
 
-// Marks that a search puts on workers.
+// Marks that the last call of markByAdvice has put on workers.
 const (
 	markDenied = iota + 1
 	markTicketed
@@ -262,13 +262,13 @@
 	return a.w.index < b.w.index
 }
 
-// ticketExpiresFirst reports whether a slot planned for the step at a worker becomes free only
+// ticketExpiresFirst reports whether a slot planned for the phase at a worker becomes free only
 // after the ticket has expired.
 func (s *phase) ticketExpiresFirst(w *worker, t permit) bool {
 	return slices.ContainsFunc(s.slots, func(x slot) bool { return x.w == w && !t.valid(x.at) })
 }
 
-// slotsBy counts the slots planned for the step at a worker that become free by the given time.
+// slotsBy counts the slots planned for the phase at a worker that become free by the given time.
 func (s *phase) slotsBy(w *worker, by time.Time) int {
 	n := 0
 	for _, x := range s.slots {
@@ -280,7 +280,7 @@
 }
 
 // AdviceReceived handles the response to an advice request: the tickets, how long they are valid,
-// and when the request was sent.
+// and when the request was sent. If valid is zero, the validity configured for the queue applies.
 func (p *Planner) AdviceReceived(a AdviceRequest, tickets []winch.Ticket, valid time.Duration, requested time.Time) {
 	s := p.takeRequest(a)
 	if s == nil {
@@ -336,7 +336,7 @@
 	}
 }
 
-// takeRequest returns the step that a request is about, if it still exists, and marks the request
+// takeRequest returns the phase that a request is about, if it still exists, and marks the request
 // as no longer pending.
 func (p *Planner) takeRequest(a AdviceRequest) *phase {
 	j := p.jobs[a.Phase.Job]
--- a/coord/fleet/ahead.go
+++ b/coord/fleet/ahead.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// aheadFraction is the largest fraction of a ticket's validity that may pass before the step it is
+// aheadFraction is the largest fraction of a ticket's validity that may pass before the phase it is
 // requested for is expected to start.
 const aheadFraction = 0.5
 
-// anticipate lists the urgent steps that follow a step whose tasks all run or have ended. For
-// other work, such requests would occupy lanes for longer than the time they save.
+// anticipate marks the phases that follow this one, whose tasks all run or have ended, as phases
+// for which advice may be requested early. It does so only for urgent work: for other work, such
+// requests would occupy lanes for longer than the time they save.
 func (s *phase) anticipate() {
 	if !s.job.inUrgentQueue() || s.job.queue.Advice == nil {
 		return
@@ -20,8 +21,9 @@
 	}
 }
 
-// requestAhead sends requests about steps that will start soon, within what is left of the quota,
-// so that their tickets have arrived when the preceding steps end and are still valid then.
+// requestAhead enqueues requests about anticipated phases that will start soon, within what is left
+// of the quota, so that their tickets arrive before the preceding phases end and are still valid
+// then.
 func (p *Planner) requestAhead(now time.Time) {
 	kept := p.ahead[:0]
 	for _, s := range p.ahead {
@@ -42,7 +44,7 @@
 	p.ahead = kept
 }
 
-// startsIn returns how long the preceding steps are expected to take from now, and whether that is
+// startsIn returns how long the preceding phases are expected to take from now, and whether that is
 // known: all their tasks must run or have ended.
 func (s *phase) startsIn(now time.Time) (time.Duration, bool) {
 	left := time.Duration(0)
--- a/coord/fleet/ahead_test.go
+++ b/coord/fleet/ahead_test.go
@@ -10,8 +10,8 @@
 	"plantainwinch/winch"
 )
 
-// Guards against a job's second phase requesting advice only when the first has ended, so that the
-// job's caller waits for a response that could have been there by then.
+// Guards against requesting advice about a job's second phase only when the first has ended, so that
+// the job's caller waits for a response that could have been there by then.
 func TestAdviceAboutNextPhaseIsRequestedWhileFirstRuns(t *testing.T) {
 	for _, ahead := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// answerPhase allows all workers named in the requests about a phase.
+// respondForPhase allows all workers named in the requests about a phase.
 func answerPhase(c *simRegion, phase int) {
 	for _, a := range c.planner.AdviceRequests() {
 		if a.Phase.Phase != phase {
@@ -53,7 +53,7 @@
 }
 
 // Advice about the phase after a long one must be requested only when the end of the long one is
-// near, as the tickets would expire before.
+// near: tickets requested earlier would expire before the phase starts.
 func TestAdviceAboutNextPhaseIsNotRequestedTooEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/bench_test.go
+++ b/coord/fleet/bench_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// answerAll allows every fourth worker named in the pending requests.
+// respondToAll allows every fourth worker named in the pending requests.
 func answerAll(p *Planner) {
 	for _, a := range p.AdviceRequests() {
 		var tickets []winch.Ticket
--- a/coord/fleet/bound_test.go
+++ b/coord/fleet/bound_test.go
@@ -10,8 +10,9 @@
 	"plantainwinch/winch"
 )
 
-// With 40,000 waiting tasks and no limit, a call of Schedule took a second, and starts were
-// ordered after their tickets had expired.
+// Guards against a call of Schedule that takes longer the more tasks wait. With 40,000 waiting tasks
+// and no limit on the workers examined, it took a second, and starts were ordered after their
+// tickets had expired.
 func TestScheduleIsBoundedForAnyBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -70,17 +71,17 @@
 		late := tasks(1, 1000)
 		c.add("late", "mix", "choir", late)
 		c.planner.jobs["late"].excess = true
-		asked := false
+		requested := false
 		for range 100 {
 			c.planner.Openings = RequestQuota{Urgent: 8, Normal: 8}
 			c.planner.Schedule()
 			for _, a := range c.planner.AdviceRequests() {
-				asked = asked || a.Phase.Job == "late"
+				requested = requested || a.Phase.Job == "late"
 				c.planner.AdviceReceived(a, nil, 0, time.Now())
 				c.planner.jobs[a.Phase.Job].phases[0].advice.denied = nil // The others request advice again.
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(asked)
+		is.True(requested)
 	})
 }
--- a/coord/fleet/cause.go
+++ b/coord/fleet/cause.go
@@ -23,7 +23,7 @@
 	// may have lost its power.
 	correlationWindow = time.Second
 	minCorrelated     = 3
-	// If fewer than one in recentStartDivisor of the boots had no recent start, simultaneous
+	// If at most one in recentStartDivisor of the other lost boots had no recent start, simultaneous
 	// crashes are attributed to their runs.
 	recentStartDivisor = 5
 )
@@ -52,7 +52,8 @@
 	return c
 }
 
-// judge reports whether a run counts as a cause, and whether there are likelier ones.
+// judge reports whether the crash counts against a run and, if so, whether only as a weak crash: one
+// that has likelier causes.
 func (c *cause) judge(f bootRun) (weak, counts bool) {
 	probe := f.probe != nil && c.boot.hadProbe
 	switch {
@@ -74,9 +75,9 @@
 	return true, f.age <= maxWeakAge || c.youngestAge > maxWeakAge
 }
 
-// commonCause reports whether the tasks of the run's phase, started at the same moment, may have
-// crashed all boots that were lost together: each boot had such a task, and none started elsewhere
-// has lived longer.
+// commonCause reports whether the tasks of the run's phase may have crashed all boots that were lost
+// together: each boot ran such a task, and no other task of the phase shows that they do not crash
+// workers, by being done or by running much longer at a responsive worker.
 func (c *cause) commonCause(f bootRun) bool {
 	s := f.task.phase
 	if slices.ContainsFunc(c.otherLosses, func(x lostBoot) bool {
@@ -99,11 +100,11 @@
 		!slices.ContainsFunc(c.boot.runs, func(x bootRun) bool { return x.probe == nil && x.age <= f.age+suddenCrashAge })
 }
 
-// simultaneousLosses returns the other boots that lost contact at the same time and had no probe
-// that explains it.
+// simultaneousLosses returns the other boots that lost contact at the same time. Boots with a probe,
+// which would explain the loss, and draining workers are left out.
 func (p *Planner) simultaneousLosses(b *lostBoot) []lostBoot {
 	var out []lostBoot
-	simultaneous := func(silent time.Time) bool { return silent.Sub(b.unresponsiveSince).Abs() <= correlationWindow }
+	simultaneous := func(lostAt time.Time) bool { return lostAt.Sub(b.unresponsiveSince).Abs() <= correlationWindow }
 	for i := range p.lostBoots {
 		if x := &p.lostBoots[i]; x != b && simultaneous(x.unresponsiveSince) && !x.hadProbe && !x.vm.Draining {
 			out = append(out, *x)
--- a/coord/fleet/crash.go
+++ b/coord/fleet/crash.go
@@ -10,8 +10,8 @@
 
 const (
 	// A task is given up after maxProbeCrashes crashes that only its probe explains. One such
-	// crash suffices if it came as long after the start as an earlier crash, within similarMargin
-	// plus a similarDivisor-th of that time.
+	// crash suffices if it came about as long after the start as an earlier crash: the two times may
+	// differ by similarMargin plus the earlier one divided by similarDivisor.
 	maxProbeCrashes = 2
 	similarMargin   = 50 * time.Millisecond
 	similarDivisor  = 20
@@ -51,7 +51,7 @@
 	runs    []bootRun
 }
 
-// snapshotBoot returns what would be lost with the worker now. Runs ordered after contact was lost
+// snapshotBoot returns the boot with the runs that would be lost with it now. Runs ordered after contact was lost
 // and not confirmed have not started, and are left out.
 func (w *worker) snapshotBoot(now time.Time) lostBoot {
 	b := lostBoot{vm: w.vm, unresponsiveSince: w.unresponsiveSince, hadProbe: w.probe != nil}
@@ -70,8 +70,8 @@
 	return b
 }
 
-// rememberBoot keeps the runs of a lost boot. If the boot is not known to have crashed, that may
-// still turn out later.
+// rememberBoot keeps the runs of a lost boot: if the boot is not yet known to have crashed, noteBoot
+// may still find that it has.
 func (p *Planner) rememberBoot(w *worker, crashed bool) {
 	now := p.now()
 	b := w.snapshotBoot(now)
@@ -147,8 +147,8 @@
 	}
 }
 
-// hasSimilar reports whether an earlier crash, of which the task is a likely cause, came as long
-// after the start.
+// hasSimilar reports whether an earlier crash, of which the task is a likely cause, came about as
+// long after the start of its run.
 func (x *suspicion) hasSimilar(lived time.Duration) bool {
 	return slices.ContainsFunc(x.crashes, func(c winch.Crash) bool {
 		return !c.Weak && (c.Lived-lived).Abs() <= similarMargin+c.Lived/similarDivisor
--- a/coord/fleet/demand.go
+++ b/coord/fleet/demand.go
@@ -103,7 +103,7 @@
 	return j.inUrgentQueue() && !j.excess
 }
 
-// measure updates the capacity of all pools, sorts the ready steps, and counts the urgent demand
+// measure updates the capacity of all pools, sorts the ready phases, and counts the urgent demand
 // of all services and teams.
 func (p *Planner) measure(now time.Time, adopting bool) {
 	for _, x := range p.pools {
@@ -153,7 +153,7 @@
 	}
 }
 
-// countWaiting adds the waiting tasks of a step to the demand of urgent work.
+// countWaiting adds the waiting tasks of a phase to the demand of urgent work.
 func (p *Planner) countWaiting(s *phase) {
 	if !s.job.urgent() {
 		return
@@ -169,7 +169,7 @@
 	return [2]*demand{&j.planner.pool(j.queue.Service).urgent, &j.team.urgent}
 }
 
-// countUrgent adds a run to the used urgent capacity if on is set and the run is urgent, and
+// countUrgent adds a run to the urgent demand in use if on is set and the run does urgent work, and
 // otherwise removes it.
 func (r *run) countUrgent(on bool) {
 	on = on && r.task != nil && !r.stopping && r.task.phase.job.urgent()
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// handleKnown applies what the keeper of an earlier planner's session reported of a worker. All
-// orders went through that keeper, so nothing else runs there. The worker gets no work until its
-// own lists have been received.
+// handleKnown applies the runs of a worker that its keeper knows from the session of an earlier
+// planner. All orders went through that keeper, so nothing else runs there. The worker gets no work
+// until its own lists have been received.
 func (p *Planner) handleKnown(w *worker, e proto.KeeperEvent) {
 	if w.ready {
 		return
@@ -265,7 +265,8 @@
 	return true
 }
 
-// finishTask marks a task, or a whole gang, as successfully completed and stops its other runs.
+// finishTask marks a task, or all members of its gang, as successfully completed and stops their
+// other runs.
 func (p *Planner) finishTask(t *task) {
 	tasks := []*task{t}
 	if t.phase.spec.Gang {
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -19,13 +19,13 @@
 	Urgent bool
 	// Rank orders requests of the same urgency; the lowest is sent first.
 	Rank float64
-	// Cost is how long the service takes to answer.
+	// Cost is how long the service takes to respond.
 	Cost    time.Duration
 	Created time.Time
 }
 
-// Planner holds the state of all jobs and workers of a region. Exported fields must be set before
-// the first call.
+// Planner holds the state of all jobs and workers of a region. Term, Clock and Policy must be set
+// before the first call; the other exported fields may be set between calls.
 type Planner struct {
 	// Term counts the planners of the region: it rises with each acquisition of the office, the
 	// planner's leadership lease in the store. Run numbers start with it, so that they increase
@@ -36,7 +36,7 @@
 	// work of that planner is adopted but not started again.
 	Barrier time.Time
 	// AdoptedRevision is the last revision at which an accepted job may have been started by an
-	// earlier planner.
+	// earlier planner. It is the highest number until that revision is known.
 	AdoptedRevision uint64
 	// LeaseExpiry, if set, is when the lease of this planner's office may have expired. Jobs added
 	// later are not started: a later planner starts them.
@@ -45,7 +45,7 @@
 	Clock func() time.Time
 	// Policy selects the scheduling mechanisms in use; New sets DefaultPolicy.
 	Policy Policy
-	// Openings limits the advice requests of the next Schedule; New sets no limit.
+	// Quota limits the advice requests of the next Schedule; New sets no limit.
 	Openings RequestQuota
 
 	jobs map[string]*job
@@ -53,7 +53,8 @@
 	active map[string]*job
 	// ready holds the phases that may have waiting tasks, in the order of the last Schedule.
 	ready []waitingStep
-	// ahead holds the phases for which advice may be requested before their dependencies are done.
+	// anticipated holds the phases for which advice may be requested before their dependencies are
+	// done.
 	ahead   []*phase
 	workers map[string]*worker
 	// byID lists the workers by ID; it is out of date while unsorted is set.
@@ -64,22 +65,22 @@
 	// roster holds the workers that earlier planners may have used and that have not yet listed
 	// their runs.
 	roster map[string]bool
-	// runs counts the run numbers that this planner has assigned.
+	// assignedRuns counts the run numbers that this planner has assigned.
 	runs uint64
 	// pools holds the capacity and the urgent demand of the workers of each service.
 	pools map[string]*pool
 	// reservedWorkers lists the workers with capacity that the last Schedule reserved for phases
 	// of higher rank.
 	reservedWorkers []*worker
-	// planned counts the phases for which the last Schedule reserved slots, searched those for
-	// which it searched slots anew, and examined the workers that it examined.
+	// plannedPhases counts the phases for which the last Schedule planned slots, searchedPhases
+	// those for which it computed the slots again, and examined the workers that it examined.
 	planned, searched, examined int
-	// resume is the phase at which the last Schedule stopped if it did not finish.
+	// resumeAt is the phase at which the last Schedule stopped if it did not finish.
 	resume *phase
-	// marks counts the searches that mark workers.
+	// markRound counts the calls of markByAdvice. Marks of earlier rounds are void.
 	marks uint64
-	// initialOpenings is Openings at the start of the last Schedule; starving lists the phases
-	// that have waited long for advice and got no request.
+	// initialQuota is Quota at the start of the last Schedule; starving lists the phases that have
+	// waited long without an advice request.
 	initialOpenings RequestQuota
 	starving        []waitingStep
 	// pendingWorkers holds the workers with completions that have not been forgotten yet.
@@ -106,7 +107,7 @@
 // Counts are totals since the planner took over.
 type Counts struct {
 	Started, NotStarted, Done, Failed, Stopped, Lost, AdviceRequests, Restarted int64
-	// Examined counts the workers examined by decisions, which is most of the cost of scheduling.
+	// Examined counts the workers examined by decisions, which causes most of the cost of scheduling.
 	Examined int64
 	Running  int
 }
@@ -130,7 +131,7 @@
 	turnaround time.Duration
 }
 
-// adviceTime returns how long an advice request for the usual number of workers takes. A job's
+// adviceTime returns how long an advice request about objectiveWorkers workers takes. A job's
 // objective allows for one such request per phase.
 func (q *queue) adviceTime() time.Duration {
 	if q == nil || q.Advice == nil {
--- a/coord/fleet/fleet_test.go
+++ b/coord/fleet/fleet_test.go
@@ -101,8 +101,8 @@
 	return state
 }
 
-// Guards the order of phases: a phase starts only after the phases before it, and the end of the
-// job becomes visible only once it is recorded.
+// A phase must start only after the phases before it, and the end of the job must become visible
+// only once it is recorded.
 func TestPhasesRunInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/forget.go
+++ b/coord/fleet/forget.go
@@ -34,8 +34,8 @@
 	return p.jobs[id] != nil
 }
 
-// ExpiredJobs returns the jobs that ended before a time and whose end is recorded. Of jobs that
-// ended later, it drops all state that callers cannot ask for.
+// ExpiredJobs returns the jobs without runs that ended before a time and whose end is recorded. Of
+// jobs that ended later, it drops all state that callers cannot request.
 func (p *Planner) ExpiredJobs(before time.Time) []string {
 	var out []string
 	for id, j := range p.jobs {
--- a/coord/fleet/gang.go
+++ b/coord/fleet/gang.go
@@ -14,13 +14,13 @@
 	stopping   bool
 }
 
-// acceptsRun reports whether a run found at a worker can belong to the step: members of a gang
+// acceptsRun reports whether a run found at a worker can belong to the phase: members of a gang
 // share one run, other tasks have runs of their own.
 func (s *phase) acceptsRun(number uint64) bool {
 	return !s.spec.Gang || s.gang.number == 0 || s.gang.number == number && !s.gang.stopping
 }
 
-// adoptRun takes over the run of a gang member that an earlier planner started.
+// adoptRun makes the run of a gang member that an earlier planner started the run of the gang.
 func (s *phase) adoptRun(number uint64) {
 	if s.spec.Gang && s.gang.number == 0 {
 		s.gang.number = number
@@ -74,7 +74,7 @@
 	}
 }
 
-// stopGang stops a run that cannot be completed.
+// stopGang stops the gang's current run because not all members have started.
 func (p *Planner) stopGang(s *phase) {
 	s.gang.stopping = true
 	for _, t := range s.tasks {
--- a/coord/fleet/health.go
+++ b/coord/fleet/health.go
@@ -18,8 +18,8 @@
 	refusedQuarantine = 300 * time.Millisecond
 )
 
-// health tracks the failures at a worker, to tell a worker that fails everything from jobs that
-// fail everywhere.
+// health tracks the failures at a worker, to distinguish a worker that fails everything from jobs
+// that fail everywhere.
 type health struct {
 	jobs map[string]bool
 	// until is the end of the quarantine, period the length of the last one.
--- a/coord/fleet/job.go
+++ b/coord/fleet/job.go
@@ -41,7 +41,7 @@
 	suspects   map[string]*suspicion
 	cleared    int // cleared counts the suspects that were shown not to crash their workers.
 	crashes    []winch.Crash
-	unanswered int  // unanswered counts the starts that got no response.
+	unanswered int  // failedStarts counts the starts that a worker refused or did not respond to.
 	awaited    bool // awaited is set while a caller, or the start of a task, waits for the record.
 	dirty      bool // dirty is set if the record must be written.
 	retained   bool // retained is set if the job has ended and the store still holds it.
@@ -65,7 +65,7 @@
 	// ready.
 	enqueued   bool
 	readySince time.Time
-	ahead      bool // ahead is set if advice may be requested before the dependencies are done.
+	ahead      bool // anticipated is set if advice may be requested before the dependencies are done.
 	// waiting counts the tasks that neither run nor are done, done those that are done, and live
 	// those that run.
 	waiting int
@@ -73,13 +73,13 @@
 	live    int
 	// finishedAt is when a task of the phase last completed successfully.
 	finishedAt time.Time
-	// remainingPath is the longest chain of estimates from this phase to the end of the job,
+	// remainingPath is the longest chain of estimates from this phase to the end of the repetition,
 	// criticalPath the longest chain of the whole repetition.
 	remainingPath time.Duration
 	criticalPath  time.Duration
 	advice        advice
 	gang          gangRun
-	// slots are the places at which the waiting tasks are expected to start, as of the search at
+	// slots are where and when the waiting tasks are expected to start, as computed at
 	// slotsFoundAt.
 	slots        []slot
 	slotsFoundAt time.Time
@@ -184,8 +184,8 @@
 	}
 }
 
-// enqueueIfReady adds a phase to the ready list if it has waiting tasks and no preceding phase
-// delays it.
+// enqueueIfReady adds a phase to the ready list if it has waiting tasks and the preceding phases are
+// done.
 func (p *Planner) enqueueIfReady(s *phase) {
 	if !s.enqueued && s.waiting > 0 && s.job.queue != nil && s.dependenciesDone() {
 		s.enqueued, s.readySince = true, time.Time{}
@@ -213,8 +213,8 @@
 	}
 }
 
-// updateCriticalPaths computes the longest chain of estimates from each phase to the end of its
-// repetition.
+// updateCriticalPaths computes, for each phase, the longest chain of estimates from it to the end of
+// its repetition.
 func (j *job) updateCriticalPaths() {
 	for _, s := range j.phases {
 		s.remainingPath = 0
@@ -227,20 +227,20 @@
 // updateCriticalPath computes the chains of the repetition that starts at index first. A phase
 // names only earlier phases, so one backward pass is enough.
 func (j *job) updateCriticalPath(first int) {
-	steps := j.phases[first : first+len(j.rec.Phases)]
-	for i, s := range slices.Backward(steps) {
+	phases := j.phases[first : first+len(j.rec.Phases)]
+	for i, s := range slices.Backward(phases) {
 		s.remainingPath += s.spec.Estimate + j.queue.adviceTime()
 		for _, a := range s.spec.After {
 			if a < i {
-				steps[a].remainingPath = max(steps[a].remainingPath, s.remainingPath)
+				phases[a].remainingPath = max(phases[a].remainingPath, s.remainingPath)
 			}
 		}
 	}
 	longest := time.Duration(0)
-	for _, s := range steps {
+	for _, s := range phases {
 		longest = max(longest, s.remainingPath)
 	}
-	for _, s := range steps {
+	for _, s := range phases {
 		s.criticalPath = longest
 	}
 }
--- a/coord/fleet/move.go
+++ b/coord/fleet/move.go
@@ -13,14 +13,14 @@
 // capacity for it, and the advice service's permission where it is needed.
 func (p *Planner) moveLasting(now time.Time) {
 	leavingRuns := p.runsToMove()
-	steps := make([]*phase, 0, len(leavingRuns))
+	phases := make([]*phase, 0, len(leavingRuns))
 	for s := range leavingRuns {
-		steps = append(steps, s)
+		phases = append(phases, s)
 	}
-	slices.SortFunc(steps, func(a, b *phase) int {
+	slices.SortFunc(phases, func(a, b *phase) int {
 		return cmp.Or(cmp.Compare(a.job.rec.ID, b.job.rec.ID), cmp.Compare(a.index, b.index), cmp.Compare(a.repetition, b.repetition))
 	})
-	for _, s := range steps {
+	for _, s := range phases {
 		runs := leavingRuns[s]
 		slots := max(0, p.ticketedTasks(s, now)-s.waiting)
 		for _, r := range runs[:min(slots, len(runs))] {
--- a/coord/fleet/permit.go
+++ b/coord/fleet/permit.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// advice is what is known about which workers may run a step. Permission does not change; a ticket
-// expires, and ends with the worker's boot.
+// advice holds what is known about which workers may run a phase. Permission does not change; a
+// ticket expires, and becomes invalid with the next boot of the worker.
 type advice struct {
 	allowed   []permit // allowed is sorted by worker ID.
 	denied    []*worker
@@ -16,7 +16,7 @@
 	retryAt   time.Time
 }
 
-// permit is the permission to run a step at a worker, with a ticket for a start there.
+// permit is the permission to run a phase at a worker, with a ticket for a start there.
 type permit struct {
 	worker  *worker
 	ticket  string
--- a/coord/fleet/pick.go
+++ b/coord/fleet/pick.go
@@ -7,7 +7,7 @@
 	"plantainwinch/winch"
 )
 
-// picker chooses workers for tasks of one step, the best first. It is only valid within one
+// picker chooses workers for tasks of one phase, the best first. It is only valid within one
 // Schedule.
 type picker struct {
 	planner *Planner
@@ -20,20 +20,20 @@
 // choice is a worker that a task may be started at.
 type choice struct {
 	w        *worker
-	free     winch.Capacity // free is the capacity there that the step may use.
-	maxTasks int            // maxTasks is the number of further tasks of the step that may run there.
+	free     winch.Capacity // free is the capacity there that the phase may use.
+	maxTasks int            // maxTasks is how many more tasks of the phase may run there.
 	score    float64
 }
 
-// shape is what determines which workers have capacity for a task that needs no advice.
+// shape holds what decides whether a worker has capacity for a task, if the task needs no advice.
 type shape struct {
 	charge   winch.Capacity
 	label    string
 	estimate time.Duration
 }
 
-// covers reports whether a miss for shape x implies a miss for the other shape: a task of that
-// shape needs at least as much, on a worker with the same label, for at least as long.
+// covers reports whether the other shape fits no worker if x fits none: its tasks need at least as
+// much, on workers with the same label if x has one, and for at least as long.
 func (x shape) covers(other shape) bool {
 	return x.charge.Fits(other.charge) && (x.label == "" || x.label == other.label) && x.estimate <= other.estimate
 }
@@ -42,10 +42,10 @@
 	return shape{s.spec.Charge(), s.spec.Label, s.spec.Estimate}
 }
 
-// maxMisses bounds the number of shapes remembered per service as misses.
+// maxMisses bounds the number of shapes per service that are remembered as fitting no worker.
 const maxMisses = 16
 
-// knownMiss reports whether it is known that no worker has capacity for a task of the step.
+// knownMiss reports whether it is known that no worker has capacity for a task of the phase.
 func (p *Planner) knownMiss(s *phase) bool {
 	if s.job.queue.Advice != nil {
 		return false
@@ -59,7 +59,7 @@
 	return false
 }
 
-// recordMiss records until the next Schedule that no worker has capacity for a task of the step.
+// recordMiss records until the next Schedule that no worker has capacity for a task of the phase.
 func (p *Planner) recordMiss(s *phase) {
 	x := p.pool(s.job.queue.Service)
 	if s.job.queue.Advice == nil && s.spec.MostPerVM == 0 && len(x.misses) < maxMisses {
@@ -88,7 +88,7 @@
 	return k
 }
 
-// eachEligible calls f for the workers that may run the step now, regardless of their free
+// eachEligible calls f for the workers that may run the phase now, regardless of their free
 // capacity, in the order of their IDs.
 func (p *Planner) eachEligible(s *phase, now time.Time, f func(*worker)) {
 	if s.job.queue.Advice == nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// runsPerWorker counts the runs of the step at each worker, including those being stopped. It
-// returns nil if the step has no limit per worker.
+// runsPerWorker counts the runs of the phase at each worker, including those being stopped. It
+// returns nil if the phase has no limit per worker.
 func (s *phase) runsPerWorker() map[*worker]int {
 	if s.spec.MostPerVM == 0 {
 		return nil
@@ -210,7 +210,7 @@
 	}
 }
 
-// remainingPerVM returns how many more tasks of a step may run at a worker, given the limit per
+// remainingPerVM returns how many more tasks of a phase may run at a worker, given the limit per
 // worker (0 is no limit) and the number of tasks that run there.
 func remainingPerVM(limit, running int) int {
 	if limit == 0 {
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -22,28 +22,28 @@
 	return p.Term*runsPerTerm + p.runs
 }
 
-// rank orders waiting steps; the lowest goes first.
+// rank orders waiting phases; the lowest goes first.
 type rank struct {
 	class int
 	key   float64
 }
 
-// Classes of waiting steps.
+// Classes of waiting phases.
 const (
 	rankUrgent = iota
 	rankLasting
-	rankUrgentLate // rankUrgentLate is urgent work that will miss its objective.
+	rankUrgentLate // rankUrgentLate is urgent work that will probably miss its objective.
 	rankNormal
 	rankExcess    // rankExcess is work beyond its team's share.
 	rankAbandoned // rankAbandoned is work so late that its caller no longer waits for it; it still runs.
-	rankHeld      // rankHeld is work that must not start yet.
+	rankHeld      // rankDeferred is work that must not start yet.
 )
 
-// A step counts as able to meet its objective if its remaining chain of estimates, multiplied by
+// A phase counts as able to meet its objective if its remaining chain of estimates, multiplied by
 // one of these factors, fits into the time left. Estimates and workers are off by a fifth in
-// either direction. In an overload, the steps that are served are those that barely meet their
+// either direction. In an overload, the phases that are served are those that barely meet their
 // objective, so work that has not begun needs that much spare time, while work that has begun is
-// given up only when it can hardly meet its objective.
+// ranked as late only when it can hardly meet its objective any more.
 const (
 	newChainFactor   = 1.2
 	begunChainFactor = 0.8
@@ -77,13 +77,13 @@
 }
 
 // callerDeadline returns when the caller stops waiting for the job, given the objective of the
-// step's run.
+// phase.
 func (s *phase) callerDeadline(objective time.Time) time.Time {
 	begin := s.beginsAt()
 	return begin.Add(winch.LateFactor * objective.Sub(begin))
 }
 
-// chainFactor returns the factor by which the remaining chain is multiplied.
+// chainFactor returns the factor by which the phase's remaining chain is multiplied.
 func (s *phase) chainFactor() float64 {
 	if s.job.begun {
 		return begunChainFactor
@@ -91,15 +91,15 @@
 	return newChainFactor
 }
 
-// maxLooks bounds the workers that one Schedule examines for waiting steps, so that a decision
-// takes a few milliseconds however many steps wait. The next Schedule resumes where the last one
-// stopped; one in resumeDivisor of its looks is reserved for the remaining steps.
+// maxExamined bounds the number of workers that one Schedule examines for waiting phases, so that a
+// decision takes a few milliseconds however many phases wait. The next Schedule resumes where the
+// last one stopped: one resumeDivisor-th of the limit is reserved for the phases from there on.
 const (
 	maxLooks      = 100_000
 	resumeDivisor = 8
 )
 
-// waitingStep is a step that may have tasks to start, with its rank as of the last Schedule.
+// waitingPhase is a phase that may have tasks to start, with its rank as of the last Schedule.
 type waitingStep struct {
 	step *phase
 	rank rank
@@ -125,7 +125,7 @@
 	p.counts.Examined += int64(p.examined)
 }
 
-// startReady starts tasks of the ready steps in order of rank. For those that cannot start yet it
+// startReady starts tasks of the ready phases in order of rank. For those that cannot start yet it
 // requests advice and reserves capacity.
 func (p *Planner) startReady(now time.Time) {
 	resume := p.resume
@@ -146,7 +146,7 @@
 			if p.resume == nil {
 				p.resume = e.step
 			}
-			continue // The step at which the last Schedule stopped comes later.
+			continue // Skip to the phase at which the last Schedule stopped.
 		}
 		p.placeStep(e.step, now)
 		p.reserve(e.step, now, e.rank)
@@ -155,7 +155,7 @@
 	}
 }
 
-// sortReady sorts the ready steps by rank, drops those that are no longer ready, and adds waiting
+// sortReady sorts the ready phases by rank, drops those that are no longer ready, and adds waiting
 // tasks to the demand of urgent work.
 func (p *Planner) sortReady(now time.Time, adopting bool) {
 	kept := p.ready[:0]
@@ -174,8 +174,8 @@
 			s.readySince = now
 		}
 		p.countWaiting(s)
-		if held := p.deferReason(s.job, adopting); held != 0 {
-			s.accountWait(now, held)
+		if reason := p.deferReason(s.job, adopting); reason != 0 {
+			s.accountWait(now, reason)
 			e.rank = rank{class: rankHeld}
 		} else {
 			e.rank = p.rank(s, now)
@@ -219,7 +219,7 @@
 	}
 }
 
-// cannotStart reports whether it is known without examining workers that no task of the step can
+// cannotStart reports whether it is known without examining workers that no task of the phase can
 // start now.
 func (p *Planner) cannotStart(s *phase) bool {
 	return !s.job.team.allows(s.spec.Need) || !p.sparesUrgent(s) || !s.spec.Charge().Fits(p.pool(s.job.queue.Service).maxFree)
@@ -265,7 +265,7 @@
 	})
 }
 
-// sparesUrgent reports whether the step may take what it needs without using capacity reserved for
+// sparesUrgent reports whether the phase may take what it needs without using capacity reserved for
 // urgent work. Urgent and lasting work always may; other work must leave the reserve free, both of
 // its team's limit and of the capacity of its service's workers.
 func (p *Planner) sparesUrgent(s *phase) bool {
@@ -281,12 +281,12 @@
 	return s.spec.Fills || reserved == (winch.Capacity{}) || s.spec.Need.Add(reserved).Fits(x.free)
 }
 
-// suits reports whether a worker may be given work and is of the kind that the step needs.
+// suits reports whether a worker may be given work and is of the kind that the phase needs.
 func (p *Planner) suits(s *phase, w *worker, now time.Time) bool {
 	return w.usable() && !w.health.quarantined(now) && s.ofKind(w) && w.acceptsBesideProbe(s)
 }
 
-// ofKind reports whether a worker has the service and the label that the step needs.
+// ofKind reports whether a worker has the service and the label that the phase needs.
 func (s *phase) ofKind(w *worker) bool {
 	return w.vm.Service == s.job.queue.Service && (s.spec.Label == "" || slices.Contains(w.vm.Labels, s.spec.Label))
 }
@@ -297,8 +297,8 @@
 	retryPenalty = 2.0
 	// remotePenalty keeps a task near its data: elsewhere it takes several times as long.
 	remotePenalty = 4.0
-	// interferencePenalty keeps filling tasks off workers with serving tasks and vice versa,
-	// because they slow each other down.
+	// interferencePenalty keeps backfill tasks off workers with tasks that have a latency target
+	// and vice versa, because they slow each other down.
 	interferencePenalty = 3.0
 )
 
@@ -324,7 +324,7 @@
 	return score
 }
 
-// usesOtherRack reports whether the step already runs on a rack other than the given one.
+// usesOtherRack reports whether a task of the phase runs on a rack other than the given one.
 func (s *phase) usesOtherRack(rack string) bool {
 	for _, t := range s.tasks {
 		if r := t.activeRun(); r != nil && r.worker.vm.Rack != rack {
--- a/coord/fleet/policy.go
+++ b/coord/fleet/policy.go
@@ -19,7 +19,7 @@
 	// Reserve reserves capacity for gangs and large tasks that wait for it.
 	Reserve bool
 	// AskAll requests advice about all workers at once where that costs little more than about
-	// some, since the answer to which workers may run a step does not change.
+	// some, since which workers may run a phase does not change.
 	AskAll bool
 	// Restart restarts tasks elsewhere that are stuck or much slower than others.
 	Restart bool
@@ -31,7 +31,7 @@
 	Chance bool
 	// LateLast ranks jobs whose callers no longer wait behind all others.
 	LateLast bool
-	// Ahead requests advice about a step while the preceding steps run.
+	// Ahead requests advice about a phase while the preceding phases run.
 	Ahead bool
 	// Moves moves lasting tasks away from workers that are about to leave.
 	Moves bool
--- a/coord/fleet/policy_test.go
+++ b/coord/fleet/policy_test.go
@@ -12,7 +12,7 @@
 	"plantainwinch/winch"
 )
 
-// acceleratorCell returns a cell of identical workers with eight accelerators each.
+// acceleratorRegion returns a region of identical workers with eight accelerators each.
 func acceleratorCell(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
 	c := newSimRegion(t, workers, queues...)
 	for _, w := range c.planner.workers {
@@ -141,8 +141,8 @@
 	})
 }
 
-// Guards against requests that name only the few workers with free capacity, each time other ones:
-// a step that is allowed at three workers of thirteen would send request after request, although
+// Guards against requests that name only the few workers with free capacity, different ones each time:
+// a phase that is allowed at three workers of thirteen would send request after request, although
 // most of a request's cost does not depend on the number of workers.
 func TestFirstRequestNamesAllWorkersOfSmallService(t *testing.T) {
 	for _, all := range []bool{true, false} {
@@ -228,7 +228,7 @@
 	})
 }
 
-// The record of a job's completion must say for how long its tasks waited for which reason.
+// The summary of a job that has ended must say for how long its tasks waited, by reason.
 func TestCompletionRecordsWaitingTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -236,11 +236,11 @@
 		c.add("a", "mix", "choir", tasks(1, 16000))
 		c.add("b", "mix", "choir", tasks(1, 16000))
 		c.runUntil(5*time.Second, func(time.Duration) {}, func() bool { return c.state("b") == winch.JobDone })
-		endings := c.planner.JobSummaries()
-		is.Equal(len(endings), 2)
-		is.Equal(endings[0].Waited[WaitCapacity], time.Duration(0))
-		is.True(endings[1].Waited[WaitCapacity] >= time.Second)
-		is.True(endings[1].Took >= 2*time.Second)
+		summaries := c.planner.JobSummaries()
+		is.Equal(len(summaries), 2)
+		is.Equal(summaries[0].Waited[WaitCapacity], time.Duration(0))
+		is.True(summaries[1].Waited[WaitCapacity] >= time.Second)
+		is.True(summaries[1].Took >= 2*time.Second)
 		is.Equal(len(c.planner.JobSummaries()), 0)
 	})
 }
--- a/coord/fleet/probe.go
+++ b/coord/fleet/probe.go
@@ -24,7 +24,7 @@
 	weakProbeDivisor  = 2
 )
 
-// beginProbe blocks other starts on the worker if the run is a probe.
+// beginProbe prevents other starts on the worker if the run is a probe.
 func (p *Planner) beginProbe(r *run) {
 	if r.task == nil {
 		return
@@ -141,7 +141,7 @@
 }
 
 // assumeCrash adds a weak crash for a probe that an earlier planner may have started and whose
-// result is not known. It only ensures that the task keeps running as a probe.
+// result is not known, so that the task still runs only as a probe.
 func (p *Planner) assumeCrash(x *suspicion) {
 	if !slices.ContainsFunc(x.crashes, func(c winch.Crash) bool { return c.Run == x.probe }) {
 		x.crashes = append(x.crashes, winch.Crash{Run: x.probe, At: p.now(), Weak: true})
@@ -203,9 +203,9 @@
 }
 
 const (
-	// A crash of a worker costs one for each run, lastingCost for a run of a lasting task,
-	// suspectCost more for a run of a suspect, and recentStartCost more for a run started
-	// recently. remoteCost is what it is worth to keep a probe near its data.
+	// The cost of a worker's crash is one for each run, or lastingCost for a run of a lasting task,
+	// plus suspectCost for a run of a suspect and recentStartCost for any other run started
+	// recently. remoteCost is added if the worker is not near the probe's data.
 	lastingCost     = 4
 	suspectCost     = 100
 	recentStartCost = 30
--- a/coord/fleet/record.go
+++ b/coord/fleet/record.go
@@ -12,15 +12,15 @@
 	Job      string
 	Progress winch.Progress
 	Revision uint64
-	// Changes is the change count of the job up to which the record is complete.
+	// Changes is the number of the job's changes that the record includes.
 	Changes uint64
-	// Retain is set if the job has ended but runs of it may still exist, at known workers or at
-	// some that have not listed their runs. The job is kept in the store until they have ended,
+	// Retain is set if runs of the job may still exist, at known workers or at some that have not
+	// listed their runs. A job that has ended is kept in the store until these runs have ended,
 	// since the next planner must know their needs.
 	Retain bool
 }
 
-// markChanged counts a modification of a job and schedules the write of its record.
+// markChanged counts a change of a job and schedules the write of its record.
 func (p *Planner) markChanged(j *job) {
 	j.changes++
 	p.markDirty(j)
--- a/coord/fleet/reserve.go
+++ b/coord/fleet/reserve.go
@@ -14,8 +14,8 @@
 	largeFraction = 0.5
 	// slotsTTL is how long computed slots and expected releases are reused.
 	slotsTTL = 20 * time.Millisecond
-	// maxPlannedSteps bounds the steps with reserved slots in one Schedule, maxSearchedSteps those
-	// whose slots are computed anew.
+	// maxPlannedPhases bounds the phases for which one Schedule plans slots, maxSearchedPhases those
+	// whose slots it computes again.
 	maxPlannedSteps  = 64
 	maxSearchedSteps = 6
 	// expectedStopTime is how long a run that is being stopped is expected to hold its capacity.
@@ -24,21 +24,21 @@
 	minRemainingTime = 50 * time.Millisecond
 )
 
-// reservation is capacity of a worker that is reserved for waiting steps.
+// reservation is capacity of one worker that is reserved for waiting phases.
 type reservation struct {
 	capacity winch.Capacity
-	from     time.Time // from is when the first of the steps is expected to use it.
+	from     time.Time // from is when the first of the phases is expected to use it.
 }
 
-// slot is space for one task of a step at a worker.
+// slot is space for one task of a phase at a worker.
 type slot struct {
 	w  *worker
 	at time.Time // at is when the slot is expected to be free.
 }
 
-// reserve reserves capacity for a step that waits for several slots at once or for a large part of
+// reserve reserves capacity for a phase that waits for several slots at once or for a large part of
 // a worker. Otherwise small tasks would take the capacity piece by piece as it becomes free, and
-// the step would wait for as long as small tasks keep arriving. Tasks that end before the step is
+// the phase would wait for as long as small tasks keep arriving. Tasks that end before the phase is
 // expected to start may still use the capacity.
 func (p *Planner) reserve(s *phase, now time.Time, r rank) {
 	if !p.Policy.Reserve || p.planned >= maxPlannedSteps || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.nextStartNeed()) || !p.sparesUrgent(s) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// findSlots finds slots for all waiting tasks of a step; a gang takes all or none.
+// findSlots finds slots for all waiting tasks of a phase; a gang takes all or none.
 func (p *Planner) findSlots(s *phase, now time.Time) {
 	wants := s.waiting
 	if s.spec.Gang && (s.gang.stopping || s.gang.number == 0) {
@@ -71,8 +71,8 @@
 	s.slots = s.slots[:min(wants, len(s.slots))]
 }
 
-// reserveSlots reserves the capacity of a step's slots against the steps ranked after it, from
-// when the last slot is expected to be free and the step to have its tickets.
+// reserveSlots reserves the capacity of a phase's slots against the phases ranked after it, from
+// when the last slot is expected to be free and the phase to have its tickets.
 func (p *Planner) reserveSlots(s *phase, now time.Time) {
 	from := s.slots[len(s.slots)-1].at
 	if response := s.advice.responseExpected(s.job.queue, now); from.Before(response) {
@@ -99,7 +99,7 @@
 	p.reservedWorkers = p.reservedWorkers[:0]
 }
 
-// large reports whether a task of the step takes a large part of a worker.
+// large reports whether a task of the phase takes a large part of a worker.
 func (s *phase) large(w *worker) bool {
 	need, capacity := s.spec.Charge(), w.vm.Room
 	return float64(need.Milli) >= largeFraction*float64(capacity.Milli) ||
@@ -107,7 +107,7 @@
 		need.Accelerators > 0 && float64(need.Accelerators) >= largeFraction*float64(capacity.Accelerators)
 }
 
-// earliestSlots returns a slot for each of at most limit tasks of the step, at workers where it is
+// earliestSlots returns a slot for each of at most limit tasks of the phase, at workers where it is
 // known to be allowed, those that become free earliest first.
 func (p *Planner) earliestSlots(s *phase, now time.Time, limit int) []slot {
 	out := topK[slot]{limit: limit, before: earlierSlot}
@@ -137,7 +137,7 @@
 	return a.at.Before(b.at) || a.at.Equal(b.at) && a.w.index < b.w.index
 }
 
-// addSlots adds the slots at one worker, at most the given number.
+// addSlots adds the slots at one worker, at most limit.
 func (s *phase) addSlots(out *topK[slot], w *worker, now time.Time, limit int) {
 	free := w.free().Sub(w.reserved.capacity)
 	n := 0
@@ -160,7 +160,7 @@
 }
 
 // expectedReleases returns the capacity that is likely to become free at the worker, with the
-// times, the earliest first. The list is computed anew when the worker's runs have changed or
+// times, the earliest first. The list is computed again when the worker's runs have changed or
 // after slotsTTL.
 func (w *worker) expectedReleases(now time.Time) []expectedRelease {
 	if w.expectedOf == w.changes && now.Sub(w.expectedAt) < slotsTTL {
@@ -197,7 +197,7 @@
 	return later(r.since.Add(duration), earliest), true
 }
 
-// availableCapacity returns the capacity of a worker that a step may use now.
+// availableCapacity returns the capacity of a worker that a phase may use now.
 func (p *Planner) availableCapacity(s *phase, w *worker, now time.Time) winch.Capacity {
 	free := w.free()
 	if w.reserved.from.IsZero() || now.Add(s.spec.Estimate).Before(w.reserved.from) {
@@ -206,8 +206,8 @@
 	return free.Sub(w.reserved.capacity)
 }
 
-// responseExpected returns when the response to an advice request about the step is expected, or
-// the zero time if the step needs none now.
+// responseExpected returns when the response to an advice request about the phase is expected, or
+// the zero time if the phase needs none now.
 func (a *advice) responseExpected(q *queue, now time.Time) time.Time {
 	if q.Advice == nil {
 		return time.Time{}
--- a/coord/fleet/slow.go
+++ b/coord/fleet/slow.go
@@ -16,7 +16,7 @@
 	restartCost = time.Second
 	// maxRestarts bounds how often one task is restarted because it was slow.
 	maxRestarts = 2
-	// medianRateTTL is how long the median rate of a step's tasks is reused; minRates is the
+	// medianRateTTL is how long the median rate of a phase's tasks is reused; minRates is the
 	// number of tasks whose rates must be known.
 	medianRateTTL = 200 * time.Millisecond
 	minRates      = 3
@@ -26,8 +26,8 @@
 )
 
 // checkProgress checks the progress of the runs at a worker. If at least half of those with a
-// known rate are stuck or much slower than the other tasks of their steps, the worker gets no new
-// work for a while, and tasks that would end sooner elsewhere are restarted there.
+// known rate are stuck or much slower than the other tasks of their phases, the worker gets no new
+// work for a while, and tasks that would end sooner elsewhere are restarted at other workers.
 func (p *Planner) checkProgress(w *worker, now time.Time) {
 	if !p.Policy.Restart {
 		return
@@ -54,7 +54,7 @@
 }
 
 // isSlow reports whether a run's rate of progress is known, and whether it is stuck or much slower
-// than the other tasks of its step.
+// than the other tasks of its phase.
 func (r *run) isSlow(now time.Time) (known, slow bool) {
 	if r.task == nil || !r.started || r.stopping || r.task.phase.spec.Lasting || r.isFilling() || now.Sub(r.since) < minRateTime {
 		return false, false
@@ -79,7 +79,7 @@
 	return (r.percent - r.basePercent) / elapsed.Seconds(), true
 }
 
-// cachedMedianRate returns the median rate of a step's tasks, including those that have ended, and
+// cachedMedianRate returns the median rate of a phase's tasks, including those that have ended, and
 // whether enough rates are known. The rate is recomputed after medianRateTTL.
 func (s *phase) cachedMedianRate(now time.Time) (float64, bool) {
 	if s.cachedRateAt.IsZero() || now.Sub(s.cachedRateAt) >= medianRateTTL {
@@ -139,7 +139,7 @@
 	p.stopRun(r)
 }
 
-// fitsElsewhere reports whether another worker, at which the step is known to be allowed, has
+// fitsElsewhere reports whether another worker, at which the phase is known to be allowed, has
 // capacity for a task of it.
 func (p *Planner) fitsElsewhere(s *phase, except *worker, now time.Time) bool {
 	counts := s.runsPerWorker()
--- a/coord/fleet/slow_test.go
+++ b/coord/fleet/slow_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// Guards against a step waiting for a worker that has become slow while other workers are idle.
+// Guards against a phase waiting for a worker that has become slow while other workers are idle.
 func TestTaskOfSlowWorkerIsRestartedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/throttle.go
+++ b/coord/fleet/throttle.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// throttleThreshold is the load, relative to a task's target, from which filling tasks beside
-	// it are throttled.
+	// throttleThreshold is the reported tail latency of a serving task (one with a latency target),
+	// relative to its target, from which backfill tasks beside it are throttled.
 	throttleThreshold = 0.7
-	// releaseThreshold is the load below which the throttle is released step by step.
+	// releaseThreshold is the relative latency below which the throttle is released step by step.
 	releaseThreshold = 0.4
-	// releaseStep is how much is released at a time, in percent.
+	// releaseStep is by how much a release raises the throttle percentage.
 	releaseStep = 20
 	// releaseInterval is the minimum time between a change of the throttle and its next release,
 	// several times the delay with which a worker reports.
@@ -26,7 +26,7 @@
 	throttleAssumed = 40
 )
 
-// throttle slows the filling tasks of a worker when a serving task beside them nears its target,
+// throttle slows the backfill tasks of a worker when a serving task beside them nears its target,
 // and releases them step by step. The reported tail latency lags by half a second and a target may
 // be missed for a few seconds only, so throttling takes effect at once and release is gradual.
 func (p *Planner) throttle(w *worker, now time.Time) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// throttlePercent returns the lowest throttle percentage of the filling runs; 100 is full speed.
+// throttlePercent returns the lowest known throttle percentage of the backfill runs; 100 is full
+// speed.
 func (w *worker) throttlePercent() int {
 	percent := 100
 	for _, r := range w.runs {
@@ -72,7 +73,7 @@
 	return percent
 }
 
-// hasUnknownThrottle reports whether the throttle percentage of a filling run is unknown.
+// hasUnknownThrottle reports whether the throttle percentage of a backfill run is unknown.
 func (w *worker) hasUnknownThrottle() bool {
 	for _, r := range w.runs {
 		if r.isFilling() && r.throttle == throttleUnknown {
--- a/coord/fleet/throttle_test.go
+++ b/coord/fleet/throttle_test.go
@@ -11,10 +11,9 @@
 	"plantainwinch/winch"
 )
 
-// Guards against a filling task that never continues after a takeover. The planner stops the task
-// because a serving task beside it nears its target, and is then killed. A new planner that
-// assumed full speed would see no reason to change it and never send the worker a throttle
-// percentage.
+// Guards against a backfill task that never continues after a takeover. A planner throttles the task
+// to zero because of a serving task beside it, and is then killed. If its successor assumed full
+// speed, it would see no reason for a change and never send the worker a throttle percentage.
 func TestFillingTaskThrottledByEarlierPlannerContinues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -22,7 +22,7 @@
 	// WaitAdopting means that workers that an earlier planner used have not reported their runs
 	// yet.
 	WaitAdopting
-	// WaitOffice means that the planner learnt of the job at a time when its office (its
+	// WaitOffice means that the planner learned of the job at a time when its office (its
 	// leadership lease in the store) may have expired.
 	WaitOffice
 	// WaitLimit means that the team has reached its limit.
@@ -31,7 +31,7 @@
 	WaitWorker
 	// WaitQuarantine means that all workers of the required kind are in quarantine.
 	WaitQuarantine
-	// WaitDecision means that a worker has free capacity, so the next decision should start the
+	// WaitDecision means that a worker has free capacity, so the next Schedule should start the
 	// task.
 	WaitDecision
 	// WaitAdvice means that a request to the advice service is pending.
@@ -52,7 +52,7 @@
 	// WaitLostResponse means that the completion of a run was listed late because the worker's
 	// responses were lost.
 	WaitLostResponse
-	// WaitProbe means that a worker crashed under a task of the step, and no such task may be
+	// WaitProbe means that a worker crashed under a task of the phase, and no such task may be
 	// started beside others until a probe has shown that it is not the cause.
 	WaitProbe
 )
@@ -72,26 +72,26 @@
 }
 
 // WorkerContact is the state of the planner's contact with a worker. The worker counts as
-// unresponsive while it is unlisted, not ready, or does not answer its keeper.
+// unresponsive while it is not listed, not ready, or does not respond to its keeper.
 type WorkerContact struct {
 	Worker     string
-	Listed     bool // Listed says that the worker is in the platform's list.
-	Ready      bool // Ready says that the worker's lists of runs have been received in this session.
-	NoResponse bool // NoResponse says that the worker does not answer its keeper.
+	Listed     bool // Listed is set if the worker is in the platform's list.
+	Ready      bool // Ready is set once the worker's lists of runs have been received in this session.
+	NoResponse bool // NoResponse is set if the worker does not respond to its keeper.
 	// UnresponsiveSince is when this planner lost contact with the worker, and zero while it has
 	// contact.
 	UnresponsiveSince time.Time
 }
 
-// Offer counts the workers of the kind that a step needs, by what prevents them from running it.
+// Offer counts the workers of the kind that a phase needs, by what prevents them from running it.
 // The field names are written to the log.
 type Offer struct {
-	Workers  int // Workers have the service and the label.
-	Usable   int // Usable are those of Workers that respond, are listed and are not draining.
-	Resting  int // Resting are those of Usable that are in quarantine.
-	Denied   int // Denied are usable workers that the advice service does not allow.
-	Unasked  int // Unasked have free capacity but no valid ticket.
-	Ticketed int // Ticketed have a valid ticket, or need none.
+	Workers  int // Workers counts those with the service and the label.
+	Usable   int // Usable counts those of Workers that respond, are listed and are not draining.
+	Resting  int // Resting counts those of Usable that are in quarantine.
+	Denied   int // Denied counts usable workers that the advice service does not allow.
+	Unasked  int // Unasked counts usable workers with free capacity but without a valid ticket.
+	Ticketed int // Ticketed counts usable workers with a valid ticket, or where none is needed.
 	Fits     int // Fits is the number of tasks that fit into the ticketed workers.
 }
 
@@ -100,10 +100,10 @@
 	Task   winch.RunID
 	Reason Reason
 	// Since is when a run of the task was last known to do its work, or when the task became ready
-	// to start. It is never earlier than when this planner learnt of the job.
+	// to start. It is never earlier than when this planner learned of the job.
 	Since time.Time
-	// Run is the run that is not confirmed or not known to have ended, Ordered is when it was
-	// charged, and Contact is the state of the contact with its worker.
+	// Run is the run that is not confirmed or not known to have ended, Ordered is when its start
+	// was ordered or confirmed, and Contact is the state of the contact with its worker.
 	Run      uint64
 	Ordered  time.Time
 	Stopping bool
@@ -113,13 +113,13 @@
 	// retried.
 	Unreported int
 	Until      time.Time
-	// Revision is the job's revision. Jobs with a revision above Fresh do not wait for earlier
-	// planners; Fresh is the highest number until the planner knows the revision.
+	// Revision is the job's revision, AdoptedRevision that of the Planner. A job with a higher
+	// revision does not wait for the workers of earlier planners.
 	Revision, Fresh uint64
 	// AdviceRequested is when the last request went to the advice service.
 	AdviceRequested time.Time
-	// Used and Limit are the team's; UsedAtUnresponsive is the part of Used at unresponsive
-	// workers.
+	// Used and Limit are the team's use and limit; UsedAtUnresponsive is the part of Used at
+	// unresponsive workers.
 	Used, Limit, UsedAtUnresponsive winch.Capacity
 	Offer                           Offer
 }
@@ -207,7 +207,7 @@
 	return out
 }
 
-// stepWaitingTasks returns the waiting tasks of a step. A reason that applies to all of them is
+// waitingTasksOf returns the waiting tasks of a phase. A reason that applies to all of them is
 // computed once.
 func (p *Planner) stepWaitingTasks(s *phase, now time.Time, minWait time.Duration) []WaitingTask {
 	var out []WaitingTask
@@ -257,24 +257,24 @@
 	return w, true
 }
 
-// explainWait returns why tasks of a step that have no run are not started.
+// explainWait returns why tasks of a phase that have no run are not started.
 func (p *Planner) explainWait(s *phase, now time.Time) WaitingTask {
 	j := s.job
-	held := p.deferReason(j, p.awaitsEarlier(now))
+	deferred := p.deferReason(j, p.awaitsEarlier(now))
 	switch {
 	case j.queue == nil:
 		return WaitingTask{Reason: WaitQueue}
-	case held == WaitAdopting:
+	case deferred == WaitAdopting:
 		return p.explainAdopting(j)
-	case held != 0:
-		return WaitingTask{Reason: held}
+	case deferred != 0:
+		return WaitingTask{Reason: deferred}
 	case !j.team.allows(s.nextStartNeed()):
 		return WaitingTask{Reason: WaitLimit, Used: j.team.used, Limit: j.team.Cap, UsedAtUnresponsive: p.usedAtUnresponsive(j.team)}
 	}
 	return s.explainOffer(p.countOffer(s, now), now)
 }
 
-// nextStartNeed returns what the next start of the step needs: one task, or all missing members of
+// nextStartNeed returns what the next start of the phase needs: one task, or all missing members of
 // a gang.
 func (s *phase) nextStartNeed() winch.Capacity {
 	if !s.spec.Gang {
@@ -283,7 +283,8 @@
 	return s.spec.Need.Times(s.waiting)
 }
 
-// explainAdopting names one of the workers that have not reported their runs.
+// explainAdopting returns the wait for the runs of earlier planners. It names one of the workers
+// that have not reported their runs.
 func (p *Planner) explainAdopting(j *job) WaitingTask {
 	w := WaitingTask{Reason: WaitAdopting, Unreported: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.AdoptedRevision}
 	for id := range p.roster {
@@ -313,7 +314,7 @@
 	return out
 }
 
-// countOffer counts the workers that could run a step.
+// countOffer counts the workers that could run a phase.
 func (p *Planner) countOffer(s *phase, now time.Time) Offer {
 	var out Offer
 	counts := s.runsPerWorker()
@@ -342,7 +343,7 @@
 	return out
 }
 
-// explainOffer returns what prevents the step from being started, given the workers that could run
+// explainOffer returns what prevents the phase from being started, given the workers that could run
 // it.
 func (s *phase) explainOffer(o Offer, now time.Time) WaitingTask {
 	w := WaitingTask{Offer: o, AdviceRequested: s.advice.requested}
--- a/coord/fleet/waits_test.go
+++ b/coord/fleet/waits_test.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// The worker of the previous test responds again, and the task has kept running. It must no longer
-// count as waiting, and its next wait must not include the previous one.
+// An unresponsive worker responds again, and its lasting task has kept running. The task must no
+// longer count as waiting, and its next wait must not include the previous one.
 func TestTaskAtWorkerThatRespondsAgainDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,7 +116,7 @@
 		c.planner.SetRoster([]string{"w0"})
 		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Capacity{Milli: 1000, Memory: gigabyte}}})
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
-		learnt := time.Now()
+		learned := time.Now()
 		task := winch.RunID{Job: "a"}
 		run := []winch.Running{{Task: task, Run: 5}}
 		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventKnownRuns, Worker: "w0", Running: run})
@@ -124,7 +124,7 @@
 		w := onlyWaitingTask(is, c.planner)
 		is.Equal(w.Reason, WaitRun)
 		is.Equal(w.Run, uint64(5))
-		is.Equal(w.Since, learnt)
+		is.Equal(w.Since, learned)
 		is.Equal(w.Contact.Ready, false)
 		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventListed, Worker: "w0", Running: run})
 		is.Equal(len(c.planner.WaitingTasks(time.Second)), 0)
@@ -148,7 +148,7 @@
 }
 
 // For each cause that prevents the start of a lasting task, the reason reported must be that
-// cause, and looking for it must change nothing.
+// cause, and WaitingTasks must change nothing.
 func TestWaitReasons(t *testing.T) {
 	advised := usualQueue()
 	advised.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
@@ -217,7 +217,8 @@
 	}
 }
 
-// The advice service fails, grants a ticket that expires, or allows no worker.
+// The advice service fails, grants a ticket that expires, or allows no worker. The reason reported
+// for a waiting lasting task must distinguish these cases.
 func TestWaitReasonsForAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -34,7 +34,7 @@
 	since time.Time
 	// workedUntil is when a run that is being stopped was last known to do its task's work.
 	workedUntil time.Time
-	// percent is the progress last reported, progressedAt the time of its last change.
+	// percent is the progress last reported, progressedAt when it last changed.
 	percent      float64
 	progressedAt time.Time
 	// basePercent is the first progress reported, at baseAt.
@@ -75,7 +75,7 @@
 	// the worker was ordered to forget.
 	lastCompletion uint64
 	forgottenUpTo  uint64
-	fillMilli      int64 // fillMilli is the sum of what backfill runs could use, in thousandths of a processor.
+	fillMilli      int64 // backfillMilli is the sum of what backfill runs could use, in thousandths of a processor.
 	serving        int   // serving counts the runs with a latency target.
 	lasting        int   // lasting counts the runs of lasting tasks.
 	// reportsOften is set while the worker is ordered to report more often.
@@ -83,22 +83,22 @@
 	// probe is set while nothing else may be started beside a probe.
 	probe      *suspicion
 	health     health
-	raiseAfter time.Time // raiseAfter is the earliest time at which the throttle of backfill runs may be raised.
+	raiseAfter time.Time // releaseAfter is when the throttle of backfill runs may next be released.
 	// reserved is the capacity that the last Schedule reserved for phases of higher rank.
 	reserved reservation
-	// changes counts the changes of the worker's runs. expectedEnds is a cache of the expected
-	// ends, computed at expectedAt after expectedOf changes.
+	// changes counts the changes of the worker's runs. cachedReleases holds the expected releases
+	// computed at cachedReleasesAt, after cachedReleasesChanges changes.
 	changes, expectedOf uint64
 	expectedEnds        []expectedRelease
 	expectedAt          time.Time
 	index               int // index is the worker's position in the list of workers by ID.
-	// mark is the number of the last search that marked the worker, markedAs the mark.
+	// markedRound is the markRound in which the worker was last marked, markedAs the mark.
 	mark     uint64
 	markedAs int
 }
 
-// pendingCompletion is a completion that the worker may forget once the job's record has reached
-// changes.
+// pendingCompletion is a completion that the worker may forget once the job's record includes the
+// given number of changes.
 type pendingCompletion struct {
 	number  uint64
 	key     runKey
@@ -318,10 +318,10 @@
 // updateReporting makes a worker report more often while backfill runs beside tasks with a latency
 // target, and while a probe runs.
 func (p *Planner) updateReporting(w *worker) {
-	closely := w.serving > 0 && w.fillMilli > 0 || w.probe != nil
-	if closely != w.reportsOften {
-		w.reportsOften = closely
-		p.orders = append(p.orders, proto.Order{Kind: proto.OrderReportRate, Worker: w.vm.ID, Closely: closely})
+	often := w.serving > 0 && w.fillMilli > 0 || w.probe != nil
+	if often != w.reportsOften {
+		w.reportsOften = often
+		p.orders = append(p.orders, proto.Order{Kind: proto.OrderReportRate, Worker: w.vm.ID, Closely: often})
 	}
 }
 
