--- a/cause/cause.go
+++ b/cause/cause.go
@@ -109,7 +109,7 @@
 
 // Reader collects log lines and reports on them. Set the exported field before the first Read.
 type Reader struct {
-	// Interval is the length of an Interval of the report.
+	// Interval is the length of the intervals of the report's Moments.
 	Interval time.Duration
 
 	accepted  map[string]logLine
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -32,7 +32,7 @@
 	for _, o := range all {
 		p, err := o.plot()
 		if err != nil {
-			return merry.Prepend(err, o.Pattern)
+			return merry.Prepend(err, "creating the plot of pattern "+o.Pattern+" failed")
 		}
 		name := strings.Join(append([]string{o.Pattern}, o.Without...), "-without-") + ".svg"
 		if err := p.Save(plotWidth, plotHeight, filepath.Join(folder, name)); err != nil {
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -12,10 +12,10 @@
 	"plantainwinch/winch"
 )
 
-// Result holds the results of one placer for the arrivals of one fleet.
+// Result holds the results of one variant of a domain's planner for the arrivals of one fleet.
 type Result struct {
 	Fleet  string
-	Placer string
+	Placer string // Placer names the variant: its preference, or "baseline".
 	// Urgent and Deferred are the waiting times before the first start of a task.
 	Urgent, Deferred WaitStats
 	// Met is the fraction of urgent tasks that started within their target.
@@ -97,7 +97,7 @@
 // Return implements place.Limits.
 func (l teamLimits) Return(team string, n int) { l.used[team] -= n }
 
-// driver runs one placer on one list of arrivals in simulated time.
+// driver runs the planner of one failure domain on a list of arrivals in simulated time.
 type driver struct {
 	fleet         Fleet
 	planner       *place.Planner
@@ -119,8 +119,8 @@
 	doneWork      time.Duration
 }
 
-// planInterval is the interval between planning steps, sampleInterval between samples of the fleet's
-// use.
+// planInterval is the simulated time between rounds of planning, sampleInterval that between samples
+// of the fleet's use.
 const (
 	planInterval   = 100 * time.Millisecond
 	sampleInterval = 5 * time.Second
@@ -133,7 +133,8 @@
 	histFigures = 3
 )
 
-// Run runs one placer on the arrivals of a fleet and returns its results.
+// Run runs the planner of a failure domain, or its baseline, on the arrivals of a fleet and returns
+// the results.
 func Run(f Fleet, seed uint64, prefer place.Preference, baseline bool) Result {
 	d := &driver{
 		fleet: f, arrivals: generate(f, seed), byID: make(map[string]*arrival), liveSeq: make(map[winch.TaskID]int),
--- a/trial/work.go
+++ b/trial/work.go
@@ -1,5 +1,5 @@
 // Package trial measures scheduling decisions on generated loads in simulated time. Play runs the
-// planner of a region on a load pattern; Run runs the placer of one failure domain, or its baseline,
+// planner of a region on a load pattern; Run runs the planner of one failure domain, or its baseline,
 // on the arrivals of a fleet.
 package trial
 
@@ -32,7 +32,7 @@
 }
 
 // Fleets returns the measured fleets: a failure domain of each user, one of the design size, and the
-// whole region of the design size under one placer, as the worst case.
+// whole region of the design size under one domain planner, as the worst case.
 func Fleets() []Fleet {
 	coros := Fleet{
 		Name: "Coros domain", Workers: 17, Size: winch.Resources{Processors: 16, Memory: 32 << 30}, Accelerators: 3, RackSize: 8,
