--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -26,9 +26,10 @@
 	// capacityFactor is the ratio of the capacity that a request covers to the capacity that the
 	// phase needs, since other work takes some of it before the response arrives.
 	capacityFactor = 2.0
-	// objectiveWorkers is the number of workers in the request that objectives allow for.
+	// objectiveWorkers is the number of workers in the advice request whose time is included in a
+	// job's objective.
 	objectiveWorkers = 30
-	// adviceRetryDelay is the delay after a failed request.
+	// adviceRetryDelay is the time after which a failed request is retried.
 	adviceRetryDelay = 100 * time.Millisecond
 	// starvationThreshold is the time without a request after which a phase counts as starving. One
 	// in starvingDivisor of the requests in the quota is reserved for such phases.
@@ -46,11 +47,11 @@
 var unlimitedQuota = RequestQuota{math.MaxInt, math.MaxInt}
 
 // forPhase returns the quota that a phase's requests count against.
-func (o *RequestQuota) forStep(s *phase) *int {
+func (q *RequestQuota) forStep(s *phase) *int {
 	if s.job.inUrgentQueue() {
-		return &o.Urgent
+		return &q.Urgent
 	}
-	return &o.Normal
+	return &q.Normal
 }
 
 // requestAdvice requests advice on which workers may run a phase, if the workers with free capacity
@@ -172,23 +173,23 @@
 	var out []string
 	covered := 0.0
 	need := capacityFactor * float64(wanted)
-	for _, o := range candidates {
-		if o.slots == 0 || len(out) == maxRequestWorkers || len(out) >= minRequestWorkers && covered >= need {
+	for _, c := range candidates {
+		if c.slots == 0 || len(out) == maxRequestWorkers || len(out) >= minRequestWorkers && covered >= need {
 			break
 		}
-		out = append(out, o.w.vm.ID)
-		if o.allowed {
-			covered += float64(o.slots)
+		out = append(out, c.w.vm.ID)
+		if c.allowed {
+			covered += float64(c.slots)
 		} else {
-			covered += float64(o.slots) * max(0.1, s.job.queue.allowedShare)
+			covered += float64(c.slots) * max(0.1, s.job.queue.allowedShare)
 		}
 	}
 	if first {
-		for _, o := range candidates[len(out):] {
+		for _, c := range candidates[len(out):] {
 			if len(out) >= maxRequestWorkers || time.Duration(len(out))*s.job.queue.Advice.Worker >= s.job.queue.Advice.Call {
 				break
 			}
-			out = append(out, o.w.vm.ID)
+			out = append(out, c.w.vm.ID)
 		}
 	}
 	return out
@@ -235,18 +236,18 @@
 		if mark == markDenied || mark == markTicketed || !p.suits(s, w, now) {
 			continue
 		}
-		o := candidate{w: w, allowed: mark == markAllowed, slots: s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w]))}
-		if o.allowed && p.Policy.Reserve && len(s.slots) > 0 {
-			o.slots = max(o.slots, s.slotsBy(w, response))
+		c := candidate{w: w, allowed: mark == markAllowed, slots: s.fitInto(p.availableCapacity(s, w, now), remainingPerVM(s.spec.MostPerVM, counts[w]))}
+		if c.allowed && p.Policy.Reserve && len(s.slots) > 0 {
+			c.slots = max(c.slots, s.slotsBy(w, response))
 		}
-		if o.slots == 0 && !all {
+		if c.slots == 0 && !all {
 			continue
 		}
-		o.score = p.score(s, w, w.free())
-		if o.allowed {
-			o.score++
+		c.score = p.score(s, w, w.free())
+		if c.allowed {
+			c.score++
 		}
-		out.add(o)
+		out.add(c)
 	}
 	return out.values
 }
--- a/coord/fleet/demand.go
+++ b/coord/fleet/demand.go
@@ -17,7 +17,7 @@
 	peakHalfLife = 6 * time.Second
 	// maxPoolReserve is the largest fraction of the capacity of a service's workers that is
 	// reserved for urgent work; otherwise one team that sends many times its usual load would keep
-	// all other work waiting beside idle machines. Of its own limit, a team's urgent work may have
+	// all other work waiting while machines are idle. Of its own limit, a team's urgent work may have
 	// everything reserved (maxTeamReserve): long work started there would delay the next burst by
 	// seconds.
 	maxPoolReserve = 0.5
--- a/coord/fleet/probe.go
+++ b/coord/fleet/probe.go
@@ -12,8 +12,8 @@
 	// runs.
 	placementTimeout = time.Second
 	// isolationTimeout limits how long nothing else is started beside a probe.
-	// weakIsolationTimeout applies to lasting tasks that are unlikely causes: other such tasks
-	// wait for the capacity.
+	// weakIsolationTimeout applies to lasting tasks that are unlikely causes, because other lasting
+	// tasks wait for the worker's capacity meanwhile.
 	isolationTimeout     = 20 * time.Second
 	weakIsolationTimeout = 2 * time.Second
 	// Of the workers of a service, one in teamProbeDivisor may run probes of the same team and one
@@ -75,8 +75,8 @@
 }
 
 // isolates reports whether nothing may be started yet beside a run of a suspect. The age of a run
-// that an earlier planner started is not known, so a weak suspect's adopted run is not isolated:
-// otherwise each planner would wait again.
+// that an earlier planner started is not known. So if the suspect is a lasting task without strong
+// crashes, such a run is not isolated: otherwise it would be isolated again after each takeover.
 func (x *suspicion) isolates(r *run, now time.Time) bool {
 	if x.strongCrashes() > 0 || !x.phase.spec.Lasting {
 		return now.Sub(r.since) < isolationTimeout
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -11,7 +11,7 @@
 // Reason says why a task does not run, or is not known to have ended.
 type Reason int
 
-// Reasons, in the order in which they are checked.
+// The reasons; String lists their texts in the same order.
 const (
 	// WaitRun means that a run of the task, or of its gang, is not known to have ended.
 	WaitRun Reason = iota + 1
