--- a/region/assign.go
+++ b/region/assign.go
@@ -10,7 +10,7 @@
 	"plantainwinch/winch"
 )
 
-// live returns the entries that can be keepers and use lanes at present.
+// liveEntries returns the entries that can be keepers and use lanes at present.
 func (l *leadership) live() map[string]member {
 	connected := make(map[string]bool)
 	for _, name := range l.node.Peers.Names() {
@@ -78,7 +78,7 @@
 	return !l.keeperBackoff[name] && slices.Contains(l.node.Peers.Names(), name)
 }
 
-// chooseKeepers chooses the keepers, and has them recorded where they differ from the roster.
+// chooseKeepers chooses each worker's keeper, and has the roster written if it differs.
 func (l *leadership) chooseKeepers(held []winch.WorkerVM, live map[string]member) {
 	pools := newKeeperPools(live, l.busyEntries()...)
 	wanted := make(map[string]rosteredWorker, len(held))
@@ -108,8 +108,8 @@
 	return out
 }
 
-// maxEarlierKeepers bounds the earlier keepers that are recorded for a worker. One without a name
-// stands for those left out, of which nothing can be learnt any more.
+// maxEarlierKeepers bounds the earlier keepers that are recorded for a worker. If there are more, an
+// entry without a name replaces the oldest ones, of which nothing can be learnt any more.
 const maxEarlierKeepers = 16
 
 func sameRosterRecord(a, b rosteredWorker) bool {
@@ -127,17 +127,17 @@
 }
 
 // rosterRecord returns what is to be recorded for a worker. For one that does not respond, the record
-// lists all runs that may exist there, since nothing is started there until the record is changed
-// again. Without that, if the planner and its standby were lost together, the next planner would have
-// to delay all other work until everything there has surely ended. The record is not complete before
-// it is known what an earlier planner started there.
-func (l *leadership) rosterRecord(vm winch.WorkerVM, keeper string, turn uint64) rosteredWorker {
+// lists all runs that may exist there, once it is known what an earlier planner started there. The
+// list stays complete, since nothing is started there until the record is changed again. Without it,
+// if the planner and its standby were lost together, the next planner would have to delay all other
+// work until everything there is guaranteed to have ended.
+func (l *leadership) rosterRecord(vm winch.WorkerVM, keeper string, generation uint64) rosteredWorker {
 	last := l.desired[vm.ID]
-	out := rosteredWorker{VM: vm, Keeper: keeper, Address: last.Address, Generation: turn}
+	out := rosteredWorker{VM: vm, Keeper: keeper, Address: last.Address, Generation: generation}
 	if !l.expiries.renewable[vm.ID] {
 		out.Earlier = last.Earlier
 	}
-	if last.Generation != turn {
+	if last.Generation != generation {
 		out.Address = l.node.cell.addressOf(keeper)
 		if last.Keeper != "" {
 			out.Earlier = append(slices.Clone(out.Earlier), earlierKeeper{last.Keeper, last.Address, last.Generation})
@@ -153,8 +153,8 @@
 	return out
 }
 
-// resumeResponsive allows work again on workers that respond again and that the store surely does not
-// record as settled.
+// resumeResponsive allows work again on workers that respond again, once the stored roster is known to
+// list them neither as settled nor with a bound.
 func (l *leadership) resumeResponsive() {
 	for id := range l.roster {
 		if unresponsive, responds := l.planner.Unresponsive(id); unresponsive && responds && !l.maybeSettled[id] && !l.maybeBound[id] {
@@ -167,12 +167,12 @@
 func (l *leadership) activateKeepers(held []winch.WorkerVM, live map[string]member) {
 	changed := make(map[string]bool)
 	for _, vm := range held {
-		name, turn := l.desired[vm.ID].Keeper, l.desired[vm.ID].Generation
+		name, generation := l.desired[vm.ID].Keeper, l.desired[vm.ID].Generation
 		recorded := l.roster[vm.ID]
-		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Generation != turn || recorded.VM.Born != vm.Born {
+		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Generation != generation || recorded.VM.Born != vm.Born {
 			continue
 		}
-		if l.keepers[vm.ID] == name && l.kept[vm.ID].Generation == turn {
+		if l.keepers[vm.ID] == name && l.kept[vm.ID].Generation == generation {
 			continue
 		}
 		if old := l.keepers[vm.ID]; old != "" {
@@ -184,7 +184,7 @@
 		changed[name] = true
 		l.tokens++
 		l.recordAssignment(vm.ID, name, proto.Assignment{
-			VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Generation: turn,
+			VM: vm, Token: l.revision*tokensPerOffice + l.tokens, Generation: generation,
 			Empty: l.planner.Empty(vm.ID),
 		})
 	}
--- a/region/expiry.go
+++ b/region/expiry.go
@@ -10,16 +10,16 @@
 
 // leaseExpiries tracks until when work may run at workers that do not respond. A worker that left
 // reports nothing, so what ran there counts as running until the last lease that any keeper granted is
-// guaranteed to have expired. That time is passed on when keepers and planners change: if each new one
-// counted it anew, it would never be reached while entries are stopped or killed one after the other,
-// and lasting tasks would stay down.
+// guaranteed to have expired. That time is passed on when keepers and planners change. If each new one
+// started the wait from the beginning, it would never end while entries are stopped or killed one after
+// the other, and lasting tasks would stay down.
 type leaseExpiries struct {
 	// earlier lists, by worker, the assignments before the current one.
 	earlier map[string][]assignment
 	// renewable holds the workers whose current keeper may renew the lease.
 	renewable map[string]bool
 	// fixed holds the lease expiry of workers that responded to their current keeper and no longer do;
-	// the keeper renews nothing until it is ordered to.
+	// the keeper renews nothing there until it is ordered to.
 	fixed map[string]time.Time
 	// unresponsive holds the workers that do not respond to their keeper.
 	unresponsive map[string]bool
@@ -63,8 +63,8 @@
 	s.renewable[worker] = true
 }
 
-// markUnresponsive records that a worker does not respond to its current keeper, under which leases
-// run for at most left.
+// markUnresponsive records that a worker does not respond to its current keeper. The leases that this
+// keeper granted run for at most the given time.
 func (s *leaseExpiries) markUnresponsive(worker string, left time.Duration) {
 	s.unresponsive[worker] = true
 	if s.renewable[worker] {
@@ -114,7 +114,7 @@
 	return shortened
 }
 
-// forget drops a worker whose work has surely ended.
+// forget drops a worker whose work is known to have ended.
 func (s *leaseExpiries) forget(worker string) {
 	delete(s.earlier, worker)
 	delete(s.unresponsive, worker)
@@ -131,8 +131,8 @@
 	return left
 }
 
-// expiresIn returns after how long all leases at a worker have expired if nobody may renew them at
-// present, and zero if its keeper may.
+// expiresIn returns how long it takes until all leases at a worker have expired, at least a
+// millisecond. It returns zero if the worker's keeper may still renew them.
 func (s *leaseExpiries) expiresIn(worker string) time.Duration {
 	if s.renewable[worker] {
 		return 0
@@ -144,8 +144,9 @@
 	return max(left, time.Millisecond)
 }
 
-// updates returns until when work may run at the unresponsive workers whose leases nobody may renew at
-// present; with withoutContact, also at those that have not responded to their current keeper yet.
+// mirrorUpdate returns, for the standby, until when work may run at the unresponsive workers whose leases
+// nobody may renew at present. With withoutContact set, it includes the workers that have not responded to
+// their current keeper yet.
 func (s *leaseExpiries) updates(keepers map[string]string, withoutContact bool) []proto.MirrorLeaseExpiry {
 	var out []proto.MirrorLeaseExpiry
 	for worker := range s.unresponsive {
@@ -186,9 +187,9 @@
 	}
 }
 
-// expireEndedKeepers handles keepers whose successors have been seen. Those keepers can't be asked any
-// more, but a process that has ended renews nothing. So the authority that it had does not count, only
-// one lease from its end on.
+// expireEndedKeepers shortens the expiries of keepers whose process is known to have ended. Such a keeper
+// cannot report when its leases expire, but it has renewed none since its end: they last one lease
+// duration from then on, however long its authority was.
 func (l *leadership) expireEndedKeepers() {
 	for id, list := range l.expiries.earlier {
 		for _, a := range list {
@@ -202,7 +203,7 @@
 	l.sendExpiries()
 }
 
-// noteEarlierBoot notes that an earlier planner's keeper has ended if another boot, possibly this one,
+// noteEarlierBoot records that an earlier planner's keeper has ended if another boot, possibly this one,
 // is seen at its address.
 func (l *leadership) noteEarlierBoot(a assignment) {
 	switch {
@@ -238,12 +239,12 @@
 	}
 }
 
-// allowRenewal lets a worker's keeper renew the lease. If a standby may know an expiry of that lease,
-// it is told first that the expiry no longer holds: otherwise it would start the work a second time
-// after taking over.
+// allowRenewal orders a worker's keeper to renew the lease. A standby that may hold an expiry of that
+// lease is first notified that it no longer applies: otherwise the standby would start the work a
+// second time after taking over.
 func (l *leadership) allowRenewal(e proto.KeeperEvent) {
 	if l.runsRecorded {
-		return // The time at which the leases there expire is recorded.
+		return // The roster already records when the leases there expire.
 	}
 	o := proto.Order{Kind: proto.OrderAllowRenewal, Worker: e.Worker, Token: e.Token, Spell: e.Spell}
 	if l.maybeBound[e.Worker] {
@@ -254,7 +255,8 @@
 	l.sendRenewal(o)
 }
 
-// sendRenewal sends an order to renew once the standby uses no earlier expiry of the worker.
+// sendRenewal sends an order to allow renewal, after the standby has acknowledged that the worker's
+// expiry no longer applies.
 func (l *leadership) sendRenewal(o proto.Order) {
 	if l.standbyExpiries[o.Worker] {
 		l.queuedOrders = append(l.queuedOrders, o)
@@ -265,8 +267,8 @@
 }
 
 // refreshStandby sends the expiries of unresponsive workers to the standby again before its copy becomes
-// stale. If no standby can be reached, all copies are stale after a while. Then renewals that wait for
-// an acknowledgement go out: if the store were down as well, the leases would expire otherwise.
+// stale. If no standby can be reached, all copies are stale after a while. Then the orders to renew that
+// wait for an acknowledgement are sent: if the store were down as well, the leases would expire otherwise.
 func (l *leadership) refreshStandby() {
 	if len(l.expiries.unresponsive) > 0 && time.Since(l.expiriesSentAt) > expiriesInterval {
 		l.expiriesChanged = true
--- a/region/handover.go
+++ b/region/handover.go
@@ -25,21 +25,23 @@
 	strongShare = 0.5
 	// weakYieldDelay is how long a planner on a weak VM serves before it yields the office.
 	weakYieldDelay = 1500 * time.Millisecond
-	// stuckYieldDelay is when it yields the office without a standby. A strong planner has contact
-	// with all workers within a second.
+	// stuckYieldDelay is how long a planner on a weak VM serves before it yields the office even without a
+	// ready standby, if it still does not know what runs. A strong planner has contact with all workers
+	// within a second.
 	stuckYieldDelay = 2500 * time.Millisecond
 )
 
 // handOver gives the office up: nothing more is started, and the end of the lease notifies the other
-// entries. If the standby knows all runs, nothing else is needed: workers list again what is not
-// recorded yet, and each further call to a slow store would only delay the next start. Without such a
-// standby, completions and running work are recorded first.
+// entries. If the standby knows all runs, records are written first only as long as counted crashes are
+// missing in the store: workers report unrecorded completions again to the next planner, and each
+// further call to a slow store would only delay the next start. Without such a standby, completions and
+// running work are recorded first.
 func (l *leadership) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	_ = l.duty.Do(ctx, func() {
 		l.closed = true
-		l.expiriesChanged = true // The standby gets the expiries of workers without contact, too.
+		l.expiriesChanged = true // The standby is also sent the expiries of workers that have not responded.
 		l.dispatch()
 		l.sendQueued()
 	})
@@ -74,21 +76,21 @@
 // runs and is named by the store.
 func (l *leadership) awaitMirror(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		var pending, covered bool
+		var pending, ready bool
 		if l.duty.Do(ctx, func() {
-			pending, covered = l.mirrorPending, l.covered()
+			pending, ready = l.mirrorPending, l.covered()
 		}) != nil {
 			return false
 		}
 		if !pending {
-			return covered
+			return ready
 		}
 		duty.Sleep(ctx, gatherDelay)
 	}
 	return false
 }
 
-// covered reports whether the standby knows all runs that were started, and is named by the store.
+// standbyReady reports whether the standby knows all runs that were started, and is named by the store.
 func (l *leadership) covered() bool {
 	s := l.standby
 	return s != nil && s.synced && l.namedStandby == s.name && len(l.maybeNamed) == 0
@@ -109,9 +111,9 @@
 }
 
 // yield gives the office up if this entry has become slow and its standby has not, or if this entry is
-// weak and a strong one is live. The office goes to the standby if that is strong and knows all runs,
-// or to any entry if this one does not even get to know what runs. A planner does not yield in its
-// first moments, in which the keepers' sessions begin.
+// weak and a strong one is live. The office then goes to the standby, which has to be strong and know
+// all runs. A weak planner that still does not know what runs after stuckYieldDelay yields to any entry.
+// A planner does not yield in its first moments, in which the keepers' sessions begin.
 func (l *leadership) yield(live map[string]member) {
 	largest := maxShare(maps.Values(live))
 	weak := time.Since(l.startedAt) >= weakYieldDelay && !strong(l.node.Share, largest)
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -24,8 +24,8 @@
 func (l *leadership) addJobs(values []winch.Value) (orphans []string) {
 	all := make(map[string]*storedJob)
 	for _, v := range values {
-		id, what := parseJobKey(v.Key)
-		if what == partNone || what != partCancel && l.planner.HasJob(id) {
+		id, part := parseJobKey(v.Key)
+		if part == partNone || part != partCancel && l.planner.HasJob(id) {
 			continue
 		}
 		s := all[id]
@@ -33,7 +33,7 @@
 			s = &storedJob{}
 			all[id] = s
 		}
-		if err := s.add(what, v); err != nil {
+		if err := s.add(part, v); err != nil {
 			l.node.Log.Error("job record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 		}
 	}
@@ -54,22 +54,22 @@
 	return orphans
 }
 
-// followJobs applies the jobs that are accepted or cancelled after the revision that was read.
+// followJobs watches the store for jobs that are accepted or cancelled after the revision that was read.
 func (l *leadership) followJobs(ctx context.Context) {
-	take := func(values []winch.Value) {
+	add := func(values []winch.Value) {
 		l.post(func() {
 			l.addJobs(values)
 			l.wake()
 		})
 	}
-	l.node.watch(ctx, prefixJobs, watchOptions{delay: jobsPollInterval, after: l.jobsRevision}, take, func(events []winch.Event) {
+	l.node.watch(ctx, prefixJobs, watchOptions{delay: jobsPollInterval, after: l.jobsRevision}, add, func(events []winch.Event) {
 		var values []winch.Value
 		for _, e := range events {
 			if !e.Deleted {
 				values = append(values, e.Value)
 			}
 		}
-		take(values)
+		add(values)
 	})
 }
 
--- a/region/lag.go
+++ b/region/lag.go
@@ -19,9 +19,9 @@
 // lag measures how much later than scheduled the planner decides, as a moving average. On a VM that
 // has become slow the lag grows although the office's lease is renewed in time.
 type lag struct {
-	due  time.Time
+	due  time.Time // due is when the next decision is scheduled.
 	mean time.Duration
-	at   time.Time
+	at   time.Time // updatedAt is when mean was last updated.
 }
 
 // note records that a decision begins.
@@ -30,11 +30,11 @@
 		return // No decision was scheduled.
 	}
 	late := max(0, now.Sub(l.due))
-	kept := 0.0
+	weight := 0.0 // weight is the weight of the old mean.
 	if !l.at.IsZero() {
-		kept = math.Exp2(-(now.Sub(l.at) + time.Millisecond).Seconds() / lagHalfLife.Seconds())
+		weight = math.Exp2(-(now.Sub(l.at) + time.Millisecond).Seconds() / lagHalfLife.Seconds())
 	}
-	l.mean = late + time.Duration(kept*float64(l.mean-late))
+	l.mean = late + time.Duration(weight*float64(l.mean-late))
 	l.at = now
 }
 
--- a/region/leadership.go
+++ b/region/leadership.go
@@ -29,7 +29,8 @@
 	// idleInterval is how often the planner decides without events, since tickets and deadlines
 	// expire.
 	idleInterval = 100 * time.Millisecond
-	// tokensPerOffice is the number of fencing tokens available below one revision of the office.
+	// tokensPerOffice is the number of fencing tokens available to one revision of the office. Tokens of
+	// a later revision are higher.
 	tokensPerOffice = 1 << 20
 	// generationsPerTerm is the number of worker generations available in one term.
 	generationsPerTerm = 1 << 32
@@ -42,8 +43,8 @@
 	// workersPollInterval is how often changes of the worker list are read. A worker must get no work
 	// two seconds after it began to drain.
 	workersPollInterval = 400 * time.Millisecond
-	// maxListAge is how old the worker list may be for a start while the store does not respond: the
-	// capacity that a worker announces takes effect three seconds later.
+	// maxListAge is how old the worker list may be while the store does not respond; with an older one
+	// nothing is started. The capacity that a worker announces takes effect three seconds later.
 	maxListAge = 3 * time.Second
 	// workerReturnTimeout is how long workers whose store records expired during a store outage may
 	// take to register again.
@@ -51,8 +52,8 @@
 	// sweepInterval is how often the records of old jobs are removed.
 	sweepInterval = 5 * time.Second
 	// maxOfficeOverrun is how long a planner that cannot renew its office goes on after the office's
-	// lease has expired. What it starts last still has a second to run before its keepers stop
-	// renewing.
+	// lease has expired. What it starts last can run for another second before its keepers stop
+	// renewing leases.
 	maxOfficeOverrun = keeperGrace - 1500*time.Millisecond
 	// processEndPollInterval is how often it is checked whether the earlier planner's process has
 	// ended.
@@ -77,7 +78,7 @@
 	group      *conc.WaitGroup
 	timer      *time.Timer
 
-	// The fields below are accessed only in the duty's goroutine. prefetched is what this entry read
+	// The fields below are accessed only in the goroutine of duty. prefetched is what this entry read
 	// as standby; jobsRevision is the revision up to which jobs have been read, and orphans are the
 	// IDs of jobs of which the store holds other records but no job record.
 	prefetched    *prefetched
@@ -87,7 +88,7 @@
 	lanes         lanes.Lanes[fleet.AdviceRequest]
 	proxies       map[string]*proxy
 	keepers       map[string]string           // keepers holds the name of each worker's keeper.
-	kept          map[string]proto.Assignment // kept holds the fencing token of each worker's assignment.
+	kept          map[string]proto.Assignment // assignments holds each worker's present assignment.
 	byToken       map[uint64]string           // byToken holds the worker of each fencing token.
 	workers       map[string]winch.WorkerVM
 	listAsOf      time.Time // listAsOf is the time at which the known worker list was current.
@@ -97,16 +98,16 @@
 	desired        map[string]rosteredWorker
 	roster         map[string]rosteredWorker
 	previousRoster map[string]rosteredWorker // previousRoster is the roster of the earlier planner.
-	maybeSettled   map[string]bool           // maybeSettled holds the workers that the store may record as settled.
+	maybeSettled   map[string]bool           // maybeSettled holds the workers that the stored roster may list as settled.
 	// rosterRevision is the revision of the roster's record, loadedRosterRevision that of the record
 	// read at the start of the term.
 	rosterRevision, loadedRosterRevision uint64
-	// pendingRenewals holds orders that wait until the store surely records no bound for their worker.
+	// pendingRenewals holds, by worker, orders to allow renewal that wait until the stored roster is known
+	// to hold no bound for the worker.
 	pendingRenewals map[string]proto.Order
-	// maybeBound holds the workers for which the store may record a bound.
+	// maybeBound holds the workers for which the stored roster may hold a bound.
 	maybeBound map[string]bool
-	// boundsRequested says that the recording of bounds for workers without contact has been
-	// requested.
+	// boundsRequested is set once bounds are to be recorded for the workers that have not responded.
 	boundsRequested bool
 	tokens          uint64
 	generations     uint64
@@ -114,8 +115,8 @@
 	// queuedOrders holds the starts that have not been sent to the standby yet, mirroredOrders those
 	// that the standby has acknowledged, and removedRuns the runs that ended since the last update to
 	// it. mirrorPending says that a response of the standby is awaited. The store names namedStandby
-	// as of namedRevision, or one of maybeNamed: their records were written after that revision with
-	// unknown result.
+	// as of namedRevision. It may name one of maybeNamed instead, if such a name was written after
+	// that revision with unknown result.
 	standby         *standby
 	queuedOrders    []proto.Order
 	mirroredOrders  []proto.Order
@@ -127,7 +128,7 @@
 	namedStandby    string
 	namedRevision   uint64
 	maybeNamed      map[string]bool
-	copiedRuns      map[string][]winch.Running // copiedRuns is what this entry knew as standby.
+	copiedRuns      map[string][]winch.Running // copiedRuns holds the runs that this entry knew as standby.
 	// copiedExpiries holds the assignments, received as standby, under which work may run at
 	// unresponsive workers.
 	copiedExpiries map[string][]assignment
@@ -148,7 +149,7 @@
 	startedAt         time.Time
 	standbyCheckedAt  time.Time // standbyCheckedAt is when the standby was last compared with other entries.
 	decisionPending   bool
-	closed            bool
+	closed            bool // closed says that the office is being given up: nothing more is started.
 	runsRecorded      bool // runsRecorded says that the running work has been recorded for the next planner.
 	// decidedAt is when the planner last made a decision, decisionTime is how long that took.
 	decidedAt    time.Time
@@ -265,7 +266,7 @@
 	}
 }
 
-// wake schedules a decision soon.
+// decideSoon schedules a decision soon.
 func (l *leadership) wake() {
 	if !l.decisionPending {
 		l.decisionPending = true
@@ -279,7 +280,8 @@
 	l.timer.Reset(d)
 }
 
-// decide starts what can start, provided that the office is surely still held.
+// decide makes one decision: it starts what can start, unless the office is being given up or mayStart
+// forbids it. It then sends the orders and requests that are due and has changed records saved.
 func (l *leadership) decide() {
 	l.decisionPending = false
 	l.lag.note(time.Now())
@@ -312,11 +314,11 @@
 	l.logLosses()
 }
 
-// mayStart reports whether work may be started, and limits which. While the store does not respond,
-// no other entry can take the office there. If the standby took it unnoticed, it no longer
-// acknowledges this planner's starts, so these are not sent. So the planner goes on for a while, with
-// the jobs that it knew while the office was surely its own; what it starts has ended before another
-// planner may start the same.
+// mayStart reports whether work may be started. A planner that cannot renew its office goes on for a
+// while after the lease has expired: while the store does not respond, no other entry can take the
+// office, and if the standby took it without this planner's knowledge, it no longer acknowledges this
+// planner's starts, so these are not sent. mayStart then limits the starts to jobs that the planner
+// knew before the lease expired. What it starts ends before another planner may start the same.
 func (l *leadership) mayStart() bool {
 	left := l.validity.Load().remaining()
 	l.planner.LeaseExpiry = time.Time{}
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -46,19 +46,19 @@
 	expiries map[string][]assignment
 	// lastContact is when the planner's last message was accepted.
 	lastContact time.Time
-	// stampBase is the time of stamp zero; expiriesUntil is until when expiries may be used.
+	// stampBase is the time that stamp zero stands for; expiriesUntil is until when expiries may be used.
 	stampBase     time.Time
 	expiriesUntil time.Time
 }
 
-// mirrorCopy is what a standby knows as it takes the office over: the runs of each worker, and until
-// when those at unresponsive workers may go on.
+// mirrorCopy is what a standby knows when it takes the office over: the runs of each worker, and until
+// when those at unresponsive workers may continue.
 type mirrorCopy struct {
 	runs     map[string][]winch.Running
 	expiries map[string][]assignment
 }
 
-// answer applies a message and returns the acknowledgement.
+// respond applies a message and returns the acknowledgement.
 func (m *mirror) answer(msg proto.Mirror) proto.MirrorAck {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,7 +127,7 @@
 	return out, complete
 }
 
-// standby is the planner's state of its standby.
+// standby is what the planner knows of its standby.
 type standby struct {
 	name    string
 	session uint64
@@ -189,7 +189,7 @@
 	return best
 }
 
-// dropStandby drops the standby. Starts wait until the store no longer names it.
+// dropStandby stops using the standby. Starts wait until the store no longer names it.
 func (l *leadership) dropStandby() {
 	l.node.Log.Info("standby dropped", zap.String("standby", l.standby.name))
 	l.standbyBackoff[l.standby.name] = time.Now().Add(standbyRetryDelay)
@@ -214,8 +214,8 @@
 	return mine(l.namedStandby)
 }
 
-// release sends the orders that the standby has acknowledged. Expiries that earlier standbys were sent
-// no longer matter.
+// release sends the orders that the standby has acknowledged, if they are releasable. Expiries that
+// earlier standbys were sent no longer matter then.
 func (l *leadership) release() {
 	if !l.releasable() {
 		return
@@ -232,8 +232,8 @@
 	l.sendOrders(starts)
 }
 
-// sendQueued sends queued orders: after the standby's acknowledgement, or directly if the store surely
-// names no standby.
+// sendQueued has queued orders sent: after the standby's acknowledgement, or directly if the store is
+// known to name no standby.
 func (l *leadership) sendQueued() {
 	if l.mirrorPending {
 		return
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -21,14 +21,15 @@
 	pollTimeout = 700 * time.Millisecond
 	// sessionRetryDelay is the pause before a keeper whose session broke gets a new one.
 	sessionRetryDelay = 200 * time.Millisecond
-	// maxImbalance is how many more workers than another a keeper may have.
+	// maxImbalance is how many more workers a keeper may have than the least loaded one of its failure
+	// domain before one of its workers is moved.
 	maxImbalance = 6
 	// adviceTimeout is how long a response of the advice service may take beyond the cost
 	// that the queue's configuration states: other requests of the lane come first.
 	adviceTimeout = 800 * time.Millisecond
 )
 
-// proxy is the planner's side of one keeper in one session.
+// proxy is the planner's side of one session with a keeper.
 type proxy struct {
 	lead    *leadership
 	name    string
@@ -53,9 +54,9 @@
 	set := proto.AssignmentSet{Session: p.session, Authority: l.authority()}
 	for id, keeper := range l.keepers {
 		if keeper == name {
-			kept := l.kept[id]
-			kept.Left = l.expiries.remaining(id)
-			set.Workers = append(set.Workers, kept)
+			a := l.kept[id]
+			a.Left = l.expiries.remaining(id)
+			set.Workers = append(set.Workers, a)
 		}
 	}
 	p.send(proto.KindAssignmentSet, set)
@@ -203,8 +204,8 @@
 		case proto.EventLost:
 			l.unassignLost(e.Worker)
 		case proto.EventUnresponsive, proto.EventResponsive, proto.EventListed:
-			quiet, _ := l.planner.Unresponsive(e.Worker)
-			changed = changed || quiet || len(l.roster[e.Worker].Earlier) > 0
+			unresponsive, _ := l.planner.Unresponsive(e.Worker)
+			changed = changed || unresponsive || len(l.roster[e.Worker].Earlier) > 0
 		}
 	}
 	l.sendExpiries()
@@ -215,8 +216,9 @@
 	l.wake()
 }
 
-// handleKnown handles what a keeper knew of a worker when this planner's session began. If
-// the roster names the keeper with the same generation, that is all that may run there.
+// handleKnown handles the runs that a keeper knew at a worker when this planner's session began. If
+// the earlier planner's roster names the keeper with the same generation, those are all that may run
+// there; otherwise the report is incomplete and is dropped.
 func (l *leadership) handleKnown(keeper string, e proto.KeeperEvent) {
 	if w := l.previousRoster[e.Worker]; w.Keeper == keeper && w.Generation == e.Turn {
 		l.planner.HandleEvent(e)
@@ -232,9 +234,9 @@
 }
 
 // recordAssignment records that a worker is assigned to a keeper under a fencing token.
-func (l *leadership) recordAssignment(id, keeper string, kept proto.Assignment) {
+func (l *leadership) recordAssignment(id, keeper string, a proto.Assignment) {
 	delete(l.byToken, l.kept[id].Token)
-	l.keepers[id], l.kept[id], l.byToken[kept.Token] = keeper, kept, id
+	l.keepers[id], l.kept[id], l.byToken[a.Token] = keeper, a, id
 }
 
 // removeAssignment records that a worker is assigned to no keeper.
@@ -244,8 +246,8 @@
 	delete(l.kept, id)
 }
 
-// dispatch sends the planner's orders to the keepers: starts once the standby has been
-// notified of them, the others at once.
+// dispatch sends the planner's orders to the keepers: starts once the standby has acknowledged
+// them, the others at once.
 func (l *leadership) dispatch() {
 	var now []proto.Order
 	for _, o := range l.planner.Orders() {
@@ -288,9 +290,9 @@
 	}
 }
 
-// handleUnsent reports a start to the planner as not started, because it was not sent: the
-// worker is assigned anew and lists its runs again. If the start were sent, it could take
-// effect after those lists and yet be considered never started.
+// handleUnsent reports a start that was not sent to the planner as not started. The worker is being
+// assigned to a keeper again and will list its runs; a start sent now could take effect after that
+// list and yet be considered never started.
 func (l *leadership) handleUnsent(o proto.Order) {
 	if o.Kind == proto.OrderStart {
 		l.planner.HandleEvent(proto.KeeperEvent{
@@ -299,11 +301,11 @@
 	}
 }
 
-// openings returns how many requests to the advice service may be made now. There are no more
+// adviceQuota returns how many requests to the advice service may be made now. There are no more
 // than free lanes, so that each request is based on what is known when a lane takes it.
 func (l *leadership) openings() fleet.RequestQuota {
-	urgent, usual := l.lanes.Available(time.Now())
-	return fleet.RequestQuota{Urgent: urgent, Normal: usual}
+	urgent, normal := l.lanes.Available(time.Now())
+	return fleet.RequestQuota{Urgent: urgent, Normal: normal}
 }
 
 // requestAdvice distributes the planner's requests to the advice service over the lanes.
@@ -312,11 +314,11 @@
 		l.lanes.Add(lanes.Request[fleet.AdviceRequest]{Body: a, Urgent: a.Urgent, Rank: a.Rank})
 	}
 	for {
-		name, q, ok := l.lanes.Next(time.Now())
+		name, r, ok := l.lanes.Next(time.Now())
 		if !ok {
 			return
 		}
-		l.group.Go(func() { l.callAdvice(name, q.Body) })
+		l.group.Go(func() { l.callAdvice(name, r.Body) })
 	}
 }
 
--- a/region/record.go
+++ b/region/record.go
@@ -208,14 +208,14 @@
 		_, err := l.node.Table.Commit(ctx, winch.Txn{
 			Expect: map[string]uint64{keyOffice: l.revision, keyJob(id): 0}, Remove: []string{keyCancel(id), keyProgress(id)},
 		})
-		l.node.Log.Info("leftover keys of a removed job swept", zap.String("job", id), zap.Error(err))
+		l.node.Log.Info("sweep of the leftover keys of a removed job finished", zap.String("job", id), zap.Error(err))
 	}
 	l.orphans = nil
 }
 
 // runRoster records in the roster which workers may be given work, and through which keeper,
 // before they are given any. Before a planner that takes over restarts what an earlier one may
-// have started, it has to hear from each worker of the roster or wait for its lease to expire.
+// have started, it needs a response of each worker of the roster or has to wait until its lease expires.
 func (l *leadership) runRoster(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -228,11 +228,11 @@
 			wanted = maps.Clone(l.desired)
 			for id, w := range wanted {
 				if w.Bound != 0 && l.planner.RunsKnown(id) {
-					w.Bound = 0 // The worker has answered since.
+					w.Bound = 0 // The worker has responded since.
 					wanted[id] = w
 				}
 				if w.Settled {
-					l.maybeSettled[id] = true // From here on the store may hold the worker as settled.
+					l.maybeSettled[id] = true // From here on the stored roster may list the worker as settled.
 				}
 				if w.Bound != 0 {
 					l.maybeBound[id] = true
@@ -290,7 +290,7 @@
 }
 
 // recordRuns records in the roster all that may run at each worker, once nothing more is
-// started, so that the next planner need not wait for a worker that does not answer. Of an
+// started, so that the next planner need not wait for a worker that does not respond. Of an
 // unresponsive worker the runs are not known, but the time at which its lease expires is: no
 // lease is renewed there any more, so the next planner need not wait for the longest lease.
 func (l *leadership) recordRuns(ctx context.Context) {
--- a/region/report.go
+++ b/region/report.go
@@ -13,7 +13,7 @@
 	"plantainwinch/proto"
 )
 
-// runWaiting periodically sends all entries the number of jobs that have not begun.
+// runWaiting periodically sends all entries the number of jobs that have not begun, by queue.
 func (l *leadership) runWaiting(ctx context.Context) {
 	for ctx.Err() == nil {
 		var msg proto.WaitingJobs
@@ -47,8 +47,8 @@
 func (l *leadership) runLoad(ctx context.Context) {
 	for ctx.Err() == nil {
 		var load fleet.Load
-		var asks int
-		if l.duty.Do(ctx, func() { load, asks = l.planner.Load(), l.lanes.Waiting() }) != nil {
+		var requests int
+		if l.duty.Do(ctx, func() { load, requests = l.planner.Load(), l.lanes.Waiting() }) != nil {
 			return
 		}
 		l.node.Log.Info("load", zap.Int64("milli", load.Room.Milli), zap.Int64("used", load.Used.Milli),
@@ -56,13 +56,14 @@
 			zap.Int64("memory", int64(load.Room.Memory>>20)), zap.Int64("memoryUsed", int64(load.Used.Memory>>20)),
 			zap.Int("workers", load.Workers), zap.Int("usable", load.Usable), zap.Int("running", load.Running),
 			zap.Any("waiting", load.Waiting), zap.Int("capped", load.Capped),
-			zap.Int64("filling", load.Filling), zap.Int("asks", asks),
+			zap.Int64("filling", load.Filling), zap.Int("asks", requests),
 			zap.Any("bytes", l.node.linkBytes()))
 		duty.Sleep(ctx, loadInterval)
 	}
 }
 
-// logCompletions logs for each job that has ended what its time was spent on.
+// logCompletions logs for each job that has ended what its time was spent on, and wakes the requests
+// that wait for its end.
 func (l *leadership) logCompletions() {
 	l.dropWaiters()
 	for _, e := range l.planner.JobSummaries() {
@@ -82,8 +83,8 @@
 // one of which may have been the cause.
 const maxLossRuns = 8
 
-// logLosses logs which runs ended with a worker. A task that crashes its workers comes first in the
-// lines of all of them.
+// logLosses logs which runs ended with a worker. A task that crashes its workers is among the first in
+// the lines of all of them.
 func (l *leadership) logLosses() {
 	for _, x := range l.planner.Losses() {
 		var runs []string
--- a/region/stall.go
+++ b/region/stall.go
@@ -24,7 +24,8 @@
 	maxStallLines = 20
 )
 
-// stallSnapshot holds what is stalled, read in one step of the planner.
+// stallSnapshot holds the lasting tasks that wait and the unresponsive workers that runs are charged to,
+// as of one moment.
 type stallSnapshot struct {
 	waits   []fleet.WaitingTask
 	charged []fleet.UnresponsiveWorker
@@ -171,17 +172,17 @@
 	return []zap.Field{zap.Any("offer", w.Offer), zap.Duration("asked", age(w.AdviceRequested, now))}
 }
 
-// signFields returns the log fields that describe a worker's contact with the planner.
-func signFields(sign fleet.WorkerContact, state workerState, now time.Time) []zap.Field {
+// contactFields returns the log fields that describe a worker's contact with the planner.
+func signFields(contact fleet.WorkerContact, state workerState, now time.Time) []zap.Field {
 	return []zap.Field{
-		zap.String("worker", sign.Worker), zap.String("keeper", state.keeper), zap.Bool("listed", sign.Listed),
+		zap.String("worker", contact.Worker), zap.String("keeper", state.keeper), zap.Bool("listed", contact.Listed),
 		zap.Bool("missing", state.missing),
-		zap.Bool("ready", sign.Ready), zap.Bool("quiet", sign.NoResponse), zap.Duration("silent", age(sign.UnresponsiveSince, now)),
+		zap.Bool("ready", contact.Ready), zap.Bool("quiet", contact.NoResponse), zap.Duration("silent", age(contact.UnresponsiveSince, now)),
 	}
 }
 
-func signCause(sign fleet.WorkerContact) string {
-	return sign.Worker + strconv.FormatBool(sign.Listed) + strconv.FormatBool(sign.Ready) + strconv.FormatBool(sign.NoResponse)
+func signCause(contact fleet.WorkerContact) string {
+	return contact.Worker + strconv.FormatBool(contact.Listed) + strconv.FormatBool(contact.Ready) + strconv.FormatBool(contact.NoResponse)
 }
 
 // age returns how long ago a time was, or zero for the zero time.
--- a/region/takeover.go
+++ b/region/takeover.go
@@ -26,7 +26,7 @@
 }
 
 // readAll reads the roster and the jobs that have not ended, concurrently: a slow store takes a third
-// of a second for each response, and nothing is started before.
+// of a second for each response, and nothing is started before all are read.
 func (l *leadership) readAll(ctx context.Context) error {
 	if l.prefetched == nil {
 		l.prefetched = &prefetched{}
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// handedOverLeft returns after how long all work has ended at the workers that had not responded to
-// the previous planner when it handed the office over, and whether that planner recorded such a time
-// for every worker whose runs it did not record.
+// handedOverLeft returns how long work may still run at the workers whose runs the previous planner did
+// not record when it handed the office over. It reports false if there are none, or if the roster lacks
+// that time for one of them.
 func (l *leadership) handedOverLeft() (time.Duration, bool) {
 	left := time.Duration(0)
 	for _, w := range l.previousRoster {
@@ -105,9 +105,9 @@
 	return left, left > 0
 }
 
-// runFresh determines the revision after which no earlier planner can have started an accepted job:
-// one whose lease the store has ended may believe for a whole lease more that it holds the office,
-// unless its process is known to have ended.
+// findAdoptedRevision determines the revision after which no earlier planner can have started an accepted
+// job. An earlier planner whose lease the store has ended may assume for a whole lease duration more that
+// it holds the office, unless its process is known to have ended.
 func (l *leadership) runFresh(ctx context.Context) {
 	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Sleep(ctx, processEndPollInterval) {
 		if _, ended := l.node.cell.endedBy(l.lastHolder); ended && l.lastHolder != "" {
@@ -127,8 +127,8 @@
 	}
 }
 
-// applyInherited applies what is known of the workers of an earlier planner: this entry was its
-// standby, or it recorded the running work when it handed the office over.
+// applyInherited applies what is known of the workers of the earlier planner, because this entry was its
+// standby or because the earlier planner recorded in the roster what may run there.
 func (l *leadership) applyInherited() {
 	l.inheritExpiries()
 	l.planner.SetRemoved(l.earlierWorkers())
--- a/region/termbound.go
+++ b/region/termbound.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// firstContactTimeout is how long workers have to respond to a new planner. After that it is
-	// recorded of the others that this planner has renewed no lease there. Most workers respond within
-	// some milliseconds.
+	// firstContactTimeout is how long workers have to respond to a new planner. For those that have not
+	// responded by then, the roster records that this planner has renewed no lease there. Most workers
+	// respond within some milliseconds.
 	firstContactTimeout = 400 * time.Millisecond
-	// termRequestTimeout bounds the response of an entry that is asked how long ago terms ended.
+	// termRequestTimeout bounds the request to an entry for how long ago a term began.
 	termRequestTimeout = 500 * time.Millisecond
 	// maxTermRequests bounds the entries that are asked.
 	maxTermRequests = 12
 )
 
-// A planner that has no copy of what the one before knew waits until all work at a worker that does
-// not respond has surely ended: as long as the earlier planner may have had authority after its term.
-// If a planner is lost while it waits, its successor must not count that time anew. So the roster
-// records, for a worker that has not responded, the term in which and after which nobody may have
-// renewed a lease there, and entries ask each other when they first saw that term begin.
+// A planner that has no copy of what its predecessor knew waits until all work at an unresponsive worker
+// is guaranteed to have ended, which is as long as the predecessor may have kept authority after its
+// term. If a planner is lost while it waits, its successor must not start that wait from the beginning.
+// For a worker that has not responded, the roster therefore records a bound: a term since whose beginning
+// nobody can have renewed a lease there. Entries ask each other how long ago they saw that term begin.
 
-// boundOf returns the term from which on nobody may have renewed a lease at a worker that this planner
-// has had no contact with.
+// boundOf returns the term since whose beginning nobody can have renewed a lease at a worker that this
+// planner has had no contact with.
 func (l *leadership) boundOf(w rosteredWorker) uint64 {
 	if w.Bound != 0 {
 		return w.Bound
@@ -130,13 +130,14 @@
 	l.post(func() { l.applyTermBegan(term, began) })
 }
 
-// applyTermBegan shortens the expiries bounded by a term, which had begun by the given time.
+// applyTermBegan shortens the lease expiries of the workers that are bounded by a term. The term had begun
+// by the given time.
 func (l *leadership) applyTermBegan(term uint64, at time.Time) {
 	for id, w := range l.previousRoster {
 		if l.planner.RunsKnown(id) || l.boundOf(w) != term {
 			continue
 		}
-		earlierPlanners := func(h assignment) bool { return h.token == 0 }
+		earlierPlanners := func(a assignment) bool { return a.token == 0 }
 		if l.expiries.shorten(id, at.Add(barrier()), earlierPlanners) {
 			l.changedExpiries = append(l.changedExpiries, id)
 		}
@@ -144,7 +145,7 @@
 	l.sendExpiries()
 }
 
-// answerTerm returns for how long this entry has known that a term began.
+// termResponse returns for how long this entry has known that a term began.
 func (n *Node) answerTerm(req proto.TermRequest) proto.TermResponse {
 	at, seen := n.cell.termSeen(req.Term)
 	if !seen {
--- a/region/workerlist.go
+++ b/region/workerlist.go
@@ -7,7 +7,7 @@
 	"plantainwinch/winch"
 )
 
-// followWorkers keeps the worker list up to date.
+// followWorkers watches the platform's list of workers in the store and passes its changes to the planner.
 func (l *leadership) followWorkers(ctx context.Context) {
 	codec := l.node.Codec
 	l.node.watch(ctx, codec.WorkerPrefix(), watchOptions{delay: workersPollInterval, onSuccess: l.noteListAsOf}, func(values []winch.Value) {
