--- a/region/accept.go
+++ b/region/accept.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// gather adds the other queued submissions to a batch, each ID once. A second submission of an
-// ID waits for the next transaction, which finds the first one stored.
+// gather returns a batch of the first and other queued submissions, each ID once. A second submission
+// of an ID waits for the next transaction, which finds the first one stored.
 func (a *acceptor) gather(first *submission) []*submission {
 	batch := []*submission{first}
 	seen := map[string]bool{first.job.ID: true}
@@ -117,11 +117,11 @@
 			}
 			batch = remaining
 		case errors.Is(err, winch.ErrUnavailable):
-			a.node.Log.Info("submissions not stored; callers told to retry", zap.Int("count", len(batch)), zap.Error(err))
+			a.node.Log.Info("submissions not stored; callers asked to retry", zap.Int("count", len(batch)), zap.Error(err))
 			a.answerAll(batch, winch.RefuseFor(winch.StoreUnavailable, "the store did not take the submission", retryAfter))
 			return
 		default:
-			a.node.Log.Info("store did not confirm submissions; callers told to submit again", zap.Int("count", len(batch)), zap.Error(err))
+			a.node.Log.Info("store did not confirm submissions; callers asked to submit again", zap.Int("count", len(batch)), zap.Error(err))
 			a.answerAll(batch, winch.Uncertain(winch.StoreUnavailable, "the store did not answer; submit again with the same ID"))
 			return
 		}
@@ -148,7 +148,7 @@
 	}
 }
 
-// accepted answers the stored submissions of a batch and notifies the planner of them.
+// confirmAccepted answers the stored submissions of a batch and notifies the planner of them.
 func (a *acceptor) accepted(batch []*submission, revision uint64) {
 	var msg proto.AcceptedJobs
 	for _, s := range batch {
--- a/region/cell.go
+++ b/region/cell.go
@@ -120,7 +120,7 @@
 	c.noteEnded(next.runningSince(), old.Name)
 }
 
-// noteEnded records a time by which the named boots had ended. An earlier note of a boot
+// noteEnded records a time by which the named boots had ended. The first recorded time of a boot
 // stays. The caller holds the mutex.
 func (c *cellView) noteEnded(by time.Time, names ...string) {
 	for name, at := range c.endedBoots {
@@ -176,8 +176,8 @@
 	c.noteEnded(began, name)
 }
 
-// reset replaces the members and the office by the records that were read and applies the
-// other records.
+// reset replaces the members and the office with those in the records that were read, and applies
+// the other records.
 func (c *cellView) reset(values []winch.Value) {
 	c.mu.Lock()
 	c.members = make(map[string]member)
@@ -241,7 +241,7 @@
 	}
 }
 
-// fullBatch is the number of changes in one response from which on more may be pending.
+// fullBatch is the number of changes in one response of the store that suggests that more are pending.
 const fullBatch = 100
 
 // watchOptions says how changes are watched. Either each call waits for a change, or calls
@@ -249,7 +249,7 @@
 type watchOptions struct {
 	wait  time.Duration // wait is how long one call waits for a change.
 	delay time.Duration // delay is the pause between calls.
-	// after is the revision after which changes are watched; at zero, all is read first.
+	// after is the revision after which changes are watched. If it is zero, all values are read first.
 	after uint64
 	// onResponse, if set, is called after each call with whether the store responded.
 	onResponse func(ok bool)
@@ -258,18 +258,18 @@
 	onSuccess func(at time.Time)
 }
 
-func (p watchOptions) notify(sent time.Time, ok bool) {
-	if p.onResponse != nil {
-		p.onResponse(ok)
+func (o watchOptions) notify(sent time.Time, ok bool) {
+	if o.onResponse != nil {
+		o.onResponse(ok)
 	}
-	if p.onSuccess != nil && ok {
-		p.onSuccess(sent)
+	if o.onSuccess != nil && ok {
+		o.onSuccess(sent)
 	}
 }
 
-// watch reads all values under a prefix and then their changes, until ctx ends. If the store
-// has compacted changes that were not read yet, all values are read again.
-func (n *Node) watch(ctx context.Context, prefix string, options watchOptions, all func([]winch.Value), changes func([]winch.Event)) {
+// watch passes all values under a prefix to onValues and then their changes to onChanges, until
+// ctx ends. If the store has compacted changes that were not read yet, all values are read again.
+func (n *Node) watch(ctx context.Context, prefix string, options watchOptions, onValues func([]winch.Value), onChanges func([]winch.Event)) {
 	after := options.after
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -280,7 +280,7 @@
 				duty.Sleep(ctx, retryDelay)
 				continue
 			}
-			all(values)
+			onValues(values)
 			after = asOf
 			options.notify(sent, true)
 		}
@@ -295,7 +295,7 @@
 		default:
 			after = max(after, next)
 			if len(events) > 0 {
-				changes(events)
+				onChanges(events)
 			}
 			options.notify(sent, true)
 			if options.delay > 0 && len(events) < fullBatch {
@@ -319,18 +319,18 @@
 // store is responsive.
 func (n *Node) runRegistration(ctx context.Context) {
 	lease := uint64(0)
-	healthy := false
+	responsive := false
 	for ctx.Err() == nil {
 		if !n.leaving.Load() {
 			lease = n.renewWithTimeout(ctx, lease)
 		} else if lease != 0 && n.Table.RevokeLease(ctx, lease) == nil {
 			lease = 0
 		}
-		if now := n.healthy(); now != healthy {
-			healthy = now
+		if now := n.healthy(); now != responsive {
+			responsive = now
 			n.Log.Info("store responsiveness changed", zap.Bool("answers", now))
 		}
-		if healthy {
+		if responsive {
 			duty.Sleep(ctx, nodeRenewInterval)
 		} else {
 			duty.Sleep(ctx, outageRenewDelay)
--- a/region/keys.go
+++ b/region/keys.go
@@ -46,7 +46,7 @@
 )
 
 // parseJobKey returns the job that a key belongs to and the part of it that the key holds.
-func parseJobKey(key string) (id string, what jobPart) {
+func parseJobKey(key string) (id string, part jobPart) {
 	if id, ok := strings.CutPrefix(key, prefixProgress); ok {
 		return id, partProgress
 	}
@@ -93,7 +93,7 @@
 	// ended.
 	Address string
 	// Earlier holds the earlier keepers that may still renew leases at the worker, since it has
-	// not answered the present one.
+	// not responded to the present one.
 	Earlier []earlierKeeper
 	// Settled says that Runs is all that may run at the worker. It is set when the planner hands
 	// the office over, and for an unresponsive worker that gets no work.
@@ -239,8 +239,8 @@
 }
 
 // add decodes one part of the job.
-func (s *storedJob) add(what jobPart, v winch.Value) error {
-	switch what {
+func (s *storedJob) add(part jobPart, v winch.Value) error {
+	switch part {
 	case partJob:
 		s.job = new(winch.PhasedJob)
 		if err := decode(v.Data, s.job); err != nil {
--- a/region/node.go
+++ b/region/node.go
@@ -25,7 +25,7 @@
 type Timing struct {
 	// Lease is the longest lease that workers grant on what runs.
 	Lease time.Duration
-	// Keep is the retention period of ended jobs: how long callers may still ask for them.
+	// Retention is how long the state of an ended job remains available to callers.
 	Keep time.Duration
 }
 
@@ -70,7 +70,7 @@
 	Host    string // Host is the VM's name.
 	Domain  string
 	Address string // Address is where peers reach the entry.
-	Share   int
+	Share   int    // Share is the entry's share of a processor, in thousandths.
 	Timing  Timing
 	Table   winch.Table
 	Runner  winch.WorkerClient
@@ -95,7 +95,7 @@
 	yielded     atomic.Pointer[time.Time] // yielded is when this entry last yielded the office to a stronger one.
 	stopping    atomic.Bool               // stopping is set when Stop begins.
 	leaving     atomic.Bool               // leaving is set once the office has been handed over.
-	// changed wakes the loop that takes the office after a change of the cell's records.
+	// officeWake wakes the loop that takes the office after a change of the cell's records.
 	changed chan struct{}
 }
 
@@ -114,9 +114,9 @@
 
 // NoteStoreResponse records that the store has just answered.
 func (n *Node) NoteStoreResponse() {
-	wasHealthy := n.healthy()
+	wasResponsive := n.healthy()
 	n.lastContact.Store(int64(time.Since(n.started)))
-	if !wasHealthy {
+	if !wasResponsive {
 		n.storeBack.send()
 	}
 }
@@ -145,7 +145,7 @@
 	}
 }
 
-// healthy reports whether the store is responsive.
+// storeResponsive reports whether the store has answered a call lately.
 func (n *Node) healthy() bool {
 	return time.Since(n.started)-time.Duration(n.lastContact.Load()) < storeUnresponsiveAfter
 }
--- a/region/office.go
+++ b/region/office.go
@@ -20,7 +20,7 @@
 	// strong ones are known from their last records and may be slower.
 	weakDelay = 600 * time.Millisecond
 	// yieldBackoff is how long an entry that yielded the office to a stronger one stays behind, so
-	// that it does not take the office back before the stronger one has noticed.
+	// that it does not take the office back before the stronger one sees that it is free.
 	yieldBackoff = 2 * time.Second
 	// officePollInterval is how often the office is checked if no change was reported.
 	officePollInterval = time.Second
@@ -50,7 +50,8 @@
 	}
 }
 
-// mayTake reports whether the office is free as far as is known.
+// mayTakeOffice reports whether this entry may try to take the office: as far as is known the office is
+// free, a configuration is in force, and the entry is not stopping.
 func (n *Node) mayTake() bool {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
@@ -180,9 +181,9 @@
 	}
 }
 
-// validity is until when the office is surely held by this entry. It is counted from before the
-// renewal was sent, on two clocks: the monotonic clock stands still while the VM is suspended, and the
-// time of day may be set.
+// validity is the time until which this entry is guaranteed to hold the office. It is counted from before
+// the renewal was sent, on two clocks: the monotonic clock stands still while the VM is suspended, and
+// the time of day may be set.
 type validity struct {
 	monotonic time.Time
 	wall      time.Time
--- a/region/prefetch.go
+++ b/region/prefetch.go
@@ -32,14 +32,14 @@
 	return slices.Collect(maps.Values(c.values))
 }
 
-func (c *prefixCopy) reset(values []winch.Value, at uint64) {
-	c.values, c.revision = make(map[string]winch.Value, len(values)), at
+func (c *prefixCopy) reset(values []winch.Value, revision uint64) {
+	c.values, c.revision = make(map[string]winch.Value, len(values)), revision
 	for _, v := range values {
 		c.values[v.Key] = v
 	}
 }
 
-func (c *prefixCopy) apply(events []winch.Event, at uint64) {
+func (c *prefixCopy) apply(events []winch.Event, revision uint64) {
 	for _, e := range events {
 		if e.Deleted {
 			delete(c.values, e.Key)
@@ -47,7 +47,7 @@
 			c.values[e.Key] = e.Value
 		}
 	}
-	c.revision = max(c.revision, at)
+	c.revision = max(c.revision, revision)
 }
 
 // catchUp reads what has changed since the copy's revision, up to the given revision, or all values if
@@ -61,21 +61,22 @@
 	}
 }
 
-// advance reads one response of the store, and returns the number of changes in it.
+// advance makes one call to the store, applies the changes or values that it returns, and returns the
+// number of changes.
 func (c *prefixCopy) advance(ctx context.Context, table winch.Table, prefix string) (int, error) {
 	if c.revision != 0 {
-		events, at, err := table.Watch(ctx, prefix, c.revision, 0)
+		events, revision, err := table.Watch(ctx, prefix, c.revision, 0)
 		if err == nil {
-			c.apply(events, at)
+			c.apply(events, revision)
 			return len(events), nil
 		}
 		if !errors.Is(err, winch.ErrCompacted) {
 			return 0, err
 		}
 	}
-	values, at, err := table.Read(ctx, prefix)
+	values, revision, err := table.Read(ctx, prefix)
 	if err == nil {
-		c.reset(values, at)
+		c.reset(values, revision)
 	}
 	return 0, err
 }
@@ -85,8 +86,8 @@
 	jobs, progress prefixCopy
 }
 
-// prefetch follows the jobs while this entry is standby, so that it need not read all of them during a
-// takeover.
+// prefetcher reads the jobs and their changes while this entry is standby, so that it need not read all
+// of them during a takeover.
 type prefetch struct {
 	mu   sync.Mutex
 	data prefetched
--- a/region/serve.go
+++ b/region/serve.go
@@ -71,11 +71,11 @@
 			return s, nil, err
 		}
 		for _, v := range values {
-			got, what := parseJobKey(v.Key)
+			got, part := parseJobKey(v.Key)
 			if got != id {
 				continue
 			}
-			if err := s.add(what, v); err != nil {
+			if err := s.add(part, v); err != nil {
 				n.Log.Error("stored record cannot be decoded", zap.String("key", v.Key), zap.Error(err))
 				return s, nil, err
 			}
@@ -204,8 +204,7 @@
 	return f(m)
 }
 
-// handToLead passes a message to this entry's planner, and reports whether this entry is the
-// planner.
+// applyAsPlanner applies a notification if this entry is the planner, and reports whether it is.
 func (n *Node) handToLead(body any) bool {
 	l := n.lead.Load()
 	if l != nil {
--- a/region/settings.go
+++ b/region/settings.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// uninformed reports whether the store is unresponsive, or answers other calls but not the watch
-// of the configuration.
+// needsPeers reports whether the entry has to ask its peers for the configuration: the store is
+// unresponsive, or it answers other calls but not the watch of the configuration.
 func (s *settings) uninformed() bool {
 	return s.watchFailed.Load() || !s.node.healthy()
 }
