--- a/region/handover.go
+++ b/region/handover.go
@@ -59,7 +59,7 @@
 		if err == nil || errors.Is(err, winch.ErrNotFound) {
 			break
 		}
-		l.node.Log.Info("ending the office lease failed; retrying", zap.Error(err))
+		l.node.Log.Info("revoking the office lease failed; retrying", zap.Error(err))
 		duty.Sleep(ctx, retryDelay/3)
 	}
 	l.cancel()
--- a/region/lag.go
+++ b/region/lag.go
@@ -38,8 +38,8 @@
 	l.at = now
 }
 
-// slow reports whether the planner decides much later than scheduled, and its standby, which responds
-// sooner, would not.
+// slow reports whether the planner decides much later than scheduled, while its standby is ready and
+// responds in less time than that.
 func (l *leadership) slow() bool {
 	return l.lag.mean > maxLag && time.Since(l.startedAt) > lagYieldDelay && l.covered() && l.mirrorRoundTrip < l.lag.mean
 }
--- a/region/leadership.go
+++ b/region/leadership.go
@@ -109,9 +109,10 @@
 	maybeBound map[string]bool
 	// boundsRequested is set once bounds are to be recorded for the workers that have not responded.
 	boundsRequested bool
-	tokens          uint64
-	generations     uint64
-	sessions        uint64
+	// tokens, generations and sessions count the fencing tokens, generations and sessions of this term.
+	tokens      uint64
+	generations uint64
+	sessions    uint64
 	// queuedOrders holds the starts that have not been sent to the standby yet, mirroredOrders those
 	// that the standby has acknowledged, and removedRuns the runs that ended since the last update to
 	// it. mirrorPending says that a response of the standby is awaited. The store names namedStandby
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -203,15 +203,15 @@
 // releasable reports whether starts that the standby has acknowledged may be sent: the store names no
 // other entry that could take over as standby without them.
 func (l *leadership) releasable() bool {
-	mine := func(name string) bool {
+	harmless := func(name string) bool {
 		return name == "" || l.standby != nil && l.standby.synced && name == l.standby.name
 	}
 	for name := range l.maybeNamed {
-		if !mine(name) {
+		if !harmless(name) {
 			return false
 		}
 	}
-	return mine(l.namedStandby)
+	return harmless(l.namedStandby)
 }
 
 // release sends the orders that the standby has acknowledged, if they are releasable. Expiries that
--- a/region/office.go
+++ b/region/office.go
@@ -60,7 +60,7 @@
 
 // endStaleOffice frees the office if an earlier process of this VM holds it, so that nobody waits for
 // its lease to expire. That process has ended, since it listened on the address on which this one
-// listens. Its standby takes over at once.
+// listens. Its standby can then take over at once.
 func (n *Node) endStaleOffice(ctx context.Context) {
 	n.cell.mu.Lock()
 	held, at := n.cell.office, n.cell.officeRevision
--- a/region/record.go
+++ b/region/record.go
@@ -308,6 +308,6 @@
 		return
 	}
 	if err := l.writeRoster(ctx, workers); err != nil {
-		l.node.Log.Info("runs not recorded for the next planner", zap.Error(err))
+		l.node.Log.Info("recording runs for the next planner failed", zap.Error(err))
 	}
 }
