--- a/coord/keep/hold.go
+++ b/coord/keep/hold.go
@@ -189,8 +189,8 @@
 }
 
 // updateClock stores the worker's clock from a response, and reports whether the response
-// came from another boot. Some responses don't identify their boot, but a boot's clock
-// starts anew and never goes back.
+// came from another boot. Some responses don't identify their boot, but each boot's clock
+// starts at zero and never goes back, so a lower time shows that another boot responded.
 func (h *holder) updateClock(clock time.Duration) (otherBoot bool) {
 	if clock <= 0 {
 		return false
--- a/coord/keep/holder.go
+++ b/coord/keep/holder.go
@@ -14,11 +14,12 @@
 
 const (
 	// holdWait is how long a worker may delay its response to a hold until a run
-	// completes. A longer wait costs both sides fewer responses, and a completion is
-	// reported at once in any case.
+	// completes. A longer wait means fewer responses, and a completion is reported at once
+	// in any case.
 	holdWait = 1500 * time.Millisecond
 	// frequentHoldWait replaces holdWait while the planner adjusts throttle percentages
-	// from the worker's reports: a target may be missed for a few seconds only.
+	// from the worker's reports: tasks may miss their response time target for a few seconds
+	// only.
 	frequentHoldWait = 500 * time.Millisecond
 	// holdDelay is the delay between a response and the next hold.
 	holdDelay = 15 * time.Millisecond
@@ -27,7 +28,7 @@
 	// sent earlier would only return the same ones again.
 	recordTimeout = 140 * time.Millisecond
 	// lossyHoldWait replaces holdWait while responses are being lost: after a lost response
-	// the worker's completions go unnoticed until the next hold.
+	// the keeper learns of the worker's completions only with the next hold.
 	lossyHoldWait = 300 * time.Millisecond
 	// noRenewalHoldWait replaces holdWait while the lease may not be renewed yet, and
 	// renewalTimeout bounds how long the next hold is delayed for that permission.
@@ -35,8 +36,8 @@
 	renewalTimeout    = 150 * time.Millisecond
 	// retryDelay is the delay after a failed call.
 	retryDelay = 100 * time.Millisecond
-	// startTimeout is how long a worker accepts a start. It is short, so that a start
-	// delayed in the network is refused on arrival.
+	// startTimeout is how long after it was sent a worker accepts a start. It is short, so
+	// that a start delayed in the network is refused on arrival.
 	startTimeout = 1200 * time.Millisecond
 	// orderSenders is the number of orders that may be in flight to one worker, each on
 	// its own connection.
@@ -44,8 +45,8 @@
 	// maxClockDrift is the maximum fraction by which a worker's clock runs slower than the
 	// local one.
 	maxClockDrift = 0.02
-	// expiryMargin is added to a lease's expiry: a message may be in flight that long, and
-	// the worker ends runs shortly after the expiry.
+	// expiryMargin is added to a lease's expiry: a message may be in flight for some of that
+	// time, and the worker ends runs shortly after the expiry.
 	expiryMargin = 300 * time.Millisecond
 	// minExpiryTimeout is the minimum timeout of a hold whose worker is about to count as
 	// lost.
@@ -124,7 +125,7 @@
 	retrying bool
 	// renewalAllowed reports that the lease may be renewed: the planner knows that the
 	// worker has responded since its last unresponsive period. Without that rule the
-	// planner, on losing this keeper, would have to assume the longest lease from then on,
+	// planner, if it lost this keeper, would have to assume the longest lease from then on,
 	// even for a worker that never responded.
 	renewalAllowed      bool
 	unresponsivePeriods uint64        // unresponsivePeriods counts the worker's unresponsive periods.
--- a/coord/keep/keep.go
+++ b/coord/keep/keep.go
@@ -22,15 +22,15 @@
 
 const (
 	// maxEvents bounds the events queued for the planner. A planner that lets so many pile
-	// up has lost the session, and a new session lists everything anyway.
+	// up has lost the session, and in a new session everything is listed again anyway.
 	maxEvents = 20_000
 	// orderQueueSize bounds the orders queued for one worker.
 	orderQueueSize = 128
 	// batchDelay is how long events are collected into one response: the tasks of a job
 	// complete close together, and a message costs the planner as much as ten events.
 	batchDelay = 4 * time.Millisecond
-	// endedRetention is how long an ended assignment is kept for later planners: longer
-	// than an outage of the store.
+	// endedRetention is how long an ended assignment is kept for later planners: long enough
+	// to outlast an outage of the store.
 	endedRetention = 10 * time.Minute
 )
 
@@ -161,8 +161,8 @@
 	}
 }
 
-// beginSession ends all assignments and begins a session. If it belongs to a later planner,
-// the runs and lease expiries known so far are reported to that planner.
+// beginSession ends all assignments and begins a session. If the session belongs to a later
+// planner, the runs and lease expiries known so far are reported to that planner.
 func (k *Keeper) beginSession(s proto.Session) {
 	k.events = nil
 	k.endedSent = 0
@@ -172,7 +172,7 @@
 	for id, h := range k.holders {
 		k.endAssignment(h)
 		k.remove(h)
-		if running, whole := h.knownRuns(); whole && s.Term > k.session.Term {
+		if running, complete := h.knownRuns(); complete && s.Term > k.session.Term {
 			k.events = append(k.events, proto.KeeperEvent{Kind: proto.EventKnownRuns, Worker: id, Running: running, Turn: h.generation})
 		}
 	}
@@ -186,6 +186,7 @@
 	return slices.SortedFunc(maps.Values(k.lastEnded), func(a, b endedAssignment) int { return cmp.Compare(a.worker, b.worker) })
 }
 
+// assign starts to manage a worker.
 func (k *Keeper) assign(w proto.Assignment) {
 	delete(k.lastEnded, w.VM.ID)
 	ctx, cancel := context.WithCancel(k.ctx)
@@ -259,8 +260,8 @@
 	}
 }
 
-// holdersOf returns the holder of each order. It returns before any holder is locked, since
-// holders acquire the two locks in the opposite order.
+// holdersOf returns the holder of each order, nil if there is none. It releases the keeper's lock
+// before the orders are queued, since a holder that can't queue an order acquires it to report that.
 func (k *Keeper) holdersOf(msg proto.KeeperOrders) []*holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -275,7 +276,7 @@
 }
 
 // Poll returns the events since the last poll of the session. It waits for an event, and
-// shortly for others that come with it. A zero session in the response means that the
+// then a moment longer for others that follow closely. A zero session in the response means that the
 // session of the request is not the keeper's current one.
 func (k *Keeper) Poll(ctx context.Context, req proto.KeeperPollRequest) proto.KeeperPollResponse {
 	resp := k.waitForEvents(ctx, req)
@@ -303,6 +304,7 @@
 	}
 }
 
+// collect returns the response to a poll, and whether it is to be sent without further waiting.
 func (k *Keeper) collect(req proto.KeeperPollRequest) (proto.KeeperPollResponse, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -332,7 +334,8 @@
 	return out
 }
 
-// emit queues events for the planner. Events of a replaced holder are dropped.
+// emit queues events for the planner. Events of a replaced holder and events beyond maxEvents are
+// dropped.
 func (k *Keeper) emit(h *holder, events ...proto.KeeperEvent) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/coord/keep/keep_test.go
+++ b/coord/keep/keep_test.go
@@ -154,10 +154,10 @@
 }
 
 // setUnresponsive makes the worker unresponsive or responsive.
-func (r *fixture) setUnresponsive(silent bool) {
+func (r *fixture) setUnresponsive(unresponsive bool) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
-	r.worker.unresponsive = silent
+	r.worker.unresponsive = unresponsive
 }
 
 // last returns the last event of a kind.
@@ -262,9 +262,9 @@
 	}
 }
 
-// Guards against a replaced planner that stays active. Partitioned from the store, it goes on
-// polling a keeper that serves its successor. The keeper ignores its assignments and returns
-// the later term.
+// Guards against a planner that does not learn that it was replaced. Partitioned from the store,
+// it goes on polling a keeper that already serves its successor. The keeper must ignore its
+// assignments and return the later term.
 func TestKeeperReportsTheLaterTermToAnOlderPlanner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -279,9 +279,9 @@
 	})
 }
 
-// Guards against a start sent under a later assignment than it was ordered for. The worker is
-// reassigned while the start is queued; sent now, the start could take effect after the
-// worker's new lists, and the task would be started twice.
+// Guards against a start sent under a later assignment than the one it was ordered for. The
+// worker is reassigned while the start is queued. Sent under the new token, the start could take
+// effect after the worker's new lists, and the task would be started twice.
 func TestStartOfAnEarlierAssignmentIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -319,9 +319,9 @@
 	})
 }
 
-// Guards against a start sent to an unresponsive worker. Its lease is about to count as
-// expired; the start would extend it at the worker, and tasks there would run on while they
-// are restarted elsewhere.
+// Guards against a start sent to an unresponsive worker. The worker's lease is about to count as
+// expired. The start would extend it at the worker, and tasks there would run on while they are
+// restarted elsewhere.
 func TestNoStartAtAnUnresponsiveWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -343,7 +343,7 @@
 }
 
 // reboot replaces the worker by another boot with the same ID: its state is empty, and its
-// clock and completion numbers start anew.
+// clock and completion numbers start from the beginning.
 func (w *fakeWorker) reboot() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -352,8 +352,8 @@
 }
 
 // Guards against a hold that carries the completion numbers of the previous boot. A worker
-// crashes and returns under the same ID; it would drop completions that nobody has seen, and
-// finished tasks would run again.
+// crashes and returns under the same ID. The new boot would drop completions that nobody has
+// seen, and finished tasks would run again.
 func TestNextBootGetsNoCompletionNumbersOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -375,9 +375,9 @@
 	})
 }
 
-// Guards against a run left at a new boot. A worker returns under the same ID so quickly that
-// a start reaches the new boot before any hold detects it. The clock in the response has gone
-// back, so the run must be stopped before the task can be started elsewhere.
+// Guards against a run that is left at a new boot. A worker returns under the same ID so quickly
+// that a start reaches the new boot before any hold detects it. The clock in the response is
+// lower than before, so the keeper must stop the run before the task can be started elsewhere.
 func TestStartAtTheNextBootIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/keep/lease.go
+++ b/coord/keep/lease.go
@@ -38,9 +38,9 @@
 // waitForRenewal waits until the lease may be renewed, or until a timeout.
 func (h *holder) waitForRenewal(ctx context.Context) {
 	h.mu.Lock()
-	open := h.renewalAllowed
+	allowed := h.renewalAllowed
 	h.mu.Unlock()
-	if open {
+	if allowed {
 		return
 	}
 	timer := time.NewTimer(renewalTimeout)
--- a/coord/keep/lease_test.go
+++ b/coord/keep/lease_test.go
@@ -12,10 +12,10 @@
 	"plantainwinch/winch"
 )
 
-// Guards against a lease that the planner doesn't know of. A worker fails, and its keeper
-// loses the planner before it could report that the worker ever responded. Had the keeper
-// renewed the lease, the next keeper would have to wait for it without knowing, so the lease
-// is renewed only once the planner knows that the worker responds.
+// Guards against a lease that the planner doesn't know of. A worker fails, and its keeper loses
+// the planner before it could report that the worker ever responded. If the keeper had renewed
+// the lease, the next keeper would not know that it has to wait for its expiry. So the lease must
+// be renewed only once the planner knows that the worker responds.
 func TestLeaseIsRenewedOnceThePlannerKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,9 +38,9 @@
 	})
 }
 
-// Guards against a renewal allowed by an outdated permission. After a short unresponsive
-// period, the planner knows of the responses before it but not of those after it: until those
-// are reported, the lease expiry reported to it must stay valid.
+// Guards against a renewal allowed by an outdated permission. After a short unresponsive period
+// the planner still knows only of the responses before it. Until it has received the event that
+// reports the later ones, the lease expiry that was reported to it must stay valid.
 func TestPermissionBeforeAnUnresponsivePeriodRenewsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -73,8 +73,8 @@
 }
 
 // Guards against waiting longer than necessary for a worker that never responds. A keeper is
-// assigned a worker that had failed before: it waits for the remaining time of the earlier
-// leases, not for another full lease, even if a shorter time is received later.
+// assigned a worker that had failed before. It must wait for the remaining time of the earlier
+// leases, not for another full lease, and must apply a shorter time that it receives later.
 func TestWaitForAnUnresponsiveWorkerIsTheRestOfEarlierLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -96,9 +96,9 @@
 	})
 }
 
-// Guards against losing the lease expiry of a failed worker when it is reassigned. The
-// previous keeper reports the expiry of the last lease in each response until the planner is
-// known to have received it, since responses get lost.
+// Guards against losing the lease expiry of a failed worker when it is reassigned. Responses get
+// lost, so the previous keeper must report the expiry of the last lease in each response until
+// the planner is known to have received it.
 func TestKeeperReportsTheExpiryOfItsLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -192,8 +192,8 @@
 
 // Guards against a needless wait by a later planner. A planner removes a worker and receives its
 // lease expiry, but the store is unavailable, so the roster still holds the worker. The next
-// planner starts from the roster: without the same report it would wait for the longest lease
-// from its own start.
+// planner starts from the roster. Unless it gets the same report, it waits for the longest
+// possible lease, counted from its own start.
 func TestRemovedWorkersAreReportedToALaterPlanner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/keep/roundtrip.go
+++ b/coord/keep/roundtrip.go
@@ -21,8 +21,8 @@
 	timeoutDeviations = 4
 	// lossPeriod is how long after a lost response further losses are expected.
 	lossPeriod = 3 * time.Second
-	// lossWindow is how soon after a failed call a worker has to answer another one, for
-	// the response to count as lost rather than the worker as unresponsive.
+	// lossWindow is how soon after a failed call a worker has to respond to another one, so
+	// that the response counts as lost and not the worker as unresponsive.
 	lossWindow = 2 * time.Second
 )
 
@@ -48,16 +48,16 @@
 	t.mean += time.Duration(meanGain * float64(roundTrip-t.mean))
 }
 
-// timeout returns the timeout of a call. It doubles with each consecutive call that the
-// worker did not answer.
-func (t *roundTrips) timeout(unanswered int) time.Duration {
+// timeout returns the timeout of a call. It doubles with each consecutive call that got no
+// response.
+func (t *roundTrips) timeout(failedCalls int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.known {
 		return maxCallTimeout
 	}
 	limit := max(minCallTimeout, t.mean+timeoutDeviations*t.deviation)
-	for range unanswered {
+	for range failedCalls {
 		limit = min(2*limit, maxCallTimeout)
 	}
 	return min(limit, maxCallTimeout)
@@ -89,7 +89,7 @@
 	return h.keeper.roundTrips.timeout(h.failedCalls)
 }
 
-// recordCall records whether a call was answered. If a worker responds soon after a failed
+// recordCall records whether a call got a response. If a worker responds soon after a failed
 // call, it was not unresponsive: the response to the failed call was lost.
 func (h *holder) recordCall(ok bool) {
 	now := time.Now()
--- a/coord/keep/roundtrip_test.go
+++ b/coord/keep/roundtrip_test.go
@@ -26,8 +26,8 @@
 	r.worker.loseStarts = lose
 }
 
-// Guards against a task that waits too long after a start without a response: until the pending
-// hold ends, although the worker could list at once that the run doesn't exist.
+// Guards against a task that waits too long after a start without a response. The pending hold
+// returns only after its wait, although the worker could list at once that the run doesn't exist.
 func TestTaskOfAnUnansweredStartIsReleasedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -46,7 +46,7 @@
 }
 
 // Guards against completions that go unnoticed after a lost response until the next hold. Holds
-// must be short while responses are lost, and long without losses, when short ones only cost.
+// must be short while responses are lost, and long otherwise, when short ones only cost messages.
 func TestHoldsAreShortWhileResponsesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -76,7 +76,7 @@
 }
 
 // Guards against applying lists out of order. Two responses are in flight and the older one
-// arrives last: a run that has ended in between would be reported as found.
+// arrives last. If it were applied, a run that has ended in between would be reported as found.
 func TestOlderListsThatArriveLastAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -99,7 +99,8 @@
 	})
 }
 
-// Guards against giving up a worker behind a slow link whose responses are merely late.
+// Guards against a timeout that is too short for a worker behind a slow link: its responses are
+// late, and it would count as unresponsive.
 func TestCallTimeoutFollowsRoundTrips(t *testing.T) {
 	is := is.New(t)
 	var x roundTrips
@@ -117,7 +118,8 @@
 	is.True(x.timeout(0) <= maxCallTimeout)
 }
 
-// Guards against taking a failed worker, which never responds again, for lost responses.
+// Guards against taking the failure of a worker, which never responds again, for lost responses:
+// holds would become short at all workers.
 func TestFailedWorkerDoesNotCountAsLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coord/keep/send.go
+++ b/coord/keep/send.go
@@ -24,6 +24,7 @@
 	}
 }
 
+// execute sends an order to the worker.
 func (h *holder) execute(ctx context.Context, c queuedOrder) {
 	switch c.Kind {
 	case proto.OrderStart:
@@ -39,6 +40,8 @@
 	}
 }
 
+// start sends a start to the worker and reports its result to the planner. A start without a
+// response is stopped, so that its effect becomes known.
 func (h *holder) start(ctx context.Context, c queuedOrder) {
 	key := runKey{c.Task, c.Run}
 	now := time.Now()
@@ -79,7 +82,7 @@
 	}
 }
 
-// recordOrder records whether an order was answered, and its round-trip time.
+// recordOrder records whether an order got a response, and its round-trip time.
 func (h *holder) recordOrder(sent time.Time, ok bool) {
 	h.recordCall(ok)
 	if ok {
@@ -87,9 +90,9 @@
 	}
 }
 
-// startedOnOtherBoot stops a run that was started by another boot of the worker under the
-// same ID. The planner knows nothing of that boot. It will restart all runs of the intended
-// boot elsewhere, so this run would otherwise run twice.
+// stopAtOtherBoot stops a run that was started by another boot of the worker under the
+// same ID. The planner knows nothing of that boot. It will restart all tasks of the intended
+// boot elsewhere, so this task would otherwise run twice.
 func (h *holder) startedOnOtherBoot(ctx context.Context, key runKey) {
 	h.stopUntilAnswered(ctx, key, true)
 	h.emit(proto.KeeperEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
@@ -98,7 +101,7 @@
 
 // prepareStart records a start that is about to be sent and returns until when the worker
 // accepts it. A start extends the lease at the worker, so none is sent to a worker that
-// doesn't respond to holds: it would run on after it counts as lost.
+// doesn't respond to holds: its tasks would run on after it counts as lost.
 func (h *holder) prepareStart(key runKey, now time.Time) (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,13 +113,14 @@
 	return h.workerTime(now) + startTimeout, true
 }
 
-// confirm records that the worker has responded to an order about a run.
-func (h *holder) confirm(key runKey, doubt bool) {
+// confirm records that the worker has responded to an order about a run; startUncertain reports
+// that the run's start got no response.
+func (h *holder) confirm(key runKey, startUncertain bool) {
 	h.mu.Lock()
 	r, listed := h.runs[key], h.listed
 	if r != nil {
 		r.confirmedAt = time.Now()
-		r.startUncertain = doubt
+		r.startUncertain = startUncertain
 	}
 	h.mu.Unlock()
 	if r == nil && listed {
@@ -127,10 +131,10 @@
 	}
 }
 
-// stopUntilAnswered stops a run and retries until the worker has responded. After the
+// stopUntilResponse stops a run and retries until the worker has responded. After the
 // response the worker refuses a start of the run that is still in flight, so the next lists
 // show definitively whether it was started.
-func (h *holder) stopUntilAnswered(ctx context.Context, key runKey, doubt bool) {
+func (h *holder) stopUntilAnswered(ctx context.Context, key runKey, startUncertain bool) {
 	for ctx.Err() == nil {
 		sent := time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
@@ -139,8 +143,8 @@
 		h.recordOrder(sent, isResponse(err))
 		switch {
 		case err == nil:
-			h.confirm(key, doubt)
-			if doubt {
+			h.confirm(key, startUncertain)
+			if startUncertain {
 				h.requestLists(ctx) // The task can't be placed again until it is known whether the run had begun.
 			}
 			return
--- a/coord/lanes/lanes.go
+++ b/coord/lanes/lanes.go
@@ -17,7 +17,7 @@
 	// reserved.
 	urgentReserveFactor = 2.0
 	maxUrgentReserve    = 0.5
-	// urgentHalfLife is the half-life of the moving average of their use.
+	// urgentHalfLife is the half-life of the moving average of the lanes that urgent requests use.
 	urgentHalfLife = 3 * time.Second
 	// failureBackoff is how long a lane is not used after a failed request.
 	failureBackoff = time.Second
@@ -36,7 +36,7 @@
 	// urgentQueue and slowQueue hold the waiting requests.
 	urgentQueue, slowQueue queue[T]
 	busySlow               int // busySlow counts the lanes that are busy with slow requests.
-	busyUrgent             int // busyUrgent counts those that are busy with urgent ones.
+	busyUrgent             int // busyUrgent counts the lanes that are busy with urgent requests.
 	// urgentUse is the moving average of busyUrgent, updated last at measuredAt.
 	urgentUse  float64
 	measuredAt time.Time
@@ -61,14 +61,15 @@
 	return x
 }
 
+// lane is one entry's lane.
 type lane struct {
 	busy         bool
 	urgent       bool
 	backoffUntil time.Time
 }
 
-// SetLanes sets the names of the lanes. The pending request of a removed lane still has to
-// be ended with Done.
+// SetLanes sets the names of the lanes. A lane that is removed while a request is pending
+// there still needs a Done for it, and is deleted by the first SetLanes after that.
 func (l *Lanes[T]) SetLanes(names []string) {
 	if l.lanes == nil {
 		l.lanes = make(map[string]*lane)
@@ -157,6 +158,7 @@
 	l.measuredAt = now
 }
 
+// freeLane returns the name of the first lane that can be used now, or "" if there is none.
 func (l *Lanes[T]) freeLane(now time.Time) string {
 	first := ""
 	for name, x := range l.lanes {
@@ -167,7 +169,7 @@
 	return first
 }
 
-// Done frees a lane; ok reports whether its request was answered.
+// Done frees a lane whose request has completed; ok reports whether the request succeeded.
 func (l *Lanes[T]) Done(name string, ok bool, now time.Time) {
 	x := l.lanes[name]
 	if x == nil || !x.busy {
--- a/coord/lanes/lanes_test.go
+++ b/coord/lanes/lanes_test.go
@@ -57,8 +57,8 @@
 	return slow, waited
 }
 
-// Guards against reserving lanes that urgent requests hardly use: with a fixed reserve a third
-// of the lanes stays idle while slow requests wait.
+// Guards against reserving lanes for urgent requests that hardly use them. With a fixed reserve a
+// third of the lanes stays idle while slow requests wait.
 func TestSlowRequestsUseLanesNotNeededByUrgentOnes(t *testing.T) {
 	is := is.New(t)
 	slow, _ := simulate(30, 0, 0, 500*time.Millisecond, 30*time.Second)
@@ -68,14 +68,16 @@
 	is.True(waited < 100*time.Millisecond)
 }
 
-// Guards against a burst of urgent requests that waits behind slow ones of half a second.
+// Guards against urgent requests that wait for slow ones, which take half a second, because these
+// occupy all lanes.
 func TestUrgentRequestsFindALaneInABurst(t *testing.T) {
 	is := is.New(t)
 	_, waited := simulate(7, 16*time.Millisecond, 30*time.Millisecond, 500*time.Millisecond, 30*time.Second)
 	is.True(waited <= 100*time.Millisecond)
 }
 
-// Guards against using a lane again right after a failed request, which loses the next one too.
+// Guards against using a lane again right after a failed request: the next request would be sent
+// to an entry that has just failed, and fail too.
 func TestFailedLaneBacksOff(t *testing.T) {
 	is := is.New(t)
 	var l Lanes[int]
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -11,8 +11,8 @@
 	"plantainwinch/duty"
 )
 
-// Guards against a waiting call that outlasts a stop signal, and against reporting a call that
-// returned by itself as stopped.
+// Guards against a function that goes on waiting after the stop signal, and against reporting a
+// function as stopped that returned by itself.
 func TestUntil(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/proto/keep.go
+++ b/proto/keep.go
@@ -207,7 +207,7 @@
 	// Turn is set for EventKnownRuns and EventReleased: the generation of the assignment.
 	Turn uint64
 	// Blind is set for EventEnded: the time since the last contact with a worker whose
-	// preceding call failed; zero if that call was answered.
+	// preceding call failed; zero if that call succeeded.
 	Blind time.Duration
 	// Worker is empty in an encoded event of a current assignment, which Token identifies.
 	Worker string
--- a/proto/proto.go
+++ b/proto/proto.go
@@ -69,10 +69,10 @@
 	// Store reports whether the sender can reach the store.
 	Store bool `cbor:"6,keyasint,omitempty"`
 	// Epoch is the newest epoch of the sender's domain that the sender knows, and
-	// Placer the entry that places work in that epoch.
+	// Placer the domain's planner in that epoch.
 	Epoch  uint64 `cbor:"7,keyasint,omitempty"`
 	Placer string `cbor:"8,keyasint,omitempty"`
-	// Office is set only by the domain's placer.
+	// Office is set only by the domain's planner.
 	Office *OfficeLoad `cbor:"9,keyasint,omitempty"`
 }
 
@@ -159,17 +159,17 @@
 	Held     []HeldSlot
 }
 
-// JobHint notifies a domain's placer that a job was committed or changed.
+// JobHint notifies a domain's planner that a job was committed or changed.
 type JobHint struct {
 	ID string
 }
 
-// JobStatusRequest asks a domain's placer why a job is waiting.
+// JobStatusRequest asks a domain's planner why a job is waiting.
 type JobStatusRequest struct {
 	ID string
 }
 
-// JobStatus is the part of a job's status that the placer knows and the ledger does not hold.
+// JobStatus is the part of a job's status that the domain's planner knows and the ledger does not hold.
 type JobStatus struct {
 	Known    bool
 	Why      string
--- a/winch/data.go
+++ b/winch/data.go
@@ -187,7 +187,7 @@
 	// EndedTasks lists the tasks that succeeded.
 	EndedTasks []int `json:",omitempty"`
 	Failed     int   `json:",omitempty"`
-	// Epoch is the known epoch of the domain's placer when the job was accepted.
+	// Epoch is the known epoch of the domain's planner when the job was accepted.
 	Epoch     uint64
 	Output    []string  `json:",omitempty"`
 	Cancel    bool      `json:",omitempty"`
@@ -248,7 +248,7 @@
 	Output  string `json:",omitempty"`
 }
 
-// DomainRecord names the entry that places work in a failure domain.
+// DomainRecord names the planner of a failure domain in its field Placer.
 type DomainRecord struct {
 	Domain    string
 	Placer    string
--- a/winch/iface.go
+++ b/winch/iface.go
@@ -58,7 +58,7 @@
 }
 
 // ErrFenced is returned by a worker that knows a newer epoch or fencing token.
-var ErrFenced = errors.New("epoch is older than the worker's")
+var ErrFenced = errors.New("epoch or fencing token is older than the worker's")
 
 // ErrRefused is returned by a worker that is guaranteed not to have started a task.
 var ErrRefused = errors.New("worker refused the task")
@@ -81,7 +81,7 @@
 	Lease time.Duration
 	// Wait is how long the worker may delay its response until a task ends.
 	Wait time.Duration
-	// Full requests the running tasks too, which a new placer needs.
+	// Full requests the running tasks too, which a new planner needs.
 	Full bool
 	// Forget lists ended tasks whose completion the sender has recorded.
 	Forget []Attempt
--- a/winch/phase.go
+++ b/winch/phase.go
@@ -35,7 +35,7 @@
 	return r.Milli <= o.Milli && r.Memory <= o.Memory && r.Accelerators <= o.Accelerators
 }
 
-// Phase is a step of a phased job: Count identical tasks that may start once all tasks of
+// Phase is a part of a phased job: Count identical tasks that may start once all tasks of
 // the phases in After have succeeded.
 type Phase struct {
 	Count int      `cbor:"1,keyasint,omitempty"`
@@ -124,9 +124,9 @@
 	At     time.Time
 	// Lived is the age of the run at the last contact with the worker.
 	Lived time.Duration
-	// Weak reports that other runs are more likely to be the cause. Probe reports that the
-	// task was a suspect that ran separately from others, and that nothing else explains the
-	// crash.
+	// Weak reports that other runs are more likely to be the cause. Probe reports that the run
+	// was a probe, in which a suspect runs separately from other tasks, and that nothing else
+	// explains the crash.
 	Weak  bool
 	Probe bool
 }
@@ -206,8 +206,8 @@
 	Domain   string
 	Rack     string
 	Labels   []string
-	Room     Capacity
-	Draining bool
+	Room     Capacity // Room is the capacity of the VM for tasks.
+	Draining bool     // Draining reports that the VM takes no new work and is about to leave.
 	// Born is the start of the boot in Unix milliseconds; it distinguishes boots with the
 	// same ID.
 	Born int64
--- a/winch/region.go
+++ b/winch/region.go
@@ -88,7 +88,7 @@
 	Task       RunID
 	Run        uint64
 	Checkpoint string
-	// Percent is the part of its work or of its full speed that the run has reached.
+	// Percent is the percentage of its work or of its full speed that the run has reached.
 	Percent float64
 	// Load is the tail response time in milliseconds for a lasting task with a target,
 	// and the processor use in thousandths of a processor for any other task.
@@ -159,7 +159,7 @@
 
 // ErrOtherBoot is returned when another boot of a worker VM responded: all runs on the
 // intended boot have ended.
-var ErrOtherBoot = errors.New("another boot of the worker answered")
+var ErrOtherBoot = errors.New("another boot of the worker responded")
 
 // WorkerClient sends orders to the worker VMs of a region.
 type WorkerClient interface {
@@ -196,13 +196,13 @@
 	Worker(key string, data []byte) (WorkerVM, bool)
 }
 
-// Region is the part of an entry that the front for callers uses.
+// Region is the interface through which the HTTP front end for callers uses an entry.
 type Region interface {
 	// Config returns the configuration in force, or nil.
 	Config() *RegionConfig
 	// Submit accepts a job, or returns the reason for refusing it.
 	Submit(ctx context.Context, job *PhasedJob) Result
-	// State returns the state of a job, or a result with UnknownJob if there is none.
+	// State returns the state of a job, or a result with UnknownJob if there is no such job.
 	State(ctx context.Context, id string) (JobState, Result)
 	// Cancel cancels a job.
 	Cancel(ctx context.Context, id string) Result
