--- a/region/crash_test.go
+++ b/region/crash_test.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// crashCommand is the prefix of the command of tasks that crash the worker that starts them. The
-	// rest of the command is how long after the start they do.
+	// crashCommand is the prefix of the command of tasks that crash their worker. The rest of the
+	// command is the time from the start to the crash.
 	crashCommand = "crash "
 	// rebootDelay is how long after a crash the next boot follows, under a new ID at the same address.
 	rebootDelay = 3200 * time.Millisecond
-	// maxCrashes bounds the crashes that a task may cause: once maxCrashes workers have crashed under
-	// it, fewer than maxCrashes further starts of it may happen.
+	// maxCrashes bounds the crashes that a task may cause: once maxCrashes workers have crashed
+	// during its runs, it must be started fewer than maxCrashes more times.
 	maxCrashes = 3
 )
 
 // crashAfter returns how long after its start a task with the command crashes its worker, and whether
-// it does so at all.
+// it crashes it at all.
 func crashAfter(command string) (time.Duration, bool) {
 	rest, crashes := strings.CutPrefix(command, crashCommand)
 	if !crashes {
@@ -32,13 +32,13 @@
 	return d, err == nil
 }
 
-// crashCounter counts, by task, the workers that crashed under it and its further starts once it has
-// reached maxCrashes. The world's mutex guards it.
+// crashCounter counts, by task, the workers that crashed during its runs, and its starts after
+// maxCrashes of them. The world's mutex guards it.
 type crashCounter struct {
 	crashedWorkers map[winch.RunID]int // crashedWorkers counts the workers that crashed.
 	extraStarts    map[winch.RunID]int // extraStarts counts the starts after maxCrashes crashes.
-	// disturbedUntil is until when an entry or the store was last disturbed. Starts during and soon
-	// after a disturbance do not count, since entries may not know of all crashes.
+	// disturbedUntil is when the last disturbance of an entry or the store ends. Starts during a
+	// disturbance or soon after it do not count, since entries may not know of all crashes.
 	disturbedUntil time.Time
 }
 
@@ -63,12 +63,12 @@
 	}
 	v.extraStarts[task]++
 	if v.extraStarts[task] == maxCrashes {
-		w.reportViolation("%v: %v was started %d more times after %d workers had crashed under it", time.Since(w.log.startedAt), task, maxCrashes, maxCrashes)
+		w.reportViolation("%v: %v was started %d more times after %d workers had crashed during its runs", time.Since(w.log.startedAt), task, maxCrashes, maxCrashes)
 	}
 }
 
 // crashUnderRun crashes a worker some time after the start of a run there, unless the run has ended by
-// then, and starts the worker's next boot.
+// then, and boots the worker again after a delay.
 func (w *world) crashUnderRun(x *simWorker, key runKey, after time.Duration) {
 	time.Sleep(after + 10*time.Millisecond)
 	w.mu.Lock()
@@ -98,7 +98,7 @@
 	w.bootWorker(simVM(id, x.vm.Address, x.vm.Domain), 0)
 }
 
-// crashesUnder returns the number of workers that crashed under the tasks of a job.
+// crashesUnder returns the number of worker crashes during runs of a job's tasks.
 func (w *world) crashesUnder(job string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,9 +124,9 @@
 	}
 }
 
-// A task crashes every worker that starts it, and each crash also ends the runs beside it. Without a
-// bound the task would be started again after each loss; its job must fail instead, and the other jobs
-// must end.
+// Guards against a task that crashes one worker after another. Each crash also ends the other runs
+// there, and without a limit the task would be started again after each. Its job must fail, and the
+// other jobs must complete.
 func TestTaskThatCrashesItsWorkersFails(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
@@ -144,8 +144,8 @@
 	}
 }
 
-// The planner is killed after each crash. A successor that started to count from zero would never
-// reach the bound, and the job would go on crashing workers.
+// Guards against a crash count that starts at zero under each planner. The planner is killed after
+// each crash; its successors would never reach the limit, and the job would go on crashing workers.
 func TestCrashesAreCountedAcrossTakeovers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/crashrand_test.go
+++ b/region/crashrand_test.go
@@ -12,8 +12,8 @@
 	"plantainwinch/winch"
 )
 
-// shrinkGracePeriod is how long a worker whose capacity was reduced may still be given too much work:
-// earlier decisions are under way, and entries may not yet know of the change.
+// shrinkGracePeriod is how long after its capacity was reduced a worker may still be given too much
+// work: earlier starts are in flight, and entries may not know of the change yet.
 const shrinkGracePeriod = 3400 * time.Millisecond
 
 // shrinkWorker reduces a worker's capacity for a while.
@@ -76,8 +76,8 @@
 	return ids
 }
 
-// checkFailure checks that a job which is shown as failed has a task that failed as often as its queue
-// allows.
+// checkFailure checks that a job which is reported as failed has a task that failed as often as its
+// queue allows.
 func (w *world) checkFailure(id string, state winch.JobState) {
 	if state != winch.JobFailed {
 		return
@@ -89,12 +89,12 @@
 			return
 		}
 	}
-	w.reportViolation("job %s is shown as failed, but none of its tasks failed twice", id)
+	w.reportViolation("job %s is reported as failed, but none of its tasks failed twice", id)
 }
 
-// Jobs crash the workers that start them, and workers have less capacity for a while, during the faults
-// of the other random tests. No task may crash more workers than allowed, no other job may fail because
-// of that, and nothing may be started beyond the remaining capacity.
+// Guards against tasks that crash more workers than allowed, other jobs that fail because of these
+// crashes, and starts beyond a worker's reduced capacity. Jobs crash their workers and workers have
+// less capacity for a while, during the faults of the other random tests.
 func TestRandomCrashes(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
--- a/region/expiry_test.go
+++ b/region/expiry_test.go
@@ -10,8 +10,8 @@
 	"plantainwinch/proto"
 )
 
-// workerKeptBy returns a worker with work and its keeper: the planner's own entry, or one that is
-// neither planner nor standby.
+// workerKeptBy returns a worker with runs, and its keeper: the planner's own entry if own is set, and
+// otherwise an entry that is neither planner nor standby.
 func (w *world) workerKeptBy(p *simNode, own bool) (worker string, keeper *simNode) {
 	l := p.node.lead.Load()
 	_ = l.duty.Do(w.ctx, func() {
@@ -39,7 +39,8 @@
 	return w
 }
 
-// checkLasting gives the region time and checks that all lasting tasks run again.
+// checkLasting waits, checks that all lasting tasks run again and how long they were down, and ends
+// the world.
 func (w *world) checkLasting(is *is.I, count int) {
 	time.Sleep(12 * time.Second)
 	w.checkDownLasting()
@@ -48,9 +49,10 @@
 	w.end()
 }
 
-// A worker leaves, and a moment later its keeper is killed for good, so the keeper never reports until
-// when the worker's lease runs. The planner knows since when the worker was unresponsive, and that
-// nothing was renewed after that; it must not wait as long as for a keeper that may still renew.
+// Guards against waiting too long for a worker whose keeper is lost. The worker leaves, and a moment
+// later its keeper is killed for good, so the keeper never reports the expiry of the worker's lease.
+// The planner knows since when the worker was unresponsive and that its lease was not renewed after
+// that. It must not wait as long as for a keeper that may still renew the lease.
 func TestKeeperIsKilledAfterItsWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{2500 * time.Millisecond, 3500 * time.Millisecond, 4500 * time.Millisecond} {
@@ -66,9 +68,10 @@
 	}
 }
 
-// A worker leaves, and a moment later the planner, which is also its keeper, is killed. Its standby
-// was sent the expiry of the worker's lease. The standby must not count the lost planner's maximum
-// authority from its own start: lasting tasks would be down for twice as long.
+// Guards against lasting tasks that are down twice as long as necessary. A worker leaves, and a moment
+// later its keeper, which is also the planner, is killed. The standby was sent the expiry of the
+// worker's lease and must use it, instead of counting the longest authority of the killed planner from
+// its own start.
 func TestPlannerIsKilledAfterItsWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{2500 * time.Millisecond, 3500 * time.Millisecond} {
@@ -85,9 +88,10 @@
 	}
 }
 
-// A worker is unresponsive for two seconds, so the standby was sent the expiry of its lease, and
-// then it responds again. Its keeper and the planner are killed soon after. The work there goes on
-// under a renewed lease, and a standby that used the old expiry would start it a second time.
+// Guards against a standby that uses an outdated lease expiry and starts work a second time. A worker
+// is unresponsive for two seconds, so the standby was sent the expiry of its lease. Then the worker
+// responds again and its lease is renewed. Its keeper and the planner are killed soon after, while the
+// work there goes on.
 func TestWorkerRespondsAgainBeforePlannerAndKeeperAreKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -110,9 +114,9 @@
 	})
 }
 
-// The expiry of earlier leases is bounded by what each assignment may have granted: the longest
-// counts, a keeper's report replaces what was assumed of that assignment alone, and a keeper that
-// never had contact with the worker adds nothing.
+// Guards against a wrong bound on the leases of earlier assignments. The bound is the longest of what
+// each assignment may have granted. A keeper's report replaces only what was assumed of the reported
+// assignment, and a keeper that never had contact with the worker adds nothing.
 func TestLeaseExpiriesOfEarlierAssignments(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -123,7 +127,7 @@
 		s.endAssignment("w", "b", 5, 7*time.Second) // It never listed the worker's runs.
 		is.Equal(s.remaining("w"), 8*time.Second)
 		is.True(!s.applyRelease("b", proto.KeeperEvent{Worker: "w", Token: 5, Left: time.Second}))
-		// Other keepers had the worker since.
+		// The report is of generation 1, and the worker was assigned to other keepers since.
 		is.True(!s.applyRelease("a", proto.KeeperEvent{Worker: "w", Token: 3, Turn: 1, Left: time.Second}))
 		is.True(s.applyRelease("a", proto.KeeperEvent{Worker: "w", Token: 3, Turn: 2, Left: 4 * time.Second}))
 		is.Equal(s.remaining("w"), 4*time.Second)
@@ -132,7 +136,7 @@
 
 		s.markListed("w")
 		is.Equal(s.remaining("w"), time.Duration(0))
-		s.endAssignment("w", "c", 9, 7*time.Second) // It could renew until its authority ends.
+		s.endAssignment("w", "c", 9, 7*time.Second) // It could renew the lease until its authority ends.
 		is.True(s.remaining("w") > 7*time.Second)
 		is.True(s.applyRelease("c", proto.KeeperEvent{Worker: "w", Token: 9, Left: 2 * time.Second}))
 		is.Equal(s.remaining("w"), 2*time.Second)
@@ -148,28 +152,29 @@
 	})
 }
 
-// A planner that cannot reach its standby renews, after a while, leases whose expiry it had sent to
-// the standby. So the standby uses what it was sent for a short time only. That time counts from one of
-// the standby's own responses, since a message may wait for seconds before it is read.
+// Guards against a standby that uses outdated lease expiries. A planner that cannot reach its standby
+// renews, after a while, leases whose expiry it had sent there, so the standby may use the expiries
+// for a short time only. That time counts from one of the standby's own responses, since a message may
+// wait for seconds before it is read.
 func TestStandbyIgnoresStaleExpiries(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		lapses := []proto.MirrorLeaseExpiry{{Worker: "w", Left: 5 * time.Second}}
-		claimed := func(wait time.Duration, again bool) int {
+		expiries := []proto.MirrorLeaseExpiry{{Worker: "w", Left: 5 * time.Second}}
+		claimedExpiries := func(wait time.Duration, resend bool) int {
 			var m mirror
-			ack := m.answer(proto.Mirror{Term: 1, Session: 1, Full: true, LeaseExpiries: lapses})
+			ack := m.answer(proto.Mirror{Term: 1, Session: 1, Full: true, LeaseExpiries: expiries})
 			is.True(ack.OK)
 			time.Sleep(wait)
-			if again {
-				is.True(m.answer(proto.Mirror{Term: 1, Session: 1, LeaseExpiries: lapses, Stamp: ack.Stamp}).OK)
+			if resend {
+				is.True(m.answer(proto.Mirror{Term: 1, Session: 1, LeaseExpiries: expiries, Stamp: ack.Stamp}).OK)
 			}
-			out, whole := m.claim(2)
-			is.True(whole)
+			out, complete := m.claim(2)
+			is.True(complete)
 			return len(out.expiries)
 		}
-		is.Equal(claimed(0, false), 0) // The age of the message is not known.
-		is.Equal(claimed(time.Second, true), 1)
-		is.Equal(claimed(expiriesLifetime+time.Millisecond, true), 0)
+		is.Equal(claimedExpiries(0, false), 0) // The age of the message is not known.
+		is.Equal(claimedExpiries(time.Second, true), 1)
+		is.Equal(claimedExpiries(expiriesLifetime+time.Millisecond, true), 0)
 	})
 }
--- a/region/fault_test.go
+++ b/region/fault_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// Without faults, jobs that any entry has accepted run, and every other entry shows them as done.
+// Guards against jobs that do not complete although there are no faults. Jobs are submitted to any
+// entry, and every other entry must report them as done.
 func TestJobsRunWithoutFaults(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -54,8 +55,9 @@
 	})
 }
 
-// The planner is killed while work runs. Another entry takes over within two seconds, running work
-// goes on, and no job is lost or run twice.
+// Guards against a slow takeover and against work that is lost or run twice in it. The planner is
+// killed while work runs. Another entry must take over within two seconds, and running work must go
+// on.
 func TestStandbyTakesOverFromKilledPlanner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -75,9 +77,10 @@
 	})
 }
 
-// The planner's process is killed and restarted at once. The new process knows that the holder of
-// the office has ended and frees the office, so the standby takes over long before the lease expires
-// and callers notice hardly any delay.
+// Guards against waiting for the lease on the office (the planner's leadership lease in the store) of
+// a process that is known to have ended. The planner's process is killed and restarted at once. The
+// new process knows that the holder of the office has ended and must free the office, so that the
+// standby takes over long before the lease expires.
 func TestRestartedPlannerFreesItsOffice(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -100,10 +103,10 @@
 	})
 }
 
-// A worker becomes unresponsive, and soon after that all entries lose power, so no process is left
-// that knows what ran there. The roster in the store holds it, so jobs on other workers go on as soon
-// as those have responded. Waiting until everything at the unresponsive worker is guaranteed to have
-// ended would delay them by eight seconds.
+// Guards against one unresponsive worker that delays all jobs by eight seconds. A worker becomes
+// unresponsive, and soon after that all entries lose power, so no process is left that knows what ran
+// there. The roster in the store holds it, so jobs on other workers must go on as soon as those have
+// responded, without waiting until everything at the unresponsive worker is guaranteed to have ended.
 func TestUnresponsiveWorkerDoesNotDelayJobsAfterAPowerLoss(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -132,9 +135,9 @@
 	})
 }
 
-// The large entry VMs are killed, and a small one takes over the office. Once a large one is back the
-// office must move there: a small VM that stayed planner fell behind, and all work was late for as
-// long as it held the office.
+// Guards against a planner on a small VM that keeps the office. The large entry VMs are killed, and a
+// small one takes over. Once the large ones are running again, the office must move to one of them: a
+// small VM cannot keep up, and all work is late for as long as it holds the office.
 func TestOfficeReturnsToAStrongEntry(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -161,9 +164,10 @@
 	})
 }
 
-// All entries lose power, and the weak VMs are back a moment before the strong ones, while a worker is
-// unresponsive. The office must still move to a strong entry soon: a weak one needed five seconds to
-// find out what runs, and nothing was started in that time.
+// Guards against a weak planner after a power loss. All entries lose power, and the weak VMs restart a
+// moment before the strong ones, while a worker is unresponsive. The office must still move to a
+// strong entry soon: a weak one needs five seconds to find out what runs, and starts nothing in that
+// time.
 func TestStrongEntriesTakeTheOfficeAfterAPowerLoss(t *testing.T) {
 	t.Parallel()
 	for name, delay := range map[string]time.Duration{"at once": 300 * time.Millisecond, "later": 2 * time.Second} {
@@ -202,9 +206,9 @@
 	}
 }
 
-// The planner is stopped as planned while each store call takes 300 ms. It gives the office up with
-// one call, since its standby knows all runs. Storing them first would take longer than its lease, and
-// nothing would be started for seconds.
+// Guards against a planned stop that leaves the region without a planner for seconds. Each store call
+// takes 300 ms. Storing all runs first would take longer than the planner's lease, so the planner must
+// give the office up with one call: its standby knows all runs.
 func TestPlannerStopsWhileTheStoreIsSlow(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -227,10 +231,10 @@
 	})
 }
 
-// The store is unresponsive for some seconds, the planner's failure domain is partitioned, and then the
-// store is back for the other domains. Calls sent during the outage never get a response. The other
-// entries must find within a second that the store is back and the office free; waiting for their old
-// calls to time out would add four seconds.
+// Guards against waiting for store calls that never get a response. The store is unresponsive for some
+// seconds, the planner's failure domain is partitioned, and then the store responds again in the other
+// domains. The entries there must find within a second that the store responds and the office is free.
+// Waiting for their earlier calls to time out would add four seconds.
 func TestStoreRecoveryIsDetectedWithinASecond(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -264,9 +268,10 @@
 	})
 }
 
-// The store refuses the calls of one entry and serves the others, while the operator withdraws a key.
-// The entry gets the new configuration from its peers, so the key stops working there within the two
-// seconds that operators are promised. Exactly one copy is sent to the entry that lacks it, not one
+// Guards against an entry that keeps an outdated configuration. The store refuses the calls of one
+// entry and serves the others, while the operator withdraws a key. The entry must get the new
+// configuration from its peers, so that the key stops working there within the two seconds that
+// operators are promised. Exactly one copy may be sent, to the entry that lacks it, and not one
 // between each pair of entries.
 func TestConfigReachesAnEntryThatTheStoreRefuses(t *testing.T) {
 	t.Parallel()
@@ -296,9 +301,10 @@
 	})
 }
 
-// The planner's failure domain is partitioned from the store and the other domains. The standby takes
-// over and knows what runs there, so jobs accepted before go on at once in the other domains, and no
-// task runs on both sides.
+// Guards against jobs that wait during a network partition, and against tasks that run on both sides
+// of it. The planner's failure domain is partitioned from the store and the other domains. The standby
+// takes over and knows what runs there, so jobs accepted before must go on at once in the other
+// domains.
 func TestStandbyTakesOverFromPartitionedPlanner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -331,8 +337,8 @@
 	})
 }
 
-// All entries lose power at once and restart. No accepted job is lost, and runs that go on at the
-// workers are found and not started again.
+// Guards against losing accepted jobs or starting runs again after all entries lose power at once and
+// restart. Runs that go on at the workers must be found.
 func TestJobsSurviveThePowerLossOfAllEntries(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -351,8 +357,8 @@
 	})
 }
 
-// The planner is stopped as planned. The office passes to another entry at once, no run is stopped and
-// no job is delayed.
+// Guards against a planned stop of the planner that delays jobs or stops runs. The office must pass to
+// another entry at once.
 func TestPlannerStopsAsPlanned(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -372,8 +378,9 @@
 	})
 }
 
-// The store is down for some seconds, and the responses to some writes are lost before and after that.
-// Submissions are refused or uncertain meanwhile, and accepted jobs run exactly once.
+// Guards against jobs that are lost or run twice because of the store. It is down for some seconds,
+// and the responses to some writes are lost before and after that. Submissions are refused or
+// uncertain meanwhile, and accepted jobs must run exactly once.
 func TestAcceptedJobsRunOnceAfterAStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -392,15 +399,15 @@
 	})
 }
 
-// setStoreUnavailable makes all calls to the store time out, or ends that.
+// setStoreUnavailable sets whether all calls to the store time out.
 func (w *world) setStoreUnavailable(down bool) {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	w.store.down = down
 }
 
-// Only the store is down. Jobs accepted before go on: the same planner starts their next phases until
-// the store is back.
+// Guards against work that stops while only the store is down. The same planner must start the next
+// phases of jobs accepted before until the store responds again.
 func TestWorkContinuesWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -475,7 +482,7 @@
 	return w.nodes[fmt.Sprintf("d%d-%d", w.intn(len(w.nodes)/entriesPerDomain), w.intn(entriesPerDomain))]
 }
 
-// killAndRestart kills an entry that runs, and restarts it after a delay.
+// killAndRestart kills an entry, if it runs, and restarts it after a delay.
 func (w *world) killAndRestart(n *simNode, delay time.Duration) {
 	w.mu.Lock()
 	running := n.node != nil
@@ -511,9 +518,9 @@
 	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random tests")
 )
 
-// Faults of all kinds overlap: entries are killed, domains partitioned, the store is down or loses
-// responses, and workers carry out calls without responding. Every accepted job must end, no task may
-// run twice at once, and no worker may run more than its capacity.
+// Guards against jobs that never end, tasks that run twice at once, and starts beyond a worker's
+// capacity. Faults of all kinds overlap: entries are killed, domains partitioned, the store is down or
+// loses responses, and workers carry out calls without responding.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
--- a/region/jobs_test.go
+++ b/region/jobs_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// A caller requests the state of its job just as the last task ends, a few milliseconds before that is
-// recorded. The fault was a response that the job runs: the caller asked again a quarter of a second
-// later.
+// Guards against an outdated response to a state request. A caller requests the state of its job just
+// as the last task ends, a few milliseconds before that is recorded. Told that the job runs, the
+// caller would repeat the request only a quarter of a second later.
 func TestStateRequestAtTheEndOfAJobReturnsTheFinalState(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,7 +38,8 @@
 	})
 }
 
-// The state of a job that has further phases or lasting tasks is returned at once.
+// Guards against a state request that waits for a completion that is not about to come: the state of a
+// job with further phases or lasting tasks must be returned at once.
 func TestStateOfARunningJobIsReturnedAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/keep_test.go
+++ b/region/keep_test.go
@@ -10,9 +10,10 @@
 )
 
 // Guards against an ended job that becomes unknown before its retention period is over. The period
-// begins when a caller can first see that the job has ended. While the store is slow, that is
-// later than the time at which the planner learned of it; counted from the latter, a caller that
-// asked shortly before the end of the period was told that there is no such job.
+// begins when a caller can first see that the job has ended. While the store is slow, that is later
+// than the time at which the planner learned of it. If the period is counted from the latter, a caller
+// that requests the job's state shortly before the end of the period is told that there is no such
+// job.
 func TestEndedJobIsKnownForRetentionPeriod(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,7 +39,7 @@
 	})
 }
 
-// shownAt waits until a job is reported as ended, and returns the time at which it was.
+// shownAt waits until a job is reported as ended, and returns the time of that report.
 func (w *world) shownAt(id string) time.Time {
 	for w.ctx.Err() == nil {
 		if state, result := w.nodes["d0-0"].node.State(w.ctx, id); result.OK() && state.Final() {
--- a/region/keeperpools_test.go
+++ b/region/keeperpools_test.go
@@ -31,8 +31,8 @@
 	return count
 }
 
-// Without a limit every entry of a large failure domain keeps a few workers, and the planner has a
-// session with each.
+// Guards against too many keepers. Without a limit every entry of a large failure domain keeps a few
+// workers, and the planner has a session with each entry.
 func TestNumberOfKeepersFollowsNumberOfWorkers(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(assignKeepers(newKeeperPools(domainEntries(30)), 220, make(map[int]string))), 7)
@@ -40,7 +40,8 @@
 	is.Equal(len(assignKeepers(newKeeperPools(domainEntries(1)), 220, make(map[int]string))), 1)
 }
 
-// Keepers must not change while those in place work: the workers that move get no starts meanwhile.
+// Guards against needless changes of keepers while the present ones work: a worker that gets another
+// keeper is given no starts meanwhile.
 func TestKeepersDoNotChangeWhenAnEntryJoins(t *testing.T) {
 	is := is.New(t)
 	live, keepers := domainEntries(30), make(map[int]string)
@@ -50,7 +51,8 @@
 	is.Equal(after, before)
 }
 
-// If the planner's entry keeps workers, they compete with its other work.
+// Guards against choosing busy entries, such as the planner's, as keepers: the workers would compete
+// with their other tasks. Only a domain with no other entries uses them.
 func TestBusyEntriesAreKeepersOnlyWhereOthersAreFew(t *testing.T) {
 	is := is.New(t)
 	count := assignKeepers(newKeeperPools(domainEntries(4), "e00", "e01"), 40, make(map[int]string))
--- a/region/lag_test.go
+++ b/region/lag_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// The planner's VM becomes slow without stopping. Its lease is renewed all the while, and it decides a
-// third of a second late for as long as that lasts.
+// Guards against a planner that is slow but keeps the office (the planner's leadership lease in the
+// store). Its VM becomes slow without stopping. Its lease is renewed all the while, and each decision
+// is a third of a second late for as long as that lasts.
 func TestSlowPlannerYieldsTheOfficeToItsStandby(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,8 +35,8 @@
 	})
 }
 
-// The first decision was not scheduled. If it counted as late, a planner that decides in time would
-// yield the office.
+// Guards against counting the first decision as late. It was not scheduled, and a planner that decides
+// in time would yield the office.
 func TestFirstDecisionIsNotLate(t *testing.T) {
 	is := is.New(t)
 	var l lag
--- a/region/lasting_test.go
+++ b/region/lasting_test.go
@@ -13,14 +13,14 @@
 const (
 	// lastingCommand is the command of tasks that run until they are stopped.
 	lastingCommand = "last"
-	// maxRestartDelay is how soon a lasting task must run again after its run has ended, while there
-	// is free capacity for it.
+	// maxRestartDelay is how soon after the end of its run a lasting task must run again, while
+	// there is free capacity for it.
 	maxRestartDelay = 6 * time.Second
 )
 
 // lastingStatus tracks which lasting tasks run at the workers. The world's mutex guards it.
 type lastingStatus struct {
-	// downSince holds, by task, when its last run ended; zero while it runs.
+	// downSince holds, by task, the time at which its last run ended; zero while it runs.
 	downSince map[winch.RunID]time.Time
 	// longestDowntime is the longest time that a task was down.
 	longestDowntime time.Duration
@@ -44,7 +44,8 @@
 	}
 }
 
-// checkDowntime checks how long a task was down. The random tests have checks of their own.
+// checkDowntime records how long a task was down, and reports a violation if that is too long. The
+// random tests use downtimeChecker for the latter.
 func (v *lastingStatus) checkDowntime(w *world, task winch.RunID, downtime time.Duration) {
 	v.longestDowntime = max(v.longestDowntime, downtime)
 	if w.downtimeChecks == nil && downtime > maxRestartDelay {
@@ -99,7 +100,7 @@
 	w.log.note("worker %s is terminated", id)
 }
 
-// leave ends a worker that leaves as announced: its record is removed with it.
+// leave makes a worker leave: its process ends and its record is removed at once.
 func (w *world) leave(id string) {
 	w.terminateWorker(id)
 	w.store.mu.Lock()
@@ -141,8 +142,8 @@
 	return best
 }
 
-// stopInSeries stops entries as planned, one every two seconds, each time the planner if there is one.
-// Each process ends two seconds after its stop and is restarted 300 ms later.
+// stopInSeries stops entries as planned, one every two seconds: the planner if there is one, else a
+// random entry. Each process ends two seconds after its stop and is restarted 300 ms later.
 func (w *world) stopInSeries(count int) {
 	for range count {
 		n := w.planner()
@@ -162,12 +163,12 @@
 	}
 }
 
-// A worker leaves at the moment at which the planner is stopped as planned, and more entries are
-// stopped after that, one every two seconds. No later planner has ever had contact with the worker. Its
-// lasting tasks stayed down until long after the last stop, though other workers had free capacity:
-// runs there may go on until the last lease expires, and each keeper that was assigned the worker knew
-// nothing of that lease and assumed the longest possible one from its own start. The worker was
-// reported as lost 7.7 s after its last assignment had begun, however long ago it had left.
+// Guards against lasting tasks that stay down while one planned stop follows the other, though other
+// workers have free capacity. A worker leaves as the planner is stopped as planned, and another entry
+// is stopped every two seconds after that, so no later planner ever has contact with the worker. Its
+// runs may go on until its last lease expires. If each new keeper assumed the longest possible lease
+// from its own start, the worker would count as lost only 7.7 s after its last assignment had begun,
+// however long ago it had left.
 func TestLastingTaskRestartsWhileEntriesStopInSeries(t *testing.T) {
 	t.Parallel()
 	for _, millis := range []int{0, 30, 300, 700, 1100, 1400} {
@@ -192,9 +193,9 @@
 	}
 }
 
-// A worker leaves and nothing else happens. Its runs may go on until the lease expires, also on a slow
-// clock. A lease of the longest duration that workers accept would leave nothing of the six seconds
-// for starting the tasks elsewhere.
+// Guards against leases that are too long. A worker leaves and nothing else happens. Its runs may go
+// on until the lease expires, even if its clock is slow. A lease of the longest duration that workers
+// accept would use up the six seconds within which the tasks must run elsewhere.
 func TestLastingTaskRestartsAfterItsWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, millis := range []int{0, 400, 800, 1200, 1600} {
@@ -215,10 +216,10 @@
 	}
 }
 
-// A worker announces that it is about to leave, and leaves three seconds later. Its lasting tasks used
-// to run there until it ended, and were then delayed until its lease expired: with each replaced
-// worker they were down for about five seconds, though the change was announced and other workers had
-// free capacity.
+// Guards against downtime of lasting tasks with each announced replacement of a worker. A worker
+// announces that it is about to leave, and leaves three seconds later. If its lasting tasks run there
+// until it ends, they restart only after its lease has expired: they are down for about five seconds,
+// though other workers have free capacity.
 func TestLastingTasksLeaveADrainingWorker(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
