--- a/coord/keep/hold.go
+++ b/coord/keep/hold.go
@@ -12,8 +12,8 @@
 	"plantainwinch/winch"
 )
 
-// renewLoop sends holds to the worker until its lease is guaranteed to have expired, a
-// newer token has fenced it off, another boot responds, or the assignment ends.
+// renewLoop sends holds to the worker until the worker's lease is guaranteed to have expired, the
+// worker knows a newer token, another boot responds, or the assignment ends.
 func (h *holder) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if h.keeper.authorityLeft() <= 0 {
@@ -77,6 +77,7 @@
 	}
 }
 
+// sendHold sends a hold, which renews the lease if that is allowed, and returns the response.
 func (h *holder) sendHold(ctx context.Context, sent time.Time) (winch.HoldResponse, error) {
 	call := winch.HoldRequest{Token: h.token}
 	lease := min(h.keeper.Lease, h.keeper.authorityLeft())
--- a/coord/keep/roundtrip_test.go
+++ b/coord/keep/roundtrip_test.go
@@ -119,7 +119,7 @@
 }
 
 // Guards against taking the failure of a worker, which never responds again, for lost responses:
-// holds would become short at all workers.
+// holds would become short at all workers of the keeper.
 func TestFailedWorkerDoesNotCountAsLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/proto/keep.go
+++ b/proto/keep.go
@@ -66,8 +66,8 @@
 	// OrderReportRate sets whether the status of the worker's runs is reported more often.
 	OrderReportRate
 	// OrderAllowRenewal allows the keeper to renew the lease of a worker that has listed
-	// its runs or become responsive again: the planner has received that event. Spell is
-	// copied from the event.
+	// its runs or become responsive again, once the planner has received the event that
+	// reports this. Spell is copied from the event.
 	OrderAllowRenewal
 )
 
@@ -85,7 +85,7 @@
 	Ticket     string
 	Percent    int
 	Forget     uint64
-	// Closely is set by an OrderReportRate that asks for more frequent status reports.
+	// Closely is set by an OrderReportRate that requests more frequent status reports.
 	Closely bool
 	// Spell is the number of the worker's unresponsive period that an
 	// OrderAllowRenewal responds to.
--- a/proto/proto.go
+++ b/proto/proto.go
@@ -93,7 +93,7 @@
 	Document []byte
 }
 
-// SlotRequest asks the home entry of executors for a slot.
+// SlotRequest asks the home entry of executors, which grants their slots, for a slot.
 type SlotRequest struct {
 	// Grant is the ID of the grant. The requester chooses it, so that it can release
 	// a slot even if the response is lost.
--- a/region/crash_test.go
+++ b/region/crash_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// crashUnderRun crashes a worker some time after the start of a run there, unless the run has ended by
+// crashDuringRun crashes a worker some time after the start of a run there, unless the run has ended by
 // then, and boots the worker again after a delay.
 func (w *world) crashUnderRun(x *simWorker, key runKey, after time.Duration) {
 	time.Sleep(after + 10*time.Millisecond)
@@ -98,7 +98,7 @@
 	w.bootWorker(simVM(id, x.vm.Address, x.vm.Domain), 0)
 }
 
-// crashesUnder returns the number of worker crashes during runs of a job's tasks.
+// crashesDuring returns the number of worker crashes during runs of a job's tasks.
 func (w *world) crashesUnder(job string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/region/keeperpools_test.go
+++ b/region/keeperpools_test.go
@@ -17,7 +17,7 @@
 	return live
 }
 
-// assignKeepers gives workers keepers and returns how many workers each keeper has.
+// assignKeepers assigns workers to keepers and returns how many workers each keeper has.
 func assignKeepers(p *keeperPools, workers int, keepers map[int]string) map[string]int {
 	for i := range workers {
 		p.add(keepers[i])
--- a/region/lastrand_test.go
+++ b/region/lastrand_test.go
@@ -15,8 +15,8 @@
 	"plantainwinch/winch"
 )
 
-// The bounds below are the promises to users: a lasting task has maxRestartDelay to run again, and
-// counts as lost if it is down for another maxDowntime.
+// Bounds on what users are promised: a lasting task has maxRestartDelay to run again, and counts as
+// lost if it is down for maxDowntime beyond that.
 const (
 	// maxDowntime is how long a lasting task may stay down beyond maxRestartDelay, while there is free
 	// capacity for minSpareSlots such tasks and no disturbance.
@@ -24,7 +24,7 @@
 	// recoveryTime is how long the region may need to recover from a disturbance; until then
 	// downtime does not count.
 	recoveryTime = 4 * time.Second
-	// minSpareSlots is the free capacity, in tasks, that must exist for a waiting task to count as late.
+	// minSpareSlots is the number of free slots that must exist for a waiting task to count as late.
 	minSpareSlots = 2
 	// maxDrainDelay is how long after its announcement a draining worker may still be given work.
 	maxDrainDelay = 2 * time.Second
@@ -39,14 +39,15 @@
 // disturbances, which excuse downtime. Planned stops of entries and announced departures of workers
 // are not. The world's mutex guards it.
 type downtimeChecker struct {
-	// disturbances counts the disturbances that go on; undisturbedSince is when the last one began or ended.
+	// disturbances counts the disturbances in progress; undisturbedSince is when the last one began
+	// or ended.
 	disturbances     int
 	undisturbedSince time.Time
 	// plannedAt is when the last planned stop or departure began.
 	plannedAt time.Time
 	// spareSince is since when there has always been free capacity; zero if there is none.
 	spareSince time.Time
-	// reported holds the tasks whose present downtime has been reported.
+	// reported holds the tasks whose current downtime has been reported.
 	reported map[winch.RunID]bool
 }
 
@@ -86,7 +87,7 @@
 	}
 }
 
-// updateSpare updates since when there has been free capacity. It is called whenever there may be less.
+// updateSpare updates spareSince. It is called whenever there may be less free capacity.
 func (v *downtimeChecker) updateSpare(w *world) {
 	slots := int64(0)
 	for _, x := range w.workers {
@@ -101,7 +102,7 @@
 	}
 }
 
-// runStarted checks the start of a run of a lasting task, and makes some runs fail by themselves later.
+// runStarted checks the start of a run of a lasting task, and makes some runs fail some time later.
 func (v *downtimeChecker) runStarted(w *world, x *simWorker, r *simRun) {
 	if v == nil {
 		return
@@ -137,12 +138,13 @@
 type randomScenario struct {
 	world *world
 	rand  *rand.Rand
-	// restarting says that a rolling restart of entries goes on; there is one at a time. The world's
-	// mutex guards it.
+	// restarting says that a rolling restart of entries is in progress; there is one at a time. The
+	// world's mutex guards it.
 	restarting     bool
 	workerIDs      int // workerIDs counts the worker IDs that were assigned.
 	stoppedEntries int // stoppedEntries counts the entries of all rolling restarts.
-	// partialFaultWeight is the weight of partial faults in draws in which all else together has seven.
+	// partialFaultWeight is the weight of partial faults in playDisturbed, where all other events
+	// together have a weight of seven.
 	partialFaultWeight int
 }
 
@@ -195,8 +197,8 @@
 	}
 }
 
-// rollingRestart restarts several entries as planned, one after the other: in turn, or each time the
-// present planner.
+// rollingRestart restarts several entries as planned, one after the other: either each entry in turn,
+// or each time the current planner.
 func (r *randomScenario) rollingRestart() {
 	w := r.world
 	w.mu.Lock()
@@ -232,7 +234,7 @@
 	return w.nodes[names[i*entriesPerDomain%len(names)+i*entriesPerDomain/len(names)%entriesPerDomain]]
 }
 
-// stopAsPlanned asks an entry to stop, kills its process after the grace period and restarts it after
+// stopAsPlanned signals an entry to stop, kills its process after the grace period and restarts it after
 // a pause.
 func (w *world) stopAsPlanned(n *simNode, grace, pause time.Duration) {
 	w.mu.Lock()
@@ -241,7 +243,7 @@
 	if node == nil || node.Stopping() {
 		return
 	}
-	w.log.note("entry %s is asked to stop", node.Name)
+	w.log.note("entry %s is signalled to stop", node.Name)
 	w.noteEntryDisturbed()
 	w.notePlanned()
 	w.group.Go(func() { node.Stop(w.ctx) })
@@ -453,16 +455,15 @@
 	w.submitJob(&winch.PhasedJob{ID: id, Queue: "preview", Team: "choir", Command: lastingCommand, Phases: []winch.Phase{phase}})
 }
 
-// Lasting tasks run while entries are restarted as planned, the planner is killed, and workers leave,
-// crash and return as other boots, all at once, beside gangs and filling tasks. A lasting task may be
-// down for a moment, but not for long once the region has recovered, and it must never run twice at
-// once.
+// Guards against lasting tasks that stay down long after the region has recovered, or that run twice
+// at once. Entries are restarted as planned, the planner is killed, and workers leave, crash and
+// return as other boots, all at the same time, while gangs and filling tasks run too.
 func TestRandomLasting(t *testing.T) {
 	t.Parallel()
 	randomLasting(t, 0)
 }
 
-// The same as TestRandomLasting with partial faults too: workers that are unresponsive for a while and
+// Guards against the failures of TestRandomLasting, with partial faults as well: workers that are unresponsive for a while and
 // then respond again, possibly to another keeper; paused entries; entries of which one does not receive
 // what the other sends; entries that do not reach a worker or get no response from it; partitioned
 // failure domains; and a store that is down or loses responses.
@@ -506,7 +507,8 @@
 	return group
 }
 
-// awaitRecovery waits until no rolling restart goes on, and then long enough for the region to recover.
+// awaitRecovery waits until no rolling restart is in progress, and then long enough for the region to
+// recover.
 func (r *randomScenario) awaitRecovery() {
 	for restarting := true; restarting; {
 		time.Sleep(time.Second)
@@ -535,9 +537,9 @@
 	}
 }
 
-// gangTimedOut checks that the gang of a member that waited in vain was not left incomplete without a
-// disturbance. Planned work counts as one here, since the entry that starts the members may have been
-// stopped. The world's mutex is held.
+// gangTimedOut reports a violation if a member of a gang waited in vain for the others without a
+// disturbance. Planned work counts as a disturbance here, since the entry that starts the members may
+// have been stopped. The world's mutex is held.
 func (v *downtimeChecker) gangTimedOut(w *world, key runKey) {
 	w.log.note("gang member %v, run %d, ends because its gang was not complete in time", key.task, key.run)
 	if v != nil && v.undisturbedTime() > recoveryTime+gangTimeout && time.Since(v.plannedAt) > recoveryTime+gangTimeout {
@@ -545,7 +547,7 @@
 	}
 }
 
-// playPartialFault plays a fault that leaves some of the region's connections working.
+// playPartialFault plays a fault that affects only some of the region's connections.
 func (r *randomScenario) playPartialFault() {
 	w := r.world
 	length := r.randomDuration(300*time.Millisecond, 9*time.Second)
@@ -603,7 +605,7 @@
 	})
 }
 
-// pauseEntry pauses an entry as seen from outside: it reaches no one, and what is sent to it is handled
+// pauseEntry pauses an entry as seen from outside: it reaches no other process, and what is sent to it is handled
 // when it is resumed, unless it has been killed. Its own clocks go on, as in a suspended process.
 func (r *randomScenario) pauseEntry(length time.Duration) {
 	w := r.world
@@ -664,7 +666,7 @@
 	})
 }
 
-// blockPath returns a function that blocks a path, or ends that.
+// blockPath returns a function that blocks a path or unblocks it.
 func (w *world) blockPath(paths map[simPath]int, path simPath) func(on bool) {
 	return func(on bool) {
 		if on {
@@ -711,7 +713,8 @@
 	})
 }
 
-// submitSomeJob submits an ordinary job, a gang or filling tasks, in turn, and returns the job's ID.
+// submitSomeJob submits an ordinary job, a gang or filling tasks, depending on i, and returns the
+// job's ID.
 func (w *world) submitSomeJob(i int) string {
 	id := fmt.Sprintf("%016x", i)
 	job := &winch.PhasedJob{ID: id, Queue: "preview", Team: "choir"}
--- a/region/records_test.go
+++ b/region/records_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-// Guards against ended jobs being stored under the keys that a planner reads when it takes over.
+// Guards against ended jobs that are stored under the keys that a planner reads when it takes over.
 // On a slow link the planner would never finish reading them.
 func TestEndedJobsAreStoredSeparately(t *testing.T) {
 	t.Parallel()
@@ -41,8 +41,8 @@
 	})
 }
 
-// Guards against a job that runs a second time. It is submitted again with the same ID after it
-// has ended and its key has been removed.
+// Guards against a job that runs a second time because it is submitted again with the same ID after
+// it has ended and its key has been removed.
 func TestResubmittedEndedJobDoesNotRunAgain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -109,8 +109,8 @@
 }
 
 // Guards against waiting jobs that cannot start during a store outage. All entries are killed and
-// restarted, and the store fails a little later. The commands were known only to the processes
-// that had accepted the jobs, so the planner has to read them before the outage.
+// restarted, and the store fails a little later. Only the killed processes, which had accepted the
+// jobs, knew the commands, so the planner has to read them from the store before the outage.
 func TestCommandsAreKnownDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -119,7 +119,7 @@
 		settle()
 		const id = "00000000000000b3"
 		waiting := simPhase(1)
-		waiting.Label = "none" // No worker has this label, so no keeper asks for the command.
+		waiting.Label = "none" // No worker has this label, so no keeper requests the command.
 		w.submit(id, waiting)
 		w.restartAll()
 		for w.planner() == nil {
@@ -133,8 +133,8 @@
 	})
 }
 
-// Guards against a slow takeover. The standby reads all jobs from the store when it takes over,
-// although it could have read them before.
+// Guards against a slow takeover, in which the standby reads all jobs from the store although it could
+// have read them before.
 func TestStandbyDoesNotReadJobsFromStoreAtTakeover(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/shrink_test.go
+++ b/region/shrink_test.go
@@ -8,8 +8,9 @@
 	"plantainwinch/winch"
 )
 
-// The store is down while the workers' records there state less capacity. Known work goes on for some
-// seconds without the store, and must not be started beyond the remaining capacity.
+// Guards against starts beyond a worker's capacity after it was reduced. The workers' records in the
+// store state less capacity while the store is down. Known work goes on for some seconds without the
+// store, and the planner must still respect the new capacity.
 func TestNothingIsStartedBeyondReducedCapacity(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/simstore_test.go
+++ b/region/simstore_test.go
@@ -19,7 +19,7 @@
 	events         []winch.Event
 	leases         map[uint64]*simLease
 	revision       uint64
-	down           bool // down makes all calls time out.
+	down           bool // down makes all calls time out without being carried out.
 	losesResponses bool // losesResponses drops the responses to half of the transactions.
 	calls          int  // calls counts the calls that were carried out.
 	// extraDelay is added to the duration of each call.
@@ -92,7 +92,8 @@
 	node  *Node
 }
 
-// call runs f, with the store's mutex held, if the store can be reached. If not it times out.
+// call runs f, with the store's mutex held, if the entry can reach the store. If not, the call times
+// out.
 func (t *simTable) call(ctx context.Context, f func()) error {
 	w := t.store.world
 	t.store.mu.Lock()
--- a/region/simworker_test.go
+++ b/region/simworker_test.go
@@ -23,7 +23,7 @@
 	highestRun   map[winch.RunID]uint64 // highestRun is the highest run that has ended or was stopped, by task.
 	ended        []winch.Completion     // ended holds the completions that no entry has acknowledged.
 	lastEnded    uint64                 // lastEnded is the number of the last completion.
-	usedMilli    int64                  // usedMilli is what the runs take of Room.Milli.
+	usedMilli    int64                  // usedMilli is the part of Room.Milli that the runs use.
 	unresponsive bool                   // unresponsive makes calls time out without being carried out.
 	// losesResponses makes calls time out though they are carried out.
 	losesResponses bool
@@ -51,9 +51,9 @@
 type simRun struct {
 	end   time.Time // end is when the run ends by itself; zero if it runs until it is stopped.
 	fails bool      // fails says that the run ends in failure.
-	milli int64     // milli is what the run takes of the worker's Room.Milli.
+	milli int64     // milli is the part of the worker's Room.Milli that the run uses.
 	gang  *simGang  // gang is nil for a run that does not belong to a gang.
-	fills bool      // fills says that the run uses the processors that others leave idle.
+	fills bool      // fills says that the run uses processor time that others leave idle.
 }
 
 // simGang is a run of a gang, whose members may be at several workers.
@@ -169,7 +169,8 @@
 	delete(x.runs, key)
 	x.usedMilli -= r.milli
 	x.highestRun[key.task] = max(x.highestRun[key.task], key.run)
-	// Only the actual end counts: a run at an unresponsive worker goes on until its lease expires.
+	// A run counts as running until it ends here: at an unresponsive worker it goes on until the lease
+	// expires.
 	w.running[key.task]--
 	w.lasting.runEnded(key.task)
 	if r.gang != nil && kind != winch.CompletionDone {
@@ -317,7 +318,7 @@
 }
 
 // startRun starts a run. It checks that the task does not already run, that its completion has not
-// been acknowledged, and that the worker has the capacity.
+// been acknowledged, and that the worker has enough free capacity.
 func (x *simWorker) startRun(w *world, key runKey, c winch.StartRequest) {
 	for _, d := range w.completed[c.Task] {
 		d.restarted = true
--- a/region/staleinfo_test.go
+++ b/region/staleinfo_test.go
@@ -13,8 +13,8 @@
 	"plantainwinch/winch"
 )
 
-// endWithoutDowntimeCheck stops the world and reports what ran twice. How long tasks are down is not
-// checked: a planner that no one can tell how long work runs on has to wait.
+// endWithoutDowntimeCheck ends the world and reports all violations except downtime of lasting tasks:
+// a planner that cannot learn how long work still runs has to wait.
 func (w *world) endWithoutDowntimeCheck() {
 	w.mu.Lock()
 	w.violations = slices.DeleteFunc(w.violations, func(line string) bool { return strings.Contains(line, "did not run for") })
@@ -22,10 +22,12 @@
 	w.end()
 }
 
-// A worker that the planner's own entry keeps leaves a moment before that entry is stopped as planned,
-// while the store is slow. The next planner looks at the entries only once it has read all records. By
-// then the stopping entry has taken itself off the list, so no session is opened to it and it is never
-// asked until when the worker's lease runs: its longest possible authority counts instead.
+// Guards against waiting for the longest possible lease of an entry that still runs. A worker that the
+// planner's own entry keeps leaves a moment before that entry is stopped as planned, while the store
+// is slow. The next planner reads the list of entries only after all other records. By then the
+// stopping entry may have removed itself from the list. Then the next planner opens no session to it
+// and never requests the expiry of the worker's lease, but counts the longest authority that the entry
+// may have had.
 func TestPlannerIsStoppedAsItsOwnWorkerLeaves(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
@@ -49,16 +51,18 @@
 				})
 				time.Sleep(12 * time.Second)
 				w.checkDownLasting()
-				t.Log("store slower by", slow, "gone before", before, "longest time down:", w.lasting.longestDowntime)
+				t.Log("store slower by", slow, "left before the stop by", before, "longest time down:", w.lasting.longestDowntime)
 				w.end()
 			})
 		}
 	}
 }
 
-// The planner is killed every three seconds, with its standby and the keeper of a worker that has
-// left. No remaining entry knows what ran there. Each planner counts the longest authority of the one
-// before anew, and chooses no standby meanwhile; all work that the region has accepted is delayed.
+// Guards against a wait that each planner begins again. The planner is killed with its standby and the
+// keeper of a worker that has left, so that no remaining entry knows what ran there; then each later
+// planner is killed soon after it has taken over. If each planner counts the longest authority of an
+// earlier one from its own start, and chooses no standby until then, all work that the region has
+// accepted is delayed.
 func TestWaitForAnEarlierPlannerIsNotRestartedByEachPlanner(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -71,7 +75,7 @@
 		standby := ""
 		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		w.leave(worker)
-		gone := time.Now()
+		leftAt := time.Now()
 		p.kill()
 		w.killEntry(standby)
 		w.killEntry(keeper)
@@ -84,21 +88,22 @@
 			if p == nil {
 				continue
 			}
-			t.Log(time.Since(gone), "adopting:", p.node.lead.Load().planner.Adopting())
+			t.Log(time.Since(leftAt), "adopting:", p.node.lead.Load().planner.Adopting())
 			p.kill()
 			time.Sleep(300 * time.Millisecond)
 			p.start()
 		}
-		for w.runningLasting() < 18 && time.Since(gone) < 40*time.Second {
+		for w.runningLasting() < 18 && time.Since(leftAt) < 40*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Log("all run again after", time.Since(gone))
-		is.True(time.Since(gone) < 12*time.Second)
+		t.Log("all run again after", time.Since(leftAt))
+		is.True(time.Since(leftAt) < 12*time.Second)
 		w.endWithoutDowntimeCheck()
 	})
 }
 
-// awaitLeadState waits until a condition on a planner's state holds.
+// awaitLeadState waits until a condition on a planner's state holds, and reports whether it did within
+// the limit.
 func (w *world) awaitLeadState(l *leadership, limit time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		ok := false
@@ -110,12 +115,12 @@
 	return false
 }
 
-// A worker is unresponsive for a moment, so the standby was sent its lease expiry, and then it
-// responds again. Its renewal rightly waits for the standby's acknowledgement; but the standby is
-// slow, and the worker's keeper is killed meanwhile. The next keeper lists the worker, which is no
-// longer unresponsive, so the planner allows the renewal at once although the standby still has the
-// old expiry. Then the planner is killed and the worker is partitioned; the standby takes over, finds
-// the lease expired by the old expiry, and starts the work a second time while the first run goes on.
+// Guards against work that is started a second time by a standby with an outdated lease expiry. A
+// worker is unresponsive for a moment, so the standby was sent its lease expiry, and then it responds
+// again. The renewal of its lease must wait until the standby has acknowledged that. The standby is
+// slow, and the worker's keeper is killed meanwhile. The next keeper lists the worker as responsive,
+// and the planner must not allow the renewal because of that: the planner is killed and the worker is
+// partitioned, and the standby takes over and considers the lease expired while the work goes on.
 func TestRenewalThroughANewKeeperWaitsForTheStandby(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -187,7 +192,7 @@
 	return worker, keeper
 }
 
-// killEntry kills the entry with a name.
+// killEntry kills the entry process with the given name.
 func (w *world) killEntry(name string) {
 	for _, n := range w.nodes {
 		if n.node != nil && n.node.Name == name {
@@ -196,10 +201,10 @@
 	}
 }
 
-// makeStaleAssignment loses one response of a keeper, so that its workers move to another keeper and
-// the first is not notified that its assignments are over. Then it calls meanwhile, kills the other
-// keeper, kills the planner as soon as the store names the first keeper again, and partitions the
-// worker.
+// makeStaleAssignment leaves a keeper with an outdated assignment. It loses one response of the
+// keeper, so that its workers move to another keeper and the first is not notified that its
+// assignments have ended. Then it calls meanwhile, kills the other keeper, kills the planner as soon
+// as the store names the first keeper again, and partitions the worker.
 func makeStaleAssignment(w *world, is *is.I, meanwhile func()) {
 	p := w.planner()
 	l := p.node.lead.Load()
@@ -235,12 +240,12 @@
 	w.setUnresponsive(worker, true)
 }
 
-// One response of a keeper is lost, so its workers move to another keeper, and it still has its old
-// assignments: nobody has notified it that they are over. Much later the other keeper is killed. The
-// store names the first one again, and the planner is killed before it can notify it, while the worker
-// is partitioned. The next planner asks the first keeper until when its leases run. By the old
-// assignment that has long passed, but the other keeper renewed the lease just now: the work is
-// started a second time.
+// Guards against work that is started a second time because of an outdated assignment. One response of
+// a keeper is lost, so its workers move to another keeper, but nothing notifies the first one that its
+// assignments have ended. Much later the other keeper is killed. The store names the first keeper
+// again, and the planner is killed before it can notify it, while the worker is partitioned. The next
+// planner requests the expiry of the first keeper's leases. Under its old assignment they expired long
+// ago, but the other keeper renewed the lease just now.
 func TestStaleAssignmentDoesNotBoundALaterLease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -251,9 +256,10 @@
 	})
 }
 
-// As above, but the planner's standby is killed with it, so that the next planner learns from the
-// first keeper what runs at the partitioned worker. That keeper does not know of anything that the
-// other one has started since, which is then started once more.
+// Guards against the same outdated assignment as TestStaleAssignmentDoesNotBoundALaterLease, with the
+// planner's standby killed too. The next planner learns from the first keeper what runs at the
+// partitioned worker. That keeper does not know of the runs that were started through the other one,
+// and their tasks would be started a second time.
 func TestStaleAssignmentDoesNotReportLaterRuns(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -271,11 +277,11 @@
 	})
 }
 
-// The planner, its standby and a worker's keeper are killed together, and the worker is partitioned.
-// The next planner has never learnt what runs there. The worker's new keeper reports it as
-// unresponsive, and the planner records for it that nothing is started there and that no run exists,
-// since it knows of none. It is killed, and the planner after that relies on the record and starts at
-// once what still runs at the worker.
+// Guards against a record that no run exists at a worker when nobody knows what runs there. The
+// planner, its standby and a worker's keeper are killed together, and the worker is partitioned. The
+// worker's new keeper reports it as unresponsive to the next planner, which knows of no runs there. If
+// that planner records that nothing is started there and no run exists, and is killed, the planner
+// after it relies on the record and starts at once what still runs at the worker.
 func TestWorkerWithoutContactIsNotRecordedAsSettled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -301,10 +307,10 @@
 	})
 }
 
-// A worker is unresponsive for less than a second and responds again, while the standby cannot be
-// reached and the store is down. If its lease is not renewed before the store is back, although its
-// keeper, the planner and the worker all have contact, what runs there ends long before the planner's
-// authority does.
+// Guards against runs that end needlessly while a worker is responsive. A worker is unresponsive for
+// less than a second and responds again, while the standby cannot be reached and the store is down. If
+// its lease is not renewed before the store responds, its runs end long before the planner's authority
+// does, although its keeper, the planner and the worker all have contact.
 func TestResponsiveWorkerIsRenewedWhileStandbyAndStoreAreDown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -329,10 +335,10 @@
 	})
 }
 
-// A worker crashes and comes back as another boot under the same ID, and the list names that boot
-// before its keeper reaches it. Then the keeper of the boot that ended learns that another one
-// responds. If the planner takes that as an event of the new boot, it never uses the worker, which
-// stays idle for as long as it lives.
+// Guards against a worker that stays idle for as long as it lives. It crashes and returns as another
+// boot under the same ID, and its record names that boot before its keeper reaches it. Only then the
+// keeper of the boot that ended learns that another boot responds. If the planner takes that as an
+// event of the new boot, it never uses the worker.
 func TestNewBootThatWasListedFirstIsUsed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -362,10 +368,10 @@
 	})
 }
 
-// A failure domain with a worker and its keeper is partitioned. One request of the planner reached the
-// keeper before, but waited there for a few seconds, as in the buffers of a paused process. The keeper
-// counts the authority in it from when it reads the request, and renews the worker's lease for longer
-// than the planner assumes. The planner starts the work elsewhere while it still runs there.
+// Guards against work that is started elsewhere while it still runs. A request of the planner waits at
+// a keeper for a few seconds, as in the buffers of a paused process, and then the failure domain of
+// the keeper and its worker is partitioned. If the keeper counts the authority in the request from
+// when it reads it, it renews the worker's lease for longer than the planner assumes.
 func TestRequestDelayedAtAPausedKeeperGrantsNoNewAuthority(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -395,11 +401,12 @@
 	})
 }
 
-// The planner, the standby and the keeper of an unresponsive worker are killed. The next planner
-// records that it has renewed nothing there. Then the worker responds, to that planner or a later one,
-// but the record cannot be changed, and the worker becomes unresponsive again as that planner is
-// killed too. Had its lease been renewed, the planner after that would start the worker's tasks while
-// they still run.
+// Guards against a lease renewal that contradicts the roster. The planner, the standby and the keeper
+// of an unresponsive worker are killed. The next planner records that it has renewed nothing there
+// (the record's Bound). Then the worker responds, to that planner or a later one, but the store
+// rejects the change of the record, and the worker becomes unresponsive again as that planner is
+// killed too. If its lease was renewed, the planner after that starts the worker's tasks while they
+// still run.
 func TestWorkerRespondsWhileItsBoundStaysRecorded(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
@@ -434,7 +441,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.store.mu.Lock()
-			w.store.commitOutcome = func(txn winch.Txn) (applied, answered bool) {
+			w.store.commitOutcome = func(txn winch.Txn) (applied, responded bool) {
 				ok := !slices.ContainsFunc(txn.Writes, func(x winch.Write) bool { return x.Key == keyRoster })
 				return ok, ok
 			}
--- a/region/stall_test.go
+++ b/region/stall_test.go
@@ -31,7 +31,7 @@
 	return out
 }
 
-// keepRunsAlive lets no run end by itself.
+// keepRunsAlive keeps postponing the end of all runs, so that none completes.
 func (w *world) keepRunsAlive() {
 	for w.ctx.Err() == nil {
 		for _, x := range w.workers {
@@ -52,9 +52,10 @@
 		metrics.GetOrRegisterGauge("Planner.RunsNotHeard", n.Metrics).Value()
 }
 
-// A worker with a lasting task stops responding. The task's users wait until everything there has
-// surely ended. Meanwhile the log says, with the job's ID, which run at which worker and keeper holds
-// the task back, and finally that the stall has ended.
+// Guards against a log that does not explain why a lasting task is down. A worker with such a task
+// stops responding, and the task's users wait until everything there is guaranteed to have ended.
+// Meanwhile the log must say, with the job's ID, which run at which worker and keeper delays the task,
+// and finally that the stall has ended.
 func TestLogSaysWhyALastingTaskWaits(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -98,8 +99,9 @@
 	})
 }
 
-// An entry that gives up the office must reset the gauges of what was stalled then: the next planner
-// shows what is stalled now.
+// Guards against gauges that show old stalls. An entry that gives up the office (the planner's
+// leadership lease in the store) must reset them: the next planner reports what is stalled from then
+// on.
 func TestStallGaugesAreResetWhenTheOfficeIsGivenUp(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -115,8 +117,9 @@
 	})
 }
 
-// Hundreds of tasks wait at once, as they do when a failure domain is lost. The log stays bounded,
-// says how much was left out, and names each of them in turn.
+// Guards against a log that is flooded when hundreds of tasks wait at once, as they do when a failure
+// domain is lost. The log must stay bounded, say how many lines were omitted, and name each task in
+// turn.
 func TestLogOfManyStallsIsBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/region/named_test.go
+++ b/region/standbyrecord_test.go
@@ -11,10 +11,10 @@
 	"plantainwinch/winch"
 )
 
-// Guards against work that is started twice, by a planner and by its former standby. The store
-// applies the record that names the standby, but its response is lost; then the planner gives the
-// standby up while the store is unresponsive. The planner assumed that no standby was named and
-// started work that the standby started again when it took over.
+// Guards against work that is started twice, by a planner and by its former standby. The store applies
+// the record that names the standby, but its response is lost. Then the planner drops the standby
+// while the store is unresponsive. If the planner assumes that the store names no standby, it starts
+// work that the standby starts again when it takes over.
 func TestStandbyWithUnconfirmedRecordCountsAsNamed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -22,7 +22,7 @@
 		w := newWorld(t, 91, 3, 9)
 		responseLost := false
 		w.store.mu.Lock()
-		w.store.commitOutcome = func(txn winch.Txn) (applied, answered bool) {
+		w.store.commitOutcome = func(txn winch.Txn) (applied, responded bool) {
 			for _, x := range txn.Writes {
 				var r standbyRecord
 				if x.Key != keyStandby || decode(x.Data, &r) != nil || len(txn.Writes) > 1 {
--- a/region/undetected_test.go
+++ b/region/undetected_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// undetectedDelays returns delays after a worker left in which its keeper, whose last call the worker
-// may still be answering, cannot know of it yet. The steps are small compared with the half second
-// after which an entry renews its own record.
+// undetectedDelays returns delays after a worker has left, after which its keeper cannot have found it
+// unresponsive yet: the worker may still delay its response to the keeper's last call. The steps are
+// small compared with the half second after which an entry renews its own record.
 func undetectedDelays() (out []time.Duration) {
 	for after := 975 * time.Millisecond; after < 1600*time.Millisecond; after += 50 * time.Millisecond {
 		out = append(out, after)
@@ -19,11 +19,12 @@
 	return append(out, 100*time.Millisecond, 600*time.Millisecond, 1900*time.Millisecond)
 }
 
-// A worker that the planner's own entry keeps leaves as announced, and before it is found unresponsive
-// that entry is stopped as planned. Only planned work happens. The entry gives the office up at once
-// and goes on for two seconds; but if its own record is removed before the next planner has looked,
-// that planner opens no session with it, gets no report until when the worker's lease runs, and waits
-// for the longest possible lease. A lasting task is then down for more than nine seconds.
+// Guards against lasting tasks that are down for more than nine seconds although only planned work
+// happens. A worker that the planner's own entry keeps leaves as announced, and before it is found
+// unresponsive that entry is stopped as planned. The entry gives the office up at once and its process
+// goes on for two seconds. If the entry's own record is removed before the next planner has read it,
+// that planner opens no session with the entry, gets no report of the worker's lease expiry, and waits
+// for the longest possible lease.
 func TestPlannerStopsBeforeItsOwnWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, after := range undetectedDelays() {
@@ -42,8 +43,9 @@
 	}
 }
 
-// As above, with an entry that is not the planner: the planner takes the workers from it while it goes
-// on, and gets its report until when their leases run.
+// Guards against the same wait after the planned stop of a keeper that is not the planner. The planner
+// must reassign the workers while the keeper's process goes on, and so get its report of when their
+// leases expire.
 func TestKeeperStopsBeforeItsWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, after := range undetectedDelays() {
@@ -61,10 +63,11 @@
 	}
 }
 
-// A worker leaves, and before it is found unresponsive its keeper, the planner's entry or another, is
-// killed and restarted. What the lost process had allowed to run ends at most one lease after the end
-// of the process. The fault was to wait for the longest authority that it could have had, counted from
-// when others noticed: lasting tasks stayed down long after all else had recovered.
+// Guards against waiting for a lost process longer than its leases last. A worker leaves, and before
+// it is found unresponsive its keeper, the planner's entry or another, is killed and restarted. All
+// leases that the lost process had granted expire at most one lease after its end. If the longest
+// authority that it could have had is counted, from when others noticed the loss, lasting tasks stay
+// down long after all else has recovered.
 func TestKeeperIsKilledBeforeItsWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, own := range []bool{true, false} {
@@ -90,10 +93,11 @@
 	}
 }
 
-// The planner is killed as a worker leaves whose keeper goes on. The standby takes over, gets the
-// keeper's report until when the worker's lease runs, and is stopped as planned a moment later, before
-// the worker's next keeper has found it unresponsive. The planner after that gets no report on the
-// worker and waits for the longest possible lease.
+// Guards against losing a report of a lease expiry with the planner that received it. The planner is
+// killed as a worker leaves whose keeper goes on. The standby takes over, gets the keeper's report of
+// the worker's lease expiry, and is stopped as planned a moment later, before the worker's next keeper
+// has found it unresponsive. If the planner after that gets no report on the worker, it waits for the
+// longest possible lease.
 func TestPlannerStopsAfterALeaseReportBeforeTheWorkerIsFoundUnresponsive(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{
@@ -128,9 +132,10 @@
 	}
 }
 
-// The store is down for eight seconds, and a worker leaves meanwhile. It may be that nobody knows what
-// ran there when the store is back, but all the other workers respond, and the lasting tasks there and
-// elsewhere have to run again soon.
+// Guards against one unknown worker that delays all lasting tasks after a store outage. The store is
+// down for eight seconds, and a worker leaves meanwhile. Possibly no entry knows what ran there when
+// the store responds again. All other workers respond, and the lasting tasks there and elsewhere must
+// run again soon.
 func TestWorkResumesSoonAfterAStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -142,10 +147,11 @@
 	})
 }
 
-// As above, and then entries are stopped as planned, one every two seconds. A planner that took the
-// office without a copy of what runs waits for as long as the one before it may have had authority. If
-// each counts that anew and is stopped before it has passed, nothing is started in the whole region
-// for as long as the stops go on.
+// Guards against a region that starts nothing for as long as entries are stopped in series. The store
+// is down for eight seconds and a worker leaves, and then an entry is stopped as planned every two
+// seconds. A planner that took the office over without a copy of the runs waits for as long as the
+// planner before it may have had authority. If each planner counts that time again from its own start,
+// it is stopped before the time has passed.
 func TestWorkResumesWhileEntriesStopAfterAStoreOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -158,7 +164,7 @@
 	})
 }
 
-// storeOutageWithWorkerLoss takes the store down for eight seconds, while a worker leaves.
+// storeOutageWithWorkerLoss takes the store down for eight seconds and ends a worker during that time.
 func (w *world) storeOutageWithWorkerLoss() {
 	w.addDisturbance(true)
 	w.setStoreUnavailable(true)
@@ -170,21 +176,22 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// The planner's entry, which keeps a worker itself, is killed, and then the worker leaves. The standby
-// takes over and is stopped as planned before the killed entry is back. The planner after that sees
-// the killed entry's next process start, and knows that all leases of the last one expire soon after;
-// but not that the worker's lease is one of them, since it has had another keeper since.
+// Guards against waiting too long for the lease of a killed keeper. The planner's entry, which keeps a
+// worker itself, is killed, and then the worker leaves. The standby takes over and is stopped as
+// planned before the killed entry is restarted. The planner after that sees the entry's next process
+// start, and knows that all leases of the killed process expire soon after. It may not know that the
+// worker's lease is one of them, since the worker has had another keeper since.
 func TestKilledKeeperRestartsUnderALaterPlanner(t *testing.T) {
 	t.Parallel()
-	for _, again := range []time.Duration{1900 * time.Millisecond, 2100 * time.Millisecond} {
-		t.Run(again.String(), func(t *testing.T) {
+	for _, restartAfter := range []time.Duration{1900 * time.Millisecond, 2100 * time.Millisecond} {
+		t.Run(restartAfter.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := lastingWorld(t, 47)
 				w.startDowntimeChecks()
 				p := w.planner()
 				worker, _ := w.workerKeptBy(p, true)
-				killed := time.Now()
+				killedAt := time.Now()
 				w.addDisturbance(true)
 				p.kill()
 				w.leave(worker)
@@ -193,7 +200,7 @@
 				}
 				time.Sleep(400 * time.Millisecond)
 				w.stopAsPlanned(w.planner(), 2*time.Second, 300*time.Millisecond)
-				time.Sleep(time.Until(killed.Add(again)))
+				time.Sleep(time.Until(killedAt.Add(restartAfter)))
 				p.start()
 				w.addDisturbance(false)
 				w.checkLasting(is, 18)
@@ -202,10 +209,10 @@
 	}
 }
 
-// A worker leaves, and a moment later all entries are killed, twice in a row, and restarted at once.
-// None of them has known the earlier processes; their records say that these have ended, so one lease
-// is waited for and not the longest authority. A lasting task is down for no longer than after the
-// loss of one entry.
+// Guards against lasting tasks that are down for longer than after the loss of one entry. A worker
+// leaves, and a moment later all entries are killed, twice in a row, and restarted at once. None of
+// the new processes has known the earlier ones, but the records of the new processes show that the
+// earlier ones have ended. So one lease must be waited for, and not the longest authority.
 func TestAllEntriesAreKilledAfterAWorkerLeft(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
@@ -236,9 +243,9 @@
 	}
 }
 
-// A worker leaves, the store is down, and all entries are killed and restarted meanwhile. Their
-// records have expired when the store is back, so nobody saw that the keepers named in the roster have
-// ended; counted from the takeover, the wait for the worker would begin anew.
+// Guards against a wait for a worker that is counted from the takeover. A worker leaves, the store is
+// down, and all entries are killed and restarted meanwhile. Their records have expired when the store
+// responds again, so no entry has seen that the keepers named in the roster have ended.
 func TestKeepersThatEndedDuringAStoreOutageAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -256,16 +263,17 @@
 		}
 		time.Sleep(7 * time.Second)
 		w.setStoreDown(false)
-		back := time.Now()
-		for w.runningLasting() < 18 && time.Since(back) < 20*time.Second {
+		recoveredAt := time.Now()
+		for w.runningLasting() < 18 && time.Since(recoveredAt) < 20*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Log("all run again", time.Since(back), "after the store is back")
-		is.True(time.Since(back) < maxDowntime)
+		t.Log("all run again", time.Since(recoveredAt), "after the store responds again")
+		is.True(time.Since(recoveredAt) < maxDowntime)
 		w.endWithoutDowntimeCheck()
 	})
 }
 
+// setStoreDown sets whether all calls to the store time out.
 func (w *world) setStoreDown(down bool) {
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -38,7 +38,7 @@
 	// partitioned holds the failure domains that reach neither the store nor any other domain.
 	partitioned map[string]bool
 	// blockedPaths counts the faults that block one direction between two entries, or between an
-	// entry and a worker. brokenLinks counts those that have ended the link between two entries.
+	// entry and a worker. brokenLinks counts those that have broken the link between two entries.
 	blockedPaths map[simPath]int
 	brokenLinks  map[simPath]int
 	// paused holds, by the host of a paused entry, the messages that arrived during the pause.
@@ -55,7 +55,7 @@
 	crashes      crashCounter
 	// downtimeChecks checks lasting tasks in the random tests; it is nil in all others.
 	downtimeChecks *downtimeChecker
-	// dropsRequest reports whether a request between two entries gets lost.
+	// dropsRequest reports whether a request between two entries is lost.
 	dropsRequest func(from, to string, kind winch.Kind) bool
 	// requestDelay returns how long a request waits at the receiving entry before it is handled,
 	// as in the receive buffers of a paused process. The entry need not be reachable by then.
@@ -81,7 +81,7 @@
 // entriesPerDomain is the number of entries in each failure domain.
 const entriesPerDomain = 2
 
-// newWorld starts a region. All random decisions that are drawn from the world follow from the seed.
+// newWorld starts a region. The seed determines all random decisions that are drawn from the world.
 func newWorld(t *testing.T, seed uint64, domains, workers int) *world {
 	w := &world{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)),
@@ -164,7 +164,7 @@
 	n.world.group.Go(func() { node.Run(ctx) })
 }
 
-// stop asks the entry to stop as planned. Its process goes on until it is killed.
+// stop stops the entry as planned. Its process goes on until it is killed.
 func (n *simNode) stop() {
 	n.world.mu.Lock()
 	node := n.node
@@ -194,7 +194,7 @@
 	return true
 }
 
-// intn returns a random number below n that follows from the world's seed.
+// intn returns a random number below n, drawn from the world's seeded generator.
 func (w *world) intn(n int) int {
 	w.randMu.Lock()
 	defer w.randMu.Unlock()
@@ -220,6 +220,7 @@
 	lines     []string
 }
 
+// logger returns the logger of an entry, which writes to l.
 func (l *simLog) logger(host string) *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.TimeKey, c.StacktraceKey = "", ""
@@ -340,19 +341,19 @@
 func (w *world) queueIfPaused(to *Node, isNotification bool, handle func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.paused[to.Host]
+	held := w.paused[to.Host]
 	switch {
-	case f == nil:
+	case held == nil:
 		return false
 	case isNotification:
-		f.notifications = append(f.notifications, handle)
+		held.notifications = append(held.notifications, handle)
 	default:
-		f.requests = append(f.requests, handle)
+		held.requests = append(held.requests, handle)
 	}
 	return true
 }
 
-// drops reports whether a request gets lost on its way.
+// drops reports whether a request is lost on its way.
 func (p *simPeers) drops(to string, kind winch.Kind) bool {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
@@ -369,7 +370,7 @@
 	return p.world.requestDelay(p.node.Name, to, kind)
 }
 
-// setRequestLoss sets which requests between entries get lost; nil means none.
+// setRequestLoss sets which requests between entries are lost; nil means none.
 func (w *world) setRequestLoss(drops func(from, to string, kind winch.Kind) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/winch/region.go
+++ b/winch/region.go
@@ -163,11 +163,14 @@
 
 // WorkerClient sends orders to the worker VMs of a region.
 type WorkerClient interface {
+	// Hold renews the lease of the worker and returns what runs there and what ended.
 	Hold(ctx context.Context, vm WorkerVM, call HoldRequest) (HoldResponse, error)
+	// Start starts a run. The duration is the worker's clock; zero if the response holds none.
 	Start(ctx context.Context, vm WorkerVM, call StartRequest) (StartResult, time.Duration)
 	// Stop stops a run. After an error other than ErrFenced and ErrOtherBoot the worker may
 	// not have received the call.
 	Stop(ctx context.Context, vm WorkerVM, token uint64, task RunID, run uint64) error
+	// Throttle sets the throttle percentage of a run.
 	Throttle(ctx context.Context, vm WorkerVM, token uint64, task RunID, run uint64, percent int) error
 	// Disconnect closes the connections to a boot that is lost.
 	Disconnect(vm WorkerVM)
@@ -182,6 +185,8 @@
 
 // Advisor is the advice service, which decides which workers may run a phase.
 type Advisor interface {
+	// Advise returns tickets for those of the workers that may run the phase, and how long the
+	// tickets are valid.
 	Advise(ctx context.Context, phase RunID, workers []string) ([]Ticket, time.Duration, error)
 }
 
