--- a/server/region.go
+++ b/server/region.go
@@ -23,8 +23,9 @@
 )
 
 const (
-	// memoryShare is the share of the entry's memory limit that the Go runtime may use. Data
-	// that was received and not yet read counts against the VM's memory too.
+	// memoryShare is the share of the entry's memory limit that the Go runtime may use. The
+	// rest is for data that was received and not yet read, which counts against the VM's
+	// memory too.
 	memoryShare = 0.7
 	// idleTimeout is how long an idle connection of a caller stays open. Callers that wait
 	// for a job send the next request within seconds.
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -21,7 +21,8 @@
 )
 
 // runCrashingJobs submits jobs whose tasks crash the workers that start them, at once or
-// within a few seconds, until activeCtx ends. The region must give up each of these jobs.
+// within a few seconds, until activeCtx ends. The region must fail each of these jobs instead of
+// restarting its tasks forever.
 func (s *Soak) runCrashingJobs(ctx, activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 4))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
@@ -70,7 +71,7 @@
 		}
 		i, milli := rnd.IntN(s.site.Size()), int64(1000*rnd.IntN(6))
 		duration := time.Duration(1000+rnd.IntN(8000)) * time.Millisecond
-		s.logFault("worker %d has capacity for %d for %v", i, milli, duration)
+		s.logFault("worker %d reports a capacity of %d thousandths of a processor for %v", i, milli, duration)
 		s.site.SetCapacity(i, milli)
 		s.group.Go(func() {
 			duty.Sleep(ctx, duration)
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -17,6 +17,9 @@
 	worker := s.rnd.IntN(s.site.Size())
 	long := time.Duration(300+s.rnd.IntN(4000)) * time.Millisecond
 	short := time.Duration(20+s.rnd.IntN(1500)) * time.Millisecond
+	// The names are written to the fault log. "freeze" pauses the entry's process, "silent" drops all data
+	// between the entry and the store, "history gone" compacts the store's history, and "worker mute" makes
+	// a worker execute orders without responding.
 	kinds := []faultKind{
 		{"kill", func() { p.stop(syscall.SIGKILL) }, func() { s.restart(p) }, short},
 		{"stop", func() { p.stop(syscall.SIGTERM) }, func() { s.restart(p) }, short},
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -22,7 +22,8 @@
 )
 
 // runGangJobs submits jobs whose last phase is a gang until activeCtx ends, and then waits for
-// the end of each. On average one of six is cancelled.
+// the end of each. On average one of six is cancelled. The round makes the job IDs and random
+// choices of two calls for the same caller differ.
 func (s *Soak) runGangJobs(ctx, activeCtx context.Context, i, round int) {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(1000+100*round+i)))
 	c := &fake.Caller{HTTP: http.Client{Timeout: 4 * time.Second}}
@@ -47,7 +48,7 @@
 }
 
 // runFinalGangs has callers submit gangs while the only other events are a configuration
-// change and cancellations. Neither excuses a gang member that waits for the others in vain.
+// change and cancellations. Neither excuses a gang member that times out waiting for the others.
 func (s *Soak) runFinalGangs(ctx context.Context, callers *conc.WaitGroup) {
 	s.logFault("configuration")
 	s.site.Configure()
--- a/soak/partition.go
+++ b/soak/partition.go
@@ -13,7 +13,7 @@
 )
 
 // partitions records between which entries the network is partitioned, and in which
-// direction. The zero value and nil have no partition.
+// direction. The zero value and a nil pointer stand for no partition.
 type partitions struct {
 	mu     sync.Mutex
 	active map[[2]string]int // active counts the active partitions by sender and receiver.
@@ -94,9 +94,9 @@
 	return out
 }
 
-// injectPartitions partitions the network at random times until activeCtx ends. It cuts an
-// entry, or its whole failure domain, off from one other entry or from all others, in one
-// direction or both. Partitions may overlap.
+// injectPartitions partitions the network at random times until activeCtx ends. A partition
+// separates an entry, or its whole failure domain, from one other entry or from all others,
+// in one direction or both. Partitions may overlap.
 func (s *Soak) injectPartitions(activeCtx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 4))
 	for {
@@ -123,7 +123,7 @@
 				outside = append(outside, x.name)
 			}
 		}
-		s.logFault("cut %s from %s, outgoing %v, incoming %v, for %v", strings.Join(inside, ","), strings.Join(outside, ","), out, in, duration)
+		s.logFault("partition of %s from %s, outgoing %v, incoming %v, for %v", strings.Join(inside, ","), strings.Join(outside, ","), out, in, duration)
 		s.group.Go(func() {
 			s.site.Checker.RecordDisturbance(true)
 			defer s.site.Checker.RecordDisturbance(false)
--- a/soak/partition_test.go
+++ b/soak/partition_test.go
@@ -13,10 +13,10 @@
 	"github.com/sourcegraph/conc"
 )
 
-// An entry dials another through its relay and names itself. A partition of one direction
-// between the two must drop data in that direction only, and a partition that involves other
-// entries must not affect the connection. Without this, the soak would test other partitions
-// than its fault log lists.
+// Guards against the soak testing other partitions than its fault log lists. An entry dials
+// another through its relay and names itself. A partition of one direction between the two
+// must drop data in that direction only, and a partition that involves other entries must
+// not affect the connection.
 func TestPartitionsBetweenEntries(t *testing.T) {
 	const hello = "some fields, e1/ABCDEF, and others that make it a longer message than the shortest frames carry: " +
 		"................................................................................................"
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -162,7 +162,7 @@
 	_ = s.faultLog.Close()
 }
 
-// addProblem adds to the report what a caller observed and must not occur.
+// addProblem adds a violated guarantee that the soak observed to the report.
 func (s *Soak) addProblem(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,11 +197,11 @@
 // runJob submits one job and checks its course.
 func (s *Soak) runJob(ctx context.Context, c *fake.Caller, j fake.Job, rnd *rand.Rand, cancels bool) {
 	pickEntry := func() string { return s.procs[rnd.IntN(len(s.procs))].callersAddress }
-	accepted, unsure := s.submit(ctx, c, j, pickEntry)
+	accepted, uncertain := s.submit(ctx, c, j, pickEntry)
 	switch {
 	case accepted:
 		s.updateReport(func(r *Report) { r.Accepted++ })
-	case unsure:
+	case uncertain:
 		return // The job may or may not have been accepted, so there is nothing to check.
 	default:
 		s.updateReport(func(r *Report) { r.Refused++ })
@@ -219,20 +219,20 @@
 const maxSubmitAttempts = 6
 
 // submit submits a job until it is accepted, at most maxSubmitAttempts times. The result
-// unsure reports whether an attempt ended without a clear response, so that the job may
+// uncertain reports whether an attempt ended without a clear response, so that the job may
 // have been accepted.
-func (s *Soak) submit(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) (accepted, unsure bool) {
+func (s *Soak) submit(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) (accepted, uncertain bool) {
 	for range maxSubmitAttempts {
 		switch c.Submit(ctx, pickEntry(), j) {
 		case http.StatusOK:
-			return true, unsure
+			return true, uncertain
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
-			unsure = true
+			uncertain = true
 		}
 		duty.Sleep(ctx, 300*time.Millisecond)
 	}
-	return false, unsure
+	return false, uncertain
 }
 
 // checkRefused checks that a job never runs if all attempts to submit it were refused.
--- a/stand/exec.go
+++ b/stand/exec.go
@@ -56,7 +56,7 @@
 	Peak    int
 }
 
-// Set replaces the injected faults.
+// SetFaults replaces the injected faults.
 func (e *Executor) Set(f ExecFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -27,7 +27,7 @@
 	// Latency is the delay before each call takes effect.
 	Latency time.Duration
 	// LoseReplies is the number of writes whose response is still to be lost after the
-	// write took effect. Only writes of keys that start with LosePrefix count.
+	// write takes effect. Only writes of keys that start with LosePrefix count.
 	LoseReplies int
 	LosePrefix  string
 	// HideVMs are the IDs of VMs that the VM list omits, as a list that lags behind does.
@@ -68,7 +68,7 @@
 	_ winch.Lister = (*Platform)(nil)
 )
 
-// Set replaces the injected faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) Set(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/stand/wire_test.go
+++ b/stand/wire_test.go
@@ -24,9 +24,9 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// The client of the key-value service must distinguish a refused write, an outage, and a
-// lost response to a write that took effect. A caller that takes one for another repeats a
-// write that took effect, or takes one for done that did not.
+// Guards against a refused write, an outage, and a lost response to a write that took effect
+// being confused by the client of the key-value service. Its caller would repeat a write that
+// took effect, or rely on one that did not.
 func TestStoreOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -58,8 +58,8 @@
 	is.True(errors.Is(err, winch.ErrUnavailable)) // the service was not reached
 }
 
-// A key under a lease is deleted when the lease expires. A watch must report that even if
-// there is no other call.
+// Guards against a watch that misses the expiry of a lease. The lease's keys must be deleted
+// and the watch must report that, even if there is no other call.
 func TestLeaseExpiryDeletesKeys(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -76,8 +76,8 @@
 	is.True(errors.Is(c.Renew(ctx, lease), winch.ErrNotFound))
 }
 
-// The client of the workers must distinguish a start that was refused or fenced from one
-// whose response was lost, since only the latter may have taken effect.
+// Guards against a start that was refused or fenced being confused with one whose response
+// was lost, since only the latter may have taken effect.
 func TestAgentOverHTTP(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -29,7 +29,7 @@
 
 type run struct {
 	task winch.Task
-	// reported is whether a renewal has reported the end of the run.
+	// reported is set once a renewal has reported the end of the run.
 	reported bool
 	started  time.Time
 	ends     time.Time
@@ -62,7 +62,7 @@
 	Running       int
 }
 
-// Set replaces the injected faults.
+// SetFaults replaces the injected faults.
 func (w *Worker) Set(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,7 +87,7 @@
 	return out
 }
 
-// Runs reports whether the task is running on the worker.
+// IsRunning reports whether the task is running on the worker.
 func (w *Worker) Runs(id winch.TaskID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
