--- a/cmds/stand.go
+++ b/cmds/stand.go
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// maxRegisterAttempts limits how long register waits for a platform that has not started yet.
+// maxRegisterAttempts limits how often register tries to reach a platform that has not started yet.
 const maxRegisterAttempts = 50
 
 // register adds a VM to the platform's list. It retries, as the platform may still be starting.
--- a/cmds/trial.go
+++ b/cmds/trial.go
@@ -31,7 +31,7 @@
 		Short: "Measure the planner's decisions under generated loads",
 		Long: "Simulates generated loads against the planner of a region, in simulated time and without a network, and prints for\n" +
 			"each queue how many jobs were on time and within three times the objective, how long they took, what they waited\n" +
-			"for, and the use of lanes and capacity. --without switches mechanisms off, --each also each one by itself.\n" +
+			"for, and the use of lanes and capacity. --without switches mechanisms off; --each adds runs without each single one.\n" +
 			"--fleets compares the planner of a failure domain with first come, first fit; --growth measures the cost of its\n" +
 			"decisions at 50 to 1600 workers.",
 		Example: "  plantainwinch trial\n  plantainwinch trial --pattern gangs --without Reserve,AskAll --plot plots\n  plantainwinch trial --fleets",
--- a/conf/declare.go
+++ b/conf/declare.go
@@ -36,7 +36,8 @@
 }
 
 const (
-	// DefaultCutOffTrust is the CutOffTrust of a team that declares none.
+	// DefaultCutOffTrust is the CutOffTrust of a team that declares none: how long its keys stay
+	// valid in a partitioned failure domain.
 	DefaultCutOffTrust = 10 * time.Minute
 	// defaultMaxBody is the MaxBody of a service that declares none.
 	defaultMaxBody = 64 << 20
--- a/conf/decode.go
+++ b/conf/decode.go
@@ -120,7 +120,7 @@
 		field := v.FieldByName(key.Name())
 		if !field.IsValid() {
 			names := fieldNames(v.Type())
-			return f.Errorf(name, key.Name(), "unknown key %s in [%s]: did you mean %s? known are %s",
+			return f.Errorf(name, key.Name(), "unknown key %s in [%s]: did you mean %s? The valid keys are %s",
 				key.Name(), name, Nearest(key.Name(), names), strings.Join(names, ", "))
 		}
 		if err := setField(field, key.String()); err != nil {
--- a/conf/region.go
+++ b/conf/region.go
@@ -182,7 +182,7 @@
 	}
 	for _, section := range f.Sections() {
 		if !slices.Contains(names, section) {
-			return f.Errorf(section, "", "unknown section [%s]: did you mean [%s]? known are %s",
+			return f.Errorf(section, "", "unknown section [%s]: did you mean [%s]? The valid sections are %s",
 				section, Nearest(section, names), strings.Join(names, ", "))
 		}
 	}
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -51,7 +51,7 @@
 	Addresses []string
 }
 
-// Limits holds the limits on what the entry holds for callers.
+// Limits holds the limits of an entry's queues, connections and buffers.
 type Limits struct {
 	// QueueLength limits the waiting calls of one class and service.
 	QueueLength int
@@ -75,7 +75,7 @@
 	// calls after the stop begins, until the load balancer has noticed it.
 	Drain time.Duration
 	Ready time.Duration
-	// UnitTerm is how long an entry may use its units while it cannot reach the store.
+	// UnitTerm is how long an entry may use its units of the teams' limits while it cannot reach the store.
 	UnitTerm time.Duration
 }
 
--- a/load/report.go
+++ b/load/report.go
@@ -47,7 +47,7 @@
 	Cut           int // Cut counts requests whose response was incomplete or missing.
 	Overcommitted int // Overcommitted counts task starts that exceeded the size of the worker.
 	LateKeys      int // LateKeys counts calls served with a key after its withdrawal was in force.
-	DoneNotRun    int // DoneNotRun counts requests answered as Done that no executor ran.
+	DoneNotRun    int // DoneNotRun counts requests reported as Done that no executor ran.
 }
 
 // Sum returns the total number of violations.
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -81,12 +81,12 @@
 // was restored from an old copy or a message was delayed.
 func TestLatestRejectsOlderDocument(t *testing.T) {
 	is := is.New(t)
-	var h Latest
-	is.True(h.Offer(&winch.Document{Version: 5}))
-	is.Equal(h.Offer(&winch.Document{Version: 4}), false)
-	is.Equal(h.Offer(&winch.Document{Version: 5}), false)
-	is.Equal(h.Version(), uint64(5))
-	is.Equal(h.Outdated.Load(), int64(1))
+	var l Latest
+	is.True(l.Offer(&winch.Document{Version: 5}))
+	is.Equal(l.Offer(&winch.Document{Version: 4}), false)
+	is.Equal(l.Offer(&winch.Document{Version: 5}), false)
+	is.Equal(l.Version(), uint64(5))
+	is.Equal(l.Outdated.Load(), int64(1))
 }
 
 // Guards against a key being accepted when only part of it is presented, and
--- a/state/config/keys.go
+++ b/state/config/keys.go
@@ -15,8 +15,8 @@
 // secret; the record stores only the hash of the whole key.
 func NewKey() (string, winch.Key) {
 	id := "K" + rand.Text()[:10]
-	secret := id + "." + rand.Text()
-	return secret, winch.Key{ID: id, Hash: HashKey(secret)}
+	key := id + "." + rand.Text()
+	return key, winch.Key{ID: id, Hash: HashKey(key)}
 }
 
 // HashKey returns the SHA-256 hash of a key in hexadecimal.
--- a/state/ledger/calls.go
+++ b/state/ledger/calls.go
@@ -41,7 +41,7 @@
 	return rec, owned, err
 }
 
-// Call returns the record of a call, or winch.ErrMissing if there is none.
+// Call returns the record of a call, or winch.ErrNotFound if there is none.
 func (l *Ledger) Call(ctx context.Context, id string) (winch.CallRecord, error) {
 	p, err := l.Read(ctx, id)
 	if err != nil {
--- a/state/ledger/jobs.go
+++ b/state/ledger/jobs.go
@@ -46,7 +46,7 @@
 	return out, err
 }
 
-// Job returns the record of a job, or winch.ErrMissing if there is none.
+// Job returns the record of a job, or winch.ErrNotFound if there is none.
 func (l *Ledger) Job(ctx context.Context, id string) (winch.Job, error) {
 	p, err := l.Read(ctx, id)
 	if err != nil {
--- a/trans/agent/wire.go
+++ b/trans/agent/wire.go
@@ -45,5 +45,5 @@
 type Reply struct {
 	Code   Code         `cbor:",omitempty"`
 	Report winch.Report `cbor:",omitzero"`
-	Had    bool         `cbor:",omitempty"`
+	Had    bool         `cbor:",omitempty"` // Had reports whether the worker had the run that OpStop names.
 }
--- a/trans/front/front_test.go
+++ b/trans/front/front_test.go
@@ -78,8 +78,8 @@
 	return resp, string(data), err
 }
 
-func executorResponse(held bool, body io.Reader) *entry.Reply {
-	return &entry.Reply{Status: http.StatusTeapot, Header: http.Header{"X-From": {"executor"}, "Connection": {"close"}}, Body: body, Buffered: held}
+func executorResponse(buffered bool, body io.Reader) *entry.Reply {
+	return &entry.Reply{Status: http.StatusTeapot, Header: http.Header{"X-From": {"executor"}, "Connection": {"close"}}, Body: body, Buffered: buffered}
 }
 
 // Guards against a call losing its body, path, headers, status or deadline on the way
--- a/trans/front/jobs.go
+++ b/trans/front/jobs.go
@@ -44,14 +44,14 @@
 	if err != nil {
 		return winch.JobSpec{}, errors.New("Need.Memory is " + err.Error())
 	}
-	var run time.Duration
+	var runTime time.Duration
 	if b.RunTime != "" {
-		if run, err = time.ParseDuration(b.RunTime); err != nil {
+		if runTime, err = time.ParseDuration(b.RunTime); err != nil {
 			return winch.JobSpec{}, errors.New("RunTime is no duration: write it as 90s or 2h")
 		}
 	}
 	need := winch.Resources{Processors: b.Need.Processors, Memory: memory, Accelerators: b.Need.Accelerators}
-	return winch.JobSpec{Kind: b.Kind, Tasks: b.Tasks, Need: need, RunTime: run, Command: b.Command}, nil
+	return winch.JobSpec{Kind: b.Kind, Tasks: b.Tasks, Need: need, RunTime: runTime, Command: b.Command}, nil
 }
 
 // readJSON decodes a request's body into the given value. If that fails, it writes
--- a/trans/peer/link.go
+++ b/trans/peer/link.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// requestPing makes pingLoop check the link after a request that timed out.
+// requestPing makes pingLoop check the link, after a request that timed out.
 func (l *link) requestPing() {
 	select {
 	case l.pingRequested <- struct{}{}:
--- a/trans/peer/peer.go
+++ b/trans/peer/peer.go
@@ -67,8 +67,8 @@
 
 	mu      sync.Mutex
 	links   map[string]*link
-	claimed map[string]bool
-	blocked map[string]bool
+	claimed map[string]bool // claimed holds the addresses that a goroutine dials or has a link to.
+	blocked map[string]bool // blocked holds the peers named by Partition.
 	// accepted holds the links that peers dialled. After stopped is set no more are
 	// accepted.
 	accepted map[*link]bool
@@ -139,6 +139,7 @@
 	}
 }
 
+// claim reserves an address for one goroutine and reports whether it was free.
 func (m *Mesh) claim(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
