--- a/coord/place/adopt.go
+++ b/coord/place/adopt.go
@@ -8,9 +8,9 @@
 	"plantainwinch/winch"
 )
 
-// Reconcile handles a worker's first answer under the current epoch, which lists
-// the tasks that it runs. Tasks of known jobs are adopted. The returned decisions
-// stop the tasks that must not continue.
+// Reconcile handles a worker's list of all its tasks, which it sends under the current
+// epoch. Tasks of known jobs are adopted. The returned decisions stop the tasks that must
+// not continue.
 func (p *Planner) Reconcile(vmID string, tasks []winch.Task, now time.Time) []Decision {
 	n := p.nodes[vmID]
 	if n == nil {
@@ -83,8 +83,8 @@
 	return out
 }
 
-// TaskMissing handles a worker that no longer has a task that it acknowledged, for
-// example because an earlier planner let it forget the task's completion.
+// TaskMissing handles a task that its worker acknowledged but no longer has, for example
+// because an earlier planner let the worker forget the task's completion.
 func (p *Planner) TaskMissing(vmID string, a winch.Attempt, now time.Time) []Decision {
 	t := p.findTask(a.Task)
 	if t == nil || t.node.vm.ID != vmID || t.attempt != a.Number {
@@ -112,11 +112,10 @@
 	return adopted
 }
 
-// OpenBarrier releases the held jobs, once every worker has answered under the
-// current epoch or its leases are guaranteed to have expired. A task of a
-// non-repeatable job that has a recorded start intent and was found at no worker may
-// have run, so its job ends as unknown. OpenBarrier reports whether the barrier was
-// closed before.
+// OpenBarrier releases the held jobs and reports whether the barrier was closed before.
+// It must be called only once every worker has responded under the current epoch or its
+// leases are guaranteed to have expired. If a task of a non-repeatable job has a recorded
+// start intent but was found at no worker, it may have run, so its job ends as unknown.
 func (p *Planner) OpenBarrier() bool {
 	if p.barrierOpen {
 		return false
--- a/coord/place/ended.go
+++ b/coord/place/ended.go
@@ -61,8 +61,8 @@
 }
 
 // TaskEnded handles a task that has ended at its worker or was lost with it. A worker
-// that was considered lost may report the end of a task that has since been started
-// elsewhere. Such a report must not end the new attempt.
+// that was considered lost may report the completion of a task that has since been
+// started elsewhere. Such a report must not end the new attempt.
 func (p *Planner) TaskEnded(vmID string, task winch.Task, now time.Time) []Decision {
 	p.releaseForeign(vmID, task.Ref())
 	t := p.findTask(task.ID)
@@ -97,8 +97,8 @@
 
 // adoptEnded applies the result of a task that an earlier planner started and that
 // ended before this planner knew of it. The earlier planner may already have returned
-// its unit and used it for another task. Returning it again would let the team exceed
-// its limit.
+// the task's unit and used it for another task. Returning the unit again would let the
+// team exceed its limit.
 func (p *Planner) adoptEnded(vmID string, task winch.Task, now time.Time) []Decision {
 	n, j := p.nodes[vmID], p.jobs[task.ID.Job]
 	if n == nil || j == nil || task.State == winch.TaskStopped || !j.need.Fits(n.free) {
--- a/coord/place/health.go
+++ b/coord/place/health.go
@@ -16,8 +16,8 @@
 
 // health distinguishes a worker that fails every job from jobs that fail on every worker.
 type health struct {
-	failedJobs map[string]bool
-	backoff    time.Duration
+	failedJobs map[string]bool // failedJobs holds the jobs that failed since the last success.
+	backoff    time.Duration   // backoff is the duration of the latest quarantine.
 }
 
 func (h *health) reset() {
--- a/coord/place/index.go
+++ b/coord/place/index.go
@@ -55,6 +55,7 @@
 	plain, accel []bucket
 }
 
+// bucket holds the nodes with the same number of free processors.
 type bucket []*node
 
 // bucketsOf returns the buckets for the node's kind of worker.
--- a/coord/place/place_test.go
+++ b/coord/place/place_test.go
@@ -41,19 +41,19 @@
 	returned int
 }
 
-func (p *fakeLimits) TryTake(team string, n int) bool {
-	if p.used[team]+n > p.limit[team] {
+func (l *fakeLimits) TryTake(team string, n int) bool {
+	if l.used[team]+n > l.limit[team] {
 		return false
 	}
-	p.used[team] += n
+	l.used[team] += n
 	return true
 }
 
-func (p *fakeLimits) Charge(team string, n int) { p.used[team] += n }
+func (l *fakeLimits) Charge(team string, n int) { l.used[team] += n }
 
-func (p *fakeLimits) Return(team string, n int) {
-	p.used[team] -= n
-	p.returned += n
+func (l *fakeLimits) Return(team string, n int) {
+	l.used[team] -= n
+	l.returned += n
 }
 
 // rig drives a planner with simulated workers that carry out each decision at once.
@@ -180,8 +180,8 @@
 		r.end(winch.TaskID{Job: "old0", Index: i}, winch.TaskDone)
 	}
 	r.plan()
-	is.Equal(r.count("long"), 0)  // they would delay the gang
-	is.Equal(r.count("short"), 4) // it ends before the gang starts
+	is.Equal(r.count("long"), 0)  // its tasks would delay the gang
+	is.Equal(r.count("short"), 4) // its tasks end before the gang starts
 	r.now = r.now.Add(30 * time.Second)
 	for _, id := range r.ids() {
 		r.end(id, winch.TaskDone)
@@ -191,7 +191,8 @@
 }
 
 // An earlier planner recorded the completion of all tasks and crashed before it recorded
-// the end of the job. Its successor must end the job, although no task is left to run.
+// the completion of the job. Its successor must end the job, although no task is left to
+// run.
 func TestJobWhoseTasksAllEndedIsFinished(t *testing.T) {
 	is := is.New(t)
 	r := newRig(1, size8)
@@ -290,7 +291,7 @@
 
 // A job fails or is cancelled while one of its starts is in flight, and the worker then
 // refuses that start. No task of the job may start again, since the caller has already
-// been notified of the job's end.
+// been notified that the job has ended.
 func TestStartRefusedAfterTheJobEnded(t *testing.T) {
 	for _, end := range []string{"cancelled", "failed"} {
 		t.Run(end, func(t *testing.T) {
@@ -386,8 +387,9 @@
 	is.True(bad <= 10)
 }
 
-// Jobs fail on every worker. They must end as failed after a few attempts, and no more
-// workers than the bound allows may be quarantined because of them.
+// Jobs fail on every worker, which looks like a failure of the workers. The jobs must end
+// as failed after a few attempts, and only a bounded fraction of the workers may be
+// quarantined because of them.
 func TestJobsThatFailEverywhereQuarantineFewWorkers(t *testing.T) {
 	is := is.New(t)
 	r := newRig(10, size8)
@@ -511,7 +513,7 @@
 }
 
 // A new planner loads jobs that an earlier planner may have started. They must wait until
-// all workers have answered, or tasks could run twice. Running tasks are adopted, and a
+// all workers have responded, or tasks could run twice. Running tasks are adopted, and a
 // non-repeatable job with a start intent for a task that no worker runs ends as unknown.
 func TestBarrierHoldsJobsOfAnEarlierPlanner(t *testing.T) {
 	is := is.New(t)
@@ -558,7 +560,8 @@
 	is.Equal(r.count("room"), 6)
 }
 
-// Declared run times are four times too short. The forecast must adapt to the actual ones.
+// The declared run times are a quarter of the actual ones. The forecast must adapt to the
+// actual ones; otherwise reservations and backfill would rely on wrong start times.
 func TestForecastAdaptsToActualRunTimes(t *testing.T) {
 	is := is.New(t)
 	r := newRig(1, size8)
@@ -573,7 +576,8 @@
 	is.True(f > 230*time.Second && f <= 4*time.Minute)
 }
 
-// A target's time of day must be taken as UTC and lie in the future.
+// A class names its target as a time of day. It must be taken as UTC and lie in the future,
+// or jobs would count as urgent at the wrong time.
 func TestNextTimeOfDay(t *testing.T) {
 	is := is.New(t)
 	is.Equal(nextTimeOfDay(startTime, "06:00"), time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC))
--- a/coord/place/plan.go
+++ b/coord/place/plan.go
@@ -86,8 +86,8 @@
 
 // next returns the shape whose first job is tried next: urgent before deferred work,
 // then the team with the lowest usage relative to its share, then the earliest latest
-// start. The baseline takes the oldest job. A start makes the ranks of the team's
-// other shapes worse, so a stored rank is recomputed before it is used.
+// start. With Baseline, the oldest job comes first. Each start lowers the priority of the
+// team's other shapes, so a stored rank is recomputed before it is used.
 func (r *round) next() *shape {
 	for len(r.ranked) > 0 {
 		e := heap.Pop(r).(rankedShape)
@@ -105,7 +105,7 @@
 
 // rank orders shapes; the lowest rank is served first.
 type rank struct {
-	tier        int
+	tier        int // tier is 0 for urgent and 1 for deferred work.
 	usage       float64
 	latestStart time.Time
 	seq         uint64
@@ -221,7 +221,7 @@
 
 // handleBlocked handles a job that currently fits on no worker. It reserves workers for
 // the job if there is no reservation yet, and evicts other tasks if the job is urgent
-// and no gang.
+// and not a gang.
 func (r *round) handleBlocked(j *job, s *shape) {
 	p := r.planner
 	j.waitReason = ""
--- a/coord/place/planner.go
+++ b/coord/place/planner.go
@@ -92,11 +92,11 @@
 	reserved *reservation
 	// delayed holds the jobs that are kept out of the queue until their backoff is over.
 	delayed []*job
-	seq     uint64
+	seq     uint64 // seq is the sequence number of the next submitted job.
 	// capacityVersion increases with every change that could let a job fit that did not fit
 	// before.
 	capacityVersion uint64
-	// barrier is true once the barrier is open, see OpenBarrier.
+	// barrierOpen is true once OpenBarrier was called.
 	barrierOpen bool
 	completions []Completion
 	// LostRunTime is the total run time that evictions discarded.
@@ -208,7 +208,7 @@
 	j.latestStart = p.latestStart(j, now)
 	p.jobs[rec.ID] = j
 	if len(j.ended) == rec.Spec.Tasks {
-		p.finish(j, winch.JobDone, "", "") // The earlier planner crashed before it recorded the job's end.
+		p.finish(j, winch.JobDone, "", "") // The earlier planner crashed before it recorded the job's completion.
 		return
 	}
 	p.queue.push(j)
@@ -305,7 +305,7 @@
 }
 
 // Forget removes a job that has ended and has no running tasks, and reports whether it
-// did. The caller must have recorded the job's end before.
+// did. The caller must have recorded the job's completion before.
 func (p *Planner) Forget(id string) bool {
 	j := p.jobs[id]
 	if j == nil || !j.rec.State.Final() || len(j.running) > 0 {
--- a/coord/place/queue.go
+++ b/coord/place/queue.go
@@ -19,7 +19,7 @@
 	running map[int]*placement
 	// ended holds the tasks that succeeded.
 	ended map[int]bool
-	// failures counts the failures of each task, starts its starts.
+	// failures and starts count how often each task failed and was started.
 	failures, starts map[int]int
 	// held is set while the job waits for the barrier, see OpenBarrier.
 	held bool
@@ -28,11 +28,11 @@
 	// shape is the queue that holds the job, or nil if the job is not queued.
 	shape     *shape
 	heapIndex int
-	seq       uint64
+	seq       uint64 // seq orders the jobs by submission.
 	// failedWorkers holds the workers that its tasks failed on.
 	failedWorkers map[string]bool
-	// backoff is the latest delay after a failed start, notBefore the time when the delay
-	// is over.
+	// backoff is the latest delay after a failed start. While delayed is set, the job is kept
+	// out of the queue until notBefore.
 	backoff    time.Duration
 	notBefore  time.Time
 	delayed    bool
--- a/coord/place/random_test.go
+++ b/coord/place/random_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// randomOps holds the random operations and the invariant check for rapid.
+// randomOps provides the random operations and the check of the invariants to rapid.
 type randomOps struct {
 	*rig
 	submitted int
