--- a/coord/office/elect.go
+++ b/coord/office/elect.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// electionInterval is the longest time between two reads of the office in the store.
+	// electionInterval is the longest time between two reads of the office's keys in the store.
 	electionInterval = 500 * time.Millisecond
 	// successorHeadStart is how long an entry that is not the recorded successor waits
 	// once the office is free, so that a live successor acquires it.
@@ -46,7 +46,7 @@
 	}
 }
 
-// clear removes the holder after this entry's term of the given epoch ended.
+// clear forgets the holder if it is this entry in the given epoch, whose term has ended.
 func (h *knownHolder) clear(self string, epoch uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,8 +60,9 @@
 	epoch uint64
 	lease string
 	mu    sync.Mutex
-	// validUntil is the time until which the lease is guaranteed to be valid. It counts
-	// from before the last confirmed renewal was sent, as the store counts from its receipt.
+	// validUntil is the time until which the lease is guaranteed to be valid. It is computed
+	// from the time before the last confirmed renewal was sent, since the store received the
+	// renewal later and the lease expires there no earlier.
 	validUntil time.Time
 	// lost is set once this entry has released the office or another one may hold it.
 	lost bool
@@ -214,8 +215,8 @@
 }
 
 // renewOnce renews the lease and reports whether the term goes on. An unreachable store
-// does not end the term: where workers compare epochs, they refuse this planner as soon as
-// they know a successor's epoch.
+// does not end the term. Where workers compare epochs, they refuse this planner as soon as
+// they know a successor's epoch. Where they do not, mayStart checks that the lease is valid.
 func (o *Office) renewOnce(ctx context.Context, t *term) bool {
 	ctx, cancel := context.WithTimeout(ctx, o.Lease/3)
 	defer cancel()
--- a/coord/office/events.go
+++ b/coord/office/events.go
@@ -7,7 +7,8 @@
 	"plantainwinch/proto"
 )
 
-// JobsChanged reads the jobs of the changed ledger partition that is stored under key.
+// JobsChanged handles a change of the ledger partition that is stored under key: it reads
+// the partition's jobs and submits or cancels them at the planner.
 func (o *Office) JobsChanged(ctx context.Context, key string) {
 	s := o.current.Load()
 	if s == nil {
@@ -26,7 +27,7 @@
 		}
 	})
 	if err != nil {
-		s.markStale() // The process was paused until ctx expired, so the jobs may not have been applied.
+		s.markStale() // The process may have been paused until ctx expired, before the jobs were applied.
 	}
 	o.PlanSoon()
 }
@@ -39,13 +40,14 @@
 	}
 }
 
-// markStale makes the session read the whole ledger again because a change of it could
-// not be read or applied.
+// markStale makes the planner read the whole ledger again because a change of it could not
+// be read or applied.
 func (s *session) markStale() {
 	_ = s.Duty.Do(context.Background(), func() { s.stale = true })
 }
 
-// JobChanged reads the ledger partition of a job that was accepted or cancelled.
+// JobChanged handles the acceptance or cancellation of a job: it reads the job's ledger
+// partition.
 func (o *Office) JobChanged(ctx context.Context, id string) {
 	if s := o.current.Load(); s != nil {
 		o.JobsChanged(ctx, o.Ledger.Key(o.Ledger.PartitionOf(id)))
--- a/coord/office/office.go
+++ b/coord/office/office.go
@@ -71,9 +71,10 @@
 	// OnAcquired is called when this entry has acquired the office. It may be nil.
 	OnAcquired func()
 
-	knownHolder      knownHolder
+	knownHolder knownHolder
+	// current is the state of the term that this entry serves, or nil.
 	current          atomic.Pointer[session]
-	leaving          chan struct{}
+	leaving          chan struct{} // leaving is closed by Leave.
 	recheckRequested chan struct{}
 	planRequested    chan struct{}
 }
--- a/coord/office/office_test.go
+++ b/coord/office/office_test.go
@@ -18,7 +18,7 @@
 	"plantainwinch/winch"
 )
 
-// testPlanner is a session with a simulated store and one accepted job.
+// testPlanner is a planner in its first term, with a simulated store and one accepted job.
 type testPlanner struct {
 	*session
 	doc   *winch.Document
@@ -41,7 +41,7 @@
 	return v, err
 }
 
-// withPlanner runs a test with a planner whose duty and ledger run.
+// withPlanner runs f with a planner whose duty loop and ledger are running.
 func withPlanner(t *testing.T, f func(t *testing.T, p *testPlanner)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -92,7 +92,7 @@
 
 // The process is paused while it handles the notification of a new job, until the context
 // of that call expires. The planner must submit the job all the same: the caller has been
-// told that it is accepted and would otherwise wait forever.
+// notified that it is accepted and would otherwise wait forever.
 func TestJobIsSubmittedAfterAPause(t *testing.T) {
 	const tries = 20 // Duty.Do may or may not accept work if the context has expired.
 	for range tries {
@@ -110,7 +110,8 @@
 }
 
 // A planner acquires the office before it has read the configuration. It must not lose the
-// jobs in the ledger, whose classes it does not know yet, but submit them once it has read it.
+// jobs in the ledger, whose classes it does not know yet: it must submit them once it has
+// read the configuration.
 func TestJobsAreSubmittedOnceTheConfigurationIsRead(t *testing.T) {
 	withPlanner(t, func(t *testing.T, p *testPlanner) {
 		is := is.New(t)
--- a/coord/office/session.go
+++ b/coord/office/planner.go
@@ -14,8 +14,8 @@
 	"plantainwinch/winch"
 )
 
-// session does the planner's work during one term. Only functions that run in Duty access
-// its state.
+// plannerState is the planner's state during one term. Only functions that run in Duty access
+// the fields that change.
 type session struct {
 	*Office
 	term        *term
@@ -43,9 +43,9 @@
 	reconciled bool
 	failures   int // The number of consecutive failed renewals.
 	// needsFullList is set if the response to a start was lost or a task is missing: the next
-	// renewal asks for all tasks.
+	// renewal requests the list of all tasks.
 	needsFullList bool
-	// forget lists the completions that the current renewal lets the worker forget.
+	// forget lists the ended tasks that the current renewal lets the worker forget.
 	forget []winch.Attempt
 	// acknowledged lists the running tasks that the worker had acknowledged when the current
 	// renewal was created.
--- a/coord/office/renew.go
+++ b/coord/office/renew.go
@@ -59,7 +59,7 @@
 }
 
 // handleReport applies a worker's response to a renewal, or its failure. It reports
-// whether the next renewal must ask for all tasks.
+// whether the next renewal must request the list of all tasks.
 func (s *session) handleReport(w *workerState, call winch.Renewal, report winch.Report, err error) bool {
 	now := time.Now()
 	if call.Lease > 0 {
@@ -157,8 +157,8 @@
 	return report.Running < expected
 }
 
-// handleMissing tells the planner of tasks that the worker had acknowledged but that its
-// full list does not contain. Otherwise they would count as running forever.
+// handleMissing reports to the planner the tasks that the worker had acknowledged but that
+// its full list does not contain. Otherwise they would count as running forever.
 func (s *session) handleMissing(w *workerState, report winch.Report, now time.Time) {
 	listed := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
--- a/coord/quota/balance.go
+++ b/coord/quota/balance.go
@@ -136,7 +136,8 @@
 	return a.demand
 }
 
-// restartMinimum starts a new measurement of the fewest free units after idlePeriod.
+// restartMinimum starts a new measurement of the fewest free units if the present one has
+// lasted for idlePeriod.
 func (a *account) restartMinimum() {
 	if time.Since(a.minFreeSince) >= idlePeriod {
 		a.minFree, a.minFreeSince = a.free(), time.Now()
--- a/coord/quota/holder.go
+++ b/coord/quota/holder.go
@@ -40,8 +40,8 @@
 	inUse     int // The units in use.
 	returning int // The units being returned to the pool.
 	// inherited is the number of units that an earlier holder of the office may be using.
-	// adopted counts the units of its work that has been found. Both are zero once all of
-	// its work has been found.
+	// adopted counts the units of its work that has been found. CompleteTakeover sets both to
+	// zero once all of that work has been found.
 	inherited, adopted int
 	// waiting holds the waiting calls of Take in the order of their arrival.
 	waiting      []*waiter
@@ -144,8 +144,9 @@
 	return a
 }
 
-// RecordRunTime records the longest run time of work before such work starts. If the holder
-// crashes, its units are reclaimed only after the longest recorded run time.
+// RecordRunTime ensures that the store records at least the given run time as the longest of
+// this holder's work. It must be called before such work starts: if the holder crashes, its
+// units are reclaimed only after the longest recorded run time.
 func (h *Holder) RecordRunTime(ctx context.Context, run time.Duration) winch.Result {
 	if time.Duration(h.longestRunTime.Load()) >= run {
 		return winch.Result{}
@@ -292,8 +293,8 @@
 	h.serveWaiting(team, a)
 }
 
-// serveWaiting gives free units to waiting calls. Units that are left over and owed or
-// wanted by other holders are returned with the next exchange, which it starts early.
+// serveWaiting gives free units to waiting calls. If free units are owed or wanted by other
+// holders, it starts the next exchange early, which returns them.
 func (h *Holder) serveWaiting(team string, a *account) {
 	if a.owed > 0 && a.free() > 0 {
 		h.balanceSoon()
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -92,7 +92,8 @@
 }
 
 // The limit is smaller than the number of holders, and the demand moves from one holder to
-// the next. The holder with the demand must get all units.
+// the next. The holder with the demand must get all units; none may stay idle at a holder
+// that has no demand.
 func TestUnitsFollowDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
