--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -21,8 +21,8 @@
 const (
 	// DefaultHeartbeatInterval is how often an entry sends its heartbeat.
 	DefaultHeartbeatInterval = time.Second
-	// maxMissedHeartbeats is for how many heartbeat intervals a peer may be unresponsive before it
-	// is removed from the view.
+	// maxMissedHeartbeats is how many heartbeat intervals a peer may be unresponsive before it is
+	// removed from the view.
 	maxMissedHeartbeats = 3
 	// listInterval is how often the platform's list is read.
 	listInterval = time.Second
@@ -49,9 +49,10 @@
 	Listed bool
 }
 
-// Home returns the name of the home entry of an executor, the entry that assigns its slots, or ""
-// if no entry of the executor's domain is live. It uses rendezvous hashing: entries with the same
-// view agree, and when an entry joins or leaves, only the executors that it is the home of move.
+// Home returns the name of the home of an executor, which is the entry that grants its slots, or
+// "" if no entry of the executor's domain is live. It uses rendezvous hashing: entries with the
+// same view agree, and when an entry joins or leaves, only executors whose home it becomes or was
+// get another home.
 func (v *View) Home(vm winch.VM) string {
 	best, bestScore := "", uint64(0)
 	consider := func(name string) {
@@ -112,8 +113,8 @@
 	return out
 }
 
-// Placer returns the name of the entry that places work in a domain according to the heartbeat with
-// the highest epoch, and that epoch.
+// Planner returns the name of a domain's planner according to the heartbeat with the highest epoch,
+// and that epoch.
 func (v *View) Placer(domain string) (string, uint64) {
 	name, epoch := "", uint64(0)
 	for _, p := range v.Peers {
@@ -133,8 +134,8 @@
 	Lister            winch.Lister
 	// Heartbeat returns the heartbeat to send.
 	Heartbeat func(ctx context.Context) proto.Heartbeat
-	// OnChange is called after the set of live peers, whether one of them is leaving, or the VM
-	// list has changed.
+	// OnChange is called after a change of the set of live peers, of whether one of them or this
+	// entry is leaving, or of the VM list.
 	OnChange func()
 	// OnHeartbeat is called after each heartbeat of a peer.
 	OnHeartbeat func(name string, beat proto.Heartbeat)
@@ -205,9 +206,8 @@
 	})
 }
 
-// Run executes the tracker's duty and removes unresponsive peers until ctx ends. RunHeartbeats
-// sends heartbeats and RunList reads the VM list, so that a slow platform does not delay
-// heartbeats.
+// Run runs the tracker's duty loop and removes unresponsive peers until ctx ends. RunHeartbeats
+// and RunList run in goroutines of their own, so that a slow platform does not delay heartbeats.
 func (t *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(t.HeartbeatInterval)
 	defer ticker.Stop()
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -16,8 +16,8 @@
 }
 
 // Budgets holds a retry budget for each team and class. Without a budget, retries multiply the
-// load while everything fails, when there is the least capacity for it, so that a short outage
-// does not end by itself.
+// load while everything fails, when there is the least capacity for it, and can prolong a short
+// outage indefinitely.
 type Budgets struct {
 	mu        sync.Mutex
 	remaining map[Key]float64 // remaining holds the retries left in each budget.
--- a/coord/route/route.go
+++ b/coord/route/route.go
@@ -29,7 +29,8 @@
 // of it. This entry is preferred if it has a free slot, since that saves a network hop. Next come
 // entries with free slots in the same failure domain, then those in other domains; of each group
 // it takes the less loaded of two random entries. If no entry has a free slot, it takes the less
-// loaded of two random entries of all. The entries in skip have already been asked.
+// loaded of two random ones of all entries that have executors of the service. The entries in skip
+// were tried before.
 func Pick(view *member.View, service string, own []proto.Load, skip map[string]bool, rnd *rand.Rand) string {
 	var near, far, all []candidate
 	consider := func(name string, loads []proto.Load, isNear bool) {
--- a/coord/slots/home.go
+++ b/coord/slots/home.go
@@ -10,7 +10,8 @@
 
 // SetExecutors sets the executors whose home is this entry. For an executor that is
 // new here, open returns how many of its slots may be granted at first. For each
-// executor that has left, SetExecutors returns the slots in use, for its next home.
+// executor whose home is no longer this entry, SetExecutors returns the slots in use,
+// to be sent to the new home.
 func (t *Table) SetExecutors(ctx context.Context, list []winch.VM, open func(winch.VM) int) ([]proto.Handoff, error) {
 	var out []proto.Handoff
 	err := t.Duty.Do(ctx, func() {
--- a/coord/slots/table.go
+++ b/coord/slots/table.go
@@ -78,7 +78,7 @@
 	executors     map[string]*executor
 	services      map[string]*service
 	grants        map[string]*grant
-	returnedEarly map[string]time.Time // returnedEarly holds when the slots of unknown grants were returned.
+	returnedEarly map[string]time.Time // returnedEarly holds when slots were returned that were not granted yet.
 	inUse         map[string]int       // inUse counts the slots in use by team.
 	// earlyHandoffs holds handoffs of executors that are not known here yet.
 	earlyHandoffs map[string]proto.Handoff
@@ -110,7 +110,7 @@
 	t.earlyHandoffs = make(map[string]proto.Handoff)
 }
 
-// Run processes the table's requests and sweeps it until ctx is done.
+// Run processes the table's requests and frees the slots of expired grants until ctx is done.
 func (t *Table) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -138,7 +138,7 @@
 	return <-w.reply
 }
 
-// refuseWaiting refuses a waiter unless it has been answered in the meantime.
+// refuseWaiter refuses a waiter unless it has received a response in the meantime.
 func (t *Table) refuseWaiting(w *waiter, why winch.Result) {
 	err := t.Duty.Do(context.Background(), func() {
 		if t.dequeue(w) {
@@ -150,7 +150,7 @@
 	}
 	select {
 	case w.reply <- proto.SlotResponse{Refused: why}:
-	default: // The waiter was answered before the table stopped.
+	default: // The waiter received its response before the table stopped.
 	}
 }
 
@@ -383,7 +383,8 @@
 }
 
 // sweep frees the slots of expired grants, whose work is guaranteed to have ended although
-// no report arrived, and serves waiters whose executor has left quarantine.
+// no report arrived. It also grants the slots of executors whose quarantine has ended to
+// waiters.
 func (t *Table) sweep() {
 	now := time.Now()
 	for _, g := range t.grants {
