--- a/entry/admit.go
+++ b/entry/admit.go
@@ -8,14 +8,14 @@
 	"plantainwinch/winch"
 )
 
-// caller is the key and team that make a request, and the class of the request.
+// caller is the key and the team that a request comes from, and the class of the request.
 type caller struct {
 	key   winch.Key
 	team  winch.Team
 	class winch.Class
 }
 
-// document returns the configuration, or refuses until this entry has received one.
+// document returns the configuration, or a refusal if this entry has not received one yet.
 func (e *Entry) document() (*winch.Document, winch.Result) {
 	doc := e.config.Get()
 	if doc == nil {
@@ -24,8 +24,8 @@
 	return doc, winch.Result{}
 }
 
-// identify returns the key record and the team of a presented key. In a partitioned domain a key may have been
-// withdrawn without this entry knowing, so keys remain valid there for the team's CutOffTrust only.
+// identify returns the key record and the team of a presented key. In a partitioned domain, a key may have been
+// withdrawn without this entry knowing, so keys remain valid there only for the team's CutOffTrust.
 func (e *Entry) identify(doc *winch.Document, presented string) (winch.Key, winch.Team, winch.Result) {
 	key, ok := config.FindKey(doc, presented)
 	if !ok || key.Role != winch.KeyTeam {
@@ -41,9 +41,9 @@
 	return key, team, winch.Result{}
 }
 
-// updateKeysCurrent records whether this entry would learn of a withdrawn key now: either it or a peer reaches the
-// store, or it reaches entries of all other domains, so that no operator can have withdrawn a key on the other side of
-// a network partition.
+// updateKeysCurrent records the present time in keysCurrent if this entry would learn of a withdrawn key now: either it
+// or a peer reaches the store, or it reaches entries of all other domains, so that no operator can have withdrawn a key
+// on the other side of a network partition.
 func (e *Entry) updateKeysCurrent() {
 	view := e.members.View()
 	domains := map[string]bool{e.Domain(): true}
@@ -72,8 +72,8 @@
 // interruptions occur in normal operation.
 const minPartitionTime = 10 * time.Second
 
-// admit returns the caller that a presented key belongs to. It refuses if the class does not exist or the entry is
-// stopping.
+// admit returns the caller that a presented key belongs to, or a refusal, for example if the class does not exist or
+// the entry is stopping.
 func (e *Entry) admit(presented, class string) (caller, winch.Result) {
 	if e.stopping.Load() {
 		return caller{}, winch.RefuseFor(winch.Stopping, "this entry is stopping; ask again, another one will answer", time.Second)
@@ -95,7 +95,7 @@
 
 func quote(s string) string { return "\"" + s + "\"" }
 
-// approved returns a service, provided that it exists and its owner has approved the team.
+// approved returns a service, or a refusal if it does not exist or its owner has not approved the team.
 func (e *Entry) approved(name string, team winch.Team) (winch.Service, winch.Result) {
 	doc, r := e.document()
 	if !r.OK() {
--- a/entry/call.go
+++ b/entry/call.go
@@ -69,8 +69,8 @@
 	caller   caller
 	deadline time.Time
 	maxRun   time.Duration
-	// body is the request's body if it is small enough to be buffered; resendable says that it is, or that there
-	// is no body, so that the request can be sent again.
+	// body is the request's body if it is small enough to be buffered. resendable reports whether the request can be
+	// sent again, because its body is buffered or it has none.
 	body           []byte
 	resendable     bool
 	triedExecutors []string
@@ -196,8 +196,8 @@
 	return winch.Refuse(winch.CallerGone, "the body broke off")
 }
 
-// execute sends the request until it gets a response or no further attempt is allowed. Each attempt holds a unit
-// of the team's limit, which is returned once its work is guaranteed to have ended.
+// execute sends the request until it gets a response or no further attempt is allowed. Each attempt uses a unit of the
+// team's limit, which is returned once the attempt's work is guaranteed to have ended.
 func (p *pendingCall) execute(ctx context.Context) *Reply {
 	e := p.entry
 	budget := retry.Key{Team: p.caller.team.Name, Class: p.caller.class.Name}
@@ -228,7 +228,7 @@
 	started time.Time
 }
 
-// attempt sends the request once. The second result says that the attempt is guaranteed to have ended without a
+// attempt sends the request once. The second result reports whether the attempt is guaranteed to have ended without a
 // usable response, so that the request may be sent again.
 func (p *pendingCall) attempt(ctx context.Context, g *grant) (*Reply, bool) {
 	e := p.entry
@@ -472,7 +472,7 @@
 	time.AfterFunc(after, func() { e.units.Release(team) })
 }
 
-var errTooLarge = errors.New("body too large")
+var errTooLarge = errors.New("request body is larger than the service accepts")
 
 // limitReader fails once more than the remaining bytes were read, where io.LimitReader would end as if the body
 // were complete.
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -95,7 +95,7 @@
 }
 
 // Guards against calls that fail although another executor is available: one executor is dead before the call is sent.
-// No byte was sent to it, so the call goes to the other executor and succeeds.
+// As no byte reaches it, the call must be sent to the other executor and succeed.
 func TestCallIsServedWhenOneExecutorIsDead(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
@@ -371,7 +371,7 @@
 	})
 }
 
-// openSlots returns how many slots the entries hand out.
+// openSlots returns how many slots the homes may grant.
 func openSlots(entries ...*node) (open int) {
 	for _, n := range entries {
 		for _, l := range n.table.Loads() {
@@ -473,8 +473,8 @@
 	})
 }
 
-// Guards against an entry that serves only seconds after the store became available: the entry starts shortly before
-// the store can be reached.
+// Guards against an entry that takes many seconds to serve calls after the store became available: the entry starts
+// shortly before the store can be reached, so its first accesses fail.
 func TestEntryStartsBeforeTheStore(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
--- a/entry/chaos_test.go
+++ b/entry/chaos_test.go
@@ -18,7 +18,7 @@
 	"plantainwinch/winch"
 )
 
-// Flags of the randomised schedules: how many to run, and the seed of the first.
+// Flags of TestChaos: how many randomised schedules to run, and the seed of the first.
 var (
 	schedules = flag.Int("schedules", 200, "randomised schedules to run")
 	firstSeed = flag.Uint64("first", 1, "seed of the first schedule")
@@ -48,8 +48,8 @@
 
 // Guards against combinations of faults that break what callers rely on. Entries die, restart, are paused past their
 // leases and lose the store; domains are partitioned; the store goes down, is slow and loses responses; workers go down
-// and lose responses; executors hang; operators change limits. A seed determines the order. Outcomes must match
-// what ran, and once the faults are over all accepted jobs must end.
+// and lose responses; executors hang; operators change limits. A seed determines the faults and their order. Outcomes
+// must match what ran, and once the faults are over all accepted jobs must end.
 func TestChaos(t *testing.T) {
 	for i := range *schedules {
 		seed := *firstSeed + uint64(i)
@@ -198,7 +198,7 @@
 	}
 }
 
-// injectFaults injects random faults, which may overlap.
+// injectFaults injects random faults one after the other. A fault may last beyond the start of the next ones.
 func (c *randomSchedule) injectFaults() {
 	for range 25 {
 		time.Sleep(time.Duration(500+c.rnd.IntN(4000)) * time.Millisecond)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry combines the parts of one entry. It serves the requests of callers and the changes of operators, hands
-// out the slots of the executors whose home it is, and competes for the office of its failure domain: the leadership
+// Package entry combines the parts of one entry. It serves the requests of callers and the changes of operators, grants
+// the slots of the executors whose home is this entry, and competes for the office of its failure domain: the leadership
 // lease in the store whose holder is the domain's planner.
 package entry
 
@@ -56,8 +56,8 @@
 	// storeContact records when this entry last reached the store, keysCurrent when it would last have learned of
 	// a withdrawn key.
 	storeContact, keysCurrent contactTime
-	// homesChanged wakes runHomes, restartWatch makes runWatch start anew, and newerPeer passes the name of a peer
-	// with a newer configuration to runConfigFetch.
+	// homesChanged wakes runHomes, restartWatch makes runWatch restart its watch, and newerPeer passes the name of a
+	// peer with a newer configuration to runConfigFetch.
 	homesChanged chan struct{}
 	restartWatch chan struct{}
 	newerPeer    chan string
@@ -209,7 +209,7 @@
 	group.Wait()
 }
 
-// lockRandom returns the random source, locked until the caller calls release.
+// lockRandom locks the random source and returns it. The caller must call release when done.
 func (e *Entry) lockRandom() (r *mrand.Rand, release func()) {
 	e.rndMu.Lock()
 	return e.rnd, e.rndMu.Unlock
--- a/entry/fakes_test.go
+++ b/entry/fakes_test.go
@@ -51,7 +51,7 @@
 	if err := p.n.awaitGate(); err != nil {
 		return err
 	}
-	other, cut := p.n.w.reach(p.n.Name(), to)
+	other, changed := p.n.w.reach(p.n.Name(), to)
 	if other == nil {
 		return winch.ErrNoPeer
 	}
@@ -80,8 +80,8 @@
 			return cbor.Unmarshal(data, reply)
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-cut:
-			if other, cut = p.n.w.reach(p.n.Name(), to); other == nil {
+		case <-changed:
+			if other, changed = p.n.w.reach(p.n.Name(), to); other == nil {
 				cancel()
 				return winch.ErrPeerLost
 			}
@@ -171,7 +171,7 @@
 		return nil, 0, err
 	}
 	s.n.mu.Lock()
-	cut := s.n.storeChanged
+	changed := s.n.storeChanged
 	s.n.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -179,7 +179,7 @@
 	defer group.Wait()
 	group.Go(func() {
 		select {
-		case <-cut:
+		case <-changed:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -214,9 +214,9 @@
 	}
 	time.Sleep(hopDelay)
 	f.n.w.mu.Lock()
-	cut := f.n.w.partitions[[2]string{f.n.Name(), vm.ID}]
+	partitioned := f.n.w.partitions[[2]string{f.n.Name(), vm.ID}]
 	f.n.w.mu.Unlock()
-	if cut {
+	if partitioned {
 		return nil, errReset
 	}
 	w := f.n.w.fleet()[vm.ID]
@@ -232,12 +232,12 @@
 		return err
 	}
 	f.n.w.mu.Lock()
-	late := f.n.w.delayedStarts > 0
-	if late {
+	delayed := f.n.w.delayedStarts > 0
+	if delayed {
 		f.n.w.delayedStarts--
 	}
 	f.n.w.mu.Unlock()
-	if late {
+	if delayed {
 		f.n.w.executors.group.Go(func() {
 			time.Sleep(8 * time.Second)
 			if s.Start(context.Background(), epoch, task, lease) == nil {
@@ -260,8 +260,8 @@
 		return winch.Report{}, err
 	}
 	out, err := s.Renew(ctx, call)
-	if dead := f.n.awaitGate(); dead != nil {
-		return out, dead
+	if killed := f.n.awaitGate(); killed != nil {
+		return out, killed
 	}
 	return out, err
 }
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -28,15 +28,15 @@
 	workers          map[string]*stand.Worker
 	executors        *fakeExecutors
 	entries          map[string]*node
-	keys             map[string]string
+	keys             map[string]string // keys holds the key of each team.
 	mu               sync.Mutex
-	partitions       map[[2]string]bool
-	partitionChanged chan struct{}
+	partitions       map[[2]string]bool // partitions holds the pairs of names that cannot reach each other.
+	partitionChanged chan struct{}      // partitionChanged is closed and replaced at each change of partitions.
 	violations       []string
-	starts           map[winch.TaskID]int
-	onceClasses      map[string]bool // onceClasses names the classes whose tasks may start at most once.
-	limits           map[string]int
-	adjust           func(*conf.Settings)
+	starts           map[winch.TaskID]int // starts counts how often each task was started.
+	onceClasses      map[string]bool      // onceClasses names the classes whose tasks may start at most once.
+	limits           map[string]int       // limits holds the limit of each team that checkLimit checks.
+	adjust           func(*conf.Settings) // adjust modifies the settings of each entry, if it is set.
 	// delayedStarts is how many start calls still reach their worker only seconds after the sender got the error
 	// that the connection broke.
 	delayedStarts int
@@ -100,12 +100,12 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// executor adds an executor to the platform's list.
+// addExecutor adds an executor to the platform's list.
 func (w *world) executor(id, domain string, slots int) {
 	w.platform.SetVM(winch.VM{ID: id, Address: id, Role: winch.RoleExecutor, Domain: domain, Service: "render", Slots: slots, Connections: 64})
 }
 
-// worker adds a worker of 8 processors to the platform's list.
+// addWorker adds a worker of 8 processors to the platform's list.
 func (w *world) worker(id, domain string) *stand.Worker {
 	vm := winch.VM{ID: id, Address: id, Role: winch.RoleWorker, Domain: domain, Rack: "r1", Size: winch.Resources{Processors: 8, Memory: 8 << 30}}
 	s := &stand.Worker{VM: vm, Fence: !w.noFencing}
@@ -123,7 +123,7 @@
 	return maps.Clone(w.workers)
 }
 
-// entry starts an entry.
+// addEntry starts an entry.
 func (w *world) entry(name, domain string) *node {
 	s := conf.Default()
 	s.Entry = conf.Entry{Name: name, Domain: domain}
@@ -339,7 +339,7 @@
 // platformDown makes the platform unavailable to all entries.
 var platformDown = stand.Faults{Down: true}
 
-// listedVM returns a VM of the platform's list.
+// listedVM returns the VM with the given ID on the platform's list.
 func (w *world) listedVM(id string) winch.VM {
 	list, _, err := w.platform.VMs(context.Background(), 0)
 	if err != nil {
@@ -354,7 +354,7 @@
 	return winch.VM{}
 }
 
-// sendFirst delivers the first messages of new connections between two entries.
+// sendFirst delivers the first messages of new connections between two entries, in both directions.
 func (w *world) sendFirst(a, b string) {
 	for _, p := range [][2]string{{a, b}, {b, a}} {
 		from, _ := w.reach(p[1], p[0])
@@ -365,7 +365,7 @@
 	}
 }
 
-// settle waits until the entries know each other and each domain has a planner.
+// settle waits for long enough that the entries know each other and each domain has a planner.
 func (w *world) settle() {
 	time.Sleep(8 * time.Second)
 }
@@ -414,7 +414,7 @@
 	return v
 }
 
-// planner returns the entry that holds a domain's office.
+// planner returns the entry that holds a domain's office, or nil if there is none.
 func (w *world) planner(domain string) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -426,7 +426,7 @@
 	return nil
 }
 
-// otherEntry returns an entry that is not n.
+// otherEntry returns an entry other than n, or nil if there is none.
 func (w *world) otherEntry(n *node) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -8,14 +8,14 @@
 	"plantainwinch/winch"
 )
 
-// initialSlots is how many slots of an executor a new home hands out at first if no earlier home has reported which of
+// initialSlots is how many slots of an executor a new home grants at first if no earlier home has reported which of
 // them are in use.
 const initialSlots = 1
 
 // homesInterval is the interval at which the homes are computed even if no change is known.
 const homesInterval = time.Second
 
-// runHomes keeps the executors whose home this entry is up to date.
+// runHomes keeps the set of executors whose home is this entry up to date.
 func (e *Entry) runHomes(ctx context.Context) {
 	for {
 		e.updateHomes(ctx)
@@ -28,7 +28,7 @@
 	}
 }
 
-// updateHomes takes over the executors whose home this entry is now, and hands those over that have another home.
+// updateHomes takes over the executors whose home is now this entry, and hands over those whose home is now another one.
 func (e *Entry) updateHomes(ctx context.Context) {
 	view := e.members.View()
 	var own []winch.VM
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -129,8 +129,8 @@
 	return name, epoch
 }
 
-// chooseDomain returns the failure domain that runs a job: of those whose workers could ever run it, the one with the
-// lowest load, waiting work included. A job that no domain could run is refused at once instead of waiting forever.
+// chooseDomain returns the failure domain for a job: of those whose workers could ever run it, the one with the lowest
+// load, waiting work included. A job that no domain could run is refused at once instead of waiting forever.
 func (e *Entry) chooseDomain(spec winch.JobSpec, team winch.Team) (string, winch.Result) {
 	if spec.Kind == winch.Gang && spec.Tasks > team.Limit {
 		return "", winch.Refuse(winch.NeverFits, fmt.Sprintf("a gang of %d tasks can never start within the team's upper limit of %d", spec.Tasks, team.Limit))
@@ -179,7 +179,7 @@
 	return n
 }
 
-// domainLoad returns the used and requested processors of a domain relative to its size.
+// domainLoad returns the load of a domain: its used processors plus its waiting tasks, relative to its processors.
 func (e *Entry) domainLoad(view *member.View, domain string) float64 {
 	load := func(l *proto.OfficeLoad) float64 {
 		if l == nil || l.Size.Processors == 0 {
@@ -199,8 +199,8 @@
 	return 1 // Without a known planner the domain counts as fully used, so that the others are preferred.
 }
 
-// notifyPlanner notifies the domain's planner that a job has changed. If the message is lost, the planner learns of the
-// change from its watch of the ledger.
+// notifyPlanner notifies the domain's planner that a job was accepted or cancelled. If the message is lost, the planner
+// learns of the change from its watch of the ledger.
 func (e *Entry) notifyPlanner(ctx context.Context, domain, id string) {
 	name, _ := e.plannerOf(domain)
 	if name == e.Name() {
--- a/entry/links.go
+++ b/entry/links.go
@@ -12,7 +12,8 @@
 	"plantainwinch/winch"
 )
 
-// First returns the first message on a new connection to a peer: which slots of the peer's executors this entry uses.
+// First returns the first message on a new connection to a peer. It lists the slots granted by the peer that this entry
+// uses.
 func (e *Entry) First(peer string) (winch.Kind, any) {
 	return proto.KindHeldSlots, proto.HeldSlots{Held: e.grants.grantsOf(peer), Complete: true}
 }
@@ -78,9 +79,9 @@
 	case proto.KindHeartbeat:
 		return decodeAndHandle(decode, func(b proto.Heartbeat) any { e.members.Receive(from, b); return nil })
 	case proto.KindConfig:
-		return decodeAndHandle(decode, func(a proto.ConfigRequest) any { return e.configResponse(a) })
+		return decodeAndHandle(decode, func(r proto.ConfigRequest) any { return e.configResponse(r) })
 	case proto.KindSlot:
-		return decodeAndHandle(decode, func(a proto.SlotRequest) any { return e.slotResponse(ctx, from, a) })
+		return decodeAndHandle(decode, func(r proto.SlotRequest) any { return e.slotResponse(ctx, from, r) })
 	case proto.KindSlotRelease:
 		return decodeAndHandle(decode, func(d proto.SlotRelease) any { _ = e.table.Return(d); return nil })
 	case proto.KindHeldSlots:
@@ -90,14 +91,14 @@
 	case proto.KindJobHint:
 		return decodeAndHandle(decode, func(h proto.JobHint) any { e.handleJobHint(ctx, h.ID); return nil })
 	case proto.KindJobStatus:
-		return decodeAndHandle(decode, func(a proto.JobStatusRequest) any { return e.office.Status(ctx, a.ID) })
+		return decodeAndHandle(decode, func(r proto.JobStatusRequest) any { return e.office.Status(ctx, r.ID) })
 	default:
 		metrics.GetOrRegisterCounter("Peer.UnknownKind", e.Metrics).Inc(1)
 		return nil
 	}
 }
 
-// decodeAndHandle decodes a message and passes it to f. A message that cannot be decoded is dropped: a peer of the same
+// decodeAndHandle decodes a message and passes it to f. It drops a message that cannot be decoded: a peer of the same
 // version sends none.
 func decodeAndHandle[T any](decode func(any) error, f func(T) any) any {
 	var msg T
@@ -125,7 +126,7 @@
 	return proto.ConfigResponse{Document: data}
 }
 
-// slotResponse grants a slot of an executor whose home this entry is, or refuses.
+// slotResponse grants a slot of an executor whose home is this entry, or refuses the request.
 func (e *Entry) slotResponse(ctx context.Context, from string, request proto.SlotRequest) proto.SlotResponse {
 	if e.draining.Load() {
 		return proto.SlotResponse{Refused: winch.RefuseFor(winch.Stopping, "the executor's home entry is stopping", time.Second)}
--- a/entry/alive.go
+++ b/entry/membership.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// memberPrefix is the key prefix under which the live entries have a record in the store.
+	// memberPrefix is the prefix of the store keys of the member records. Each live entry has one.
 	memberPrefix = "Member/"
 	// memberLease is the lease on an entry's member record.
 	memberLease = 10 * time.Second
@@ -27,13 +27,13 @@
 	memberRetryDelay = 500 * time.Millisecond
 	// reclaimInterval is the interval at which the planner looks for units of holders that have ended.
 	reclaimInterval = 10 * time.Second
-	// clockMargin allows for clocks that run at different rates.
+	// clockDriftMargin is added to waiting times because clocks run at different rates.
 	clockMargin = 2 * time.Second
 	// storeTimeout bounds one operation on the store.
 	storeTimeout = 2 * time.Second
 )
 
-// contactTime records the time of the last contact.
+// contactTime records the time of the last contact, for example with the store.
 type contactTime struct {
 	last atomic.Pointer[time.Time] // last is when the request of the last contact was sent; nil if there was none.
 }
@@ -109,8 +109,8 @@
 	return lease, nil
 }
 
-// runBalance passes the demand of other entries to both holders of units, the entry's own and the office's. On the
-// planner it also returns the units of ended holders to the pool.
+// runBalance passes the demand of other entries to both holders of units, the entry's own and the office's, and updates
+// keysCurrent. On the planner it also returns the units of ended holders to the pool.
 func (e *Entry) runBalance(ctx context.Context) {
 	missing := make(map[string]time.Time)
 	last := time.Now()
@@ -153,8 +153,8 @@
 	return out
 }
 
-// reclaim returns units to the pool: those of entries whose member record has been missing for the time that they may
-// use their units without the store plus the longest run time of work started with them.
+// reclaim returns the units of ended entries to the pool. Those are entries whose member record has been missing for
+// longer than they may use units without the store, plus the longest run time of work started with these units.
 func (e *Entry) reclaim(ctx context.Context, missing map[string]time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
@@ -181,8 +181,8 @@
 	return quota.Reclaim(ctx, e.Store, ended)
 }
 
-// endedHolders returns the holders whose units can be reclaimed. It keeps in missing since when the member record of a
-// holder has been missing.
+// endedHolders returns the holders whose units can be reclaimed. It maintains missing, which holds the time at which a
+// holder's member record was first found missing.
 func (e *Entry) endedHolders(u quota.Units, live map[string]string, missing map[string]time.Time) []string {
 	var ended []string
 	for holder := range u.Holders() {
@@ -196,11 +196,11 @@
 			missing[holder] = time.Now()
 			continue
 		}
-		term := e.Settings.Timing.UnitTerm
+		unitTerm := e.Settings.Timing.UnitTerm
 		if _, replaced := live[name]; replaced || e.removedFromList(name) {
-			term = 0 // The process is guaranteed to have ended, so only its work at executors may still be running.
+			unitTerm = 0 // The process is guaranteed to have ended, so only its work at executors may still be running.
 		}
-		if time.Since(since) > term+u.Longest[holder]+clockMargin {
+		if time.Since(since) > unitTerm+u.Longest[holder]+clockMargin {
 			ended = append(ended, holder)
 			delete(missing, holder)
 		}
--- a/entry/oper.go
+++ b/entry/operator.go
@@ -13,8 +13,8 @@
 )
 
 // changeTimeout bounds a change of the configuration. If the response to the write is lost, the store is read to find
-// out whether the write took effect. If the store stays unreachable, the operator gets the result that the change may
-// have been written, instead of waiting forever.
+// out whether the write took effect. If the store stays unreachable until the timeout, the operator gets the result that
+// the change may have been written, instead of waiting forever.
 const changeTimeout = 20 * time.Second
 
 // Applied is the response to a change of the configuration.
@@ -30,7 +30,7 @@
 // confirmTimeout bounds how long a change waits until all entries have confirmed it.
 const confirmTimeout = 5 * time.Second
 
-// confirmPollInterval is the interval at which their confirmations are checked.
+// confirmPollInterval is the interval at which the confirmations are checked.
 const confirmPollInterval = 20 * time.Millisecond
 
 // Actor is who makes a change.
@@ -71,12 +71,12 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	doc, err := e.editor.Edit(ctx, actor.Name, base, change)
-	var lost *config.ConflictError
+	var conflict *config.ConflictError
 	switch {
 	case errors.Is(err, swap.ErrUnchanged):
 		return Applied{Version: e.config.Version(), Unchanged: true, InForce: true}, winch.Result{}
-	case errors.As(err, &lost):
-		return Applied{}, winch.Refuse(winch.VersionConflict, lost.Error())
+	case errors.As(err, &conflict):
+		return Applied{}, winch.Refuse(winch.VersionConflict, conflict.Error())
 	case errors.Is(err, config.ErrInvalid):
 		return Applied{}, winch.Refuse(winch.BadRequest, err.Error())
 	case errors.Is(err, winch.ErrUncertain):
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -23,8 +23,8 @@
 	return a, b
 }
 
-// Guards against an entry that serves only the work that came in through itself: calls and jobs must be served through
-// either entry of a domain.
+// Guards against calls or jobs that only one entry of a domain can serve, for example because the executors' home or the
+// planner is another entry: they must be served through each entry.
 func TestCallsAndJobsAreServedThroughEachEntry(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
--- a/entry/slot.go
+++ b/entry/slot.go
@@ -14,8 +14,8 @@
 	"plantainwinch/winch"
 )
 
-// maxHomes bounds how many homes one call asks for a slot. The home of an executor is the entry that hands out its
-// slots. Another home is asked only if the one before is guaranteed to have granted no slot.
+// maxHomes bounds from how many homes one call requests a slot. The home of an executor is the entry that grants its
+// slots. Another home is tried only if the one before is guaranteed to have granted no slot.
 const maxHomes = 3
 
 // maxHomeRetries and homeRetryDelay bound how long a call waits while no executor of its service has a home, for
@@ -26,7 +26,7 @@
 )
 
 // acquireSlot acquires a slot for a call. It retries only while the platform lists executors of the service but none of
-// them has a home that hands out slots.
+// them has a home that grants slots.
 func (e *Entry) acquireSlot(ctx context.Context, p *pendingCall) (*grant, winch.Result) {
 	for retries := 0; ; retries++ {
 		g, r := e.tryHomes(ctx, p)
@@ -47,7 +47,7 @@
 	})
 }
 
-// tryHomes requests a slot from one home of the service's executors after the other; none is more than one hop away.
+// tryHomes requests a slot from the homes of the service's executors, one after the other. Each is at most one hop away.
 func (e *Entry) tryHomes(ctx context.Context, p *pendingCall) (*grant, winch.Result) {
 	skip := make(map[string]bool)
 	last := winch.RefuseFor(winch.NoExecutor, "no live entry has an executor of the service", time.Second)
@@ -69,7 +69,7 @@
 	return nil, last
 }
 
-// pickHome returns the home to ask next, or an empty string if there is none.
+// pickHome returns the home to try next, or an empty string if there is none.
 func (e *Entry) pickHome(service string, skip map[string]bool) string {
 	rnd, release := e.lockRandom()
 	defer release()
@@ -128,8 +128,8 @@
 }
 
 // returnSlot returns a slot to the home that granted it and to the executor's present home. While an executor changes
-// its home, the old one may already have handed the grant over, and the new one would keep the slot in use for the
-// maximum run time.
+// its home, the old one may already have handed the grant over; without the second message, the new one would keep the
+// slot in use for the maximum run time.
 func (e *Entry) returnSlot(g *grant, done proto.SlotRelease) {
 	home := e.grants.remove(g.id)
 	if home == "" {
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -62,8 +62,9 @@
 // errWatchRestarted says that the watch was cancelled because this entry acquired the office.
 var errWatchRestarted = errors.New("watch restarted: this entry acquired the office")
 
-// watchOnce waits for changes. It returns early when this entry acquires the office, because the watch does not cover
-// the jobs yet: a job accepted by an entry that ends before it notifies the planner would not be found.
+// watchOnce waits for changes. It returns early with errWatchRestarted when this entry acquires the office, because the
+// watch does not cover the jobs yet: a job accepted by an entry that ends before it notifies the planner would not be
+// found.
 func (e *Entry) watchOnce(ctx context.Context, prefixes []string, after uint64) (changes []winch.Change, next uint64, err error) {
 	restarted := duty.RunUntil(ctx, e.restartWatch, func(ctx context.Context) {
 		changes, next, err = e.Store.Watch(ctx, prefixes, after)
@@ -74,7 +75,7 @@
 	return changes, next, err
 }
 
-// dispatch passes changes in the store to the parts that they concern.
+// dispatch passes changes in the store to the parts of the entry that they concern.
 func (e *Entry) dispatch(ctx context.Context, changes []winch.Change) {
 	for _, c := range changes {
 		switch {
