--- a/cell/cell.go
+++ b/cell/cell.go
@@ -86,11 +86,11 @@
 }
 
 // readyTimeout bounds how long the entries may take to connect to each other and to elect
-// the placers.
+// the planners.
 const readyTimeout = 15 * time.Second
 
 // Start starts the stand-ins and the entries. It returns once all entries are connected to
-// each other and every failure domain has a placer.
+// each other and every failure domain has a planner.
 func (c *Cell) Start() error {
 	if c.Log == nil {
 		c.Log = zap.NewNop()
@@ -204,12 +204,12 @@
 }
 
 func (c *Cell) startEntries() error {
-	specs, err := c.buildSettings()
+	settings, err := c.buildSettings()
 	if err != nil {
 		return err
 	}
-	c.entrySettings = specs
-	for i := range specs {
+	c.entrySettings = settings
+	for i := range settings {
 		c.Servers = append(c.Servers, nil)
 		c.cancels = append(c.cancels, nil)
 		c.awaitStopped = append(c.awaitStopped, nil)
@@ -245,7 +245,7 @@
 }
 
 // waitReady waits until all entries are connected to each other and every failure domain has
-// a placer.
+// a planner.
 func (c *Cell) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
@@ -254,7 +254,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return merry.New("cell is not ready in time: entries are not connected to each other, or a failure domain has no placer")
+	return merry.New("cell is not ready in time: entries are not connected to each other, or a failure domain has no planner")
 }
 
 func (c *Cell) ready() bool {
--- a/cell/rolling_test.go
+++ b/cell/rolling_test.go
@@ -54,9 +54,9 @@
 }
 
 // All entry VMs are replaced one after the other while callers send requests. No call may be
-// interrupted or get the response of another one, and none that runs at most once may run
-// twice. An entry that stops before its requests are done, or whose calls are repeated
-// elsewhere, would break that.
+// interrupted or get the response to another one, and no invoice may run twice. An entry that
+// stops before its calls are done would interrupt them; an entry that repeats calls of a
+// stopped one would run invoices twice.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	c := &Cell{Size: Size{
@@ -98,6 +98,7 @@
 	r.check(c)
 }
 
+// callRecorder makes calls and records their outcomes.
 type callRecorder struct {
 	t          *testing.T
 	key        string
--- a/cell/setup.go
+++ b/cell/setup.go
@@ -92,7 +92,7 @@
 	return keys, nil
 }
 
-// Withdraw withdraws a key and waits until all entries reject it.
+// Withdraw withdraws a key and waits until all entries reject it or the time to confirm has passed.
 func (c *Cell) Withdraw(ctx context.Context, key string) winch.Result {
 	id, _, _ := strings.Cut(key, ".")
 	operator := entry.Actor{Name: "operator", Role: winch.KeyOperator}
