--- a/coord/office/planner.go
+++ b/coord/office/planner.go
@@ -91,7 +91,7 @@
 	return err == nil
 }
 
-// load reads the domain's unfinished jobs from the ledger if they have not been read yet or
+// loadJobs reads the domain's unfinished jobs from the ledger if they have not been read yet or
 // are stale. A change that is reported during the read marks them stale again, since the
 // read may not include it.
 func (s *session) load(ctx context.Context) {
@@ -194,8 +194,8 @@
 	return s.term.leaseValid(time.Now())
 }
 
-// step applies the VM list, records completions, plans, and has the decisions carried out.
-// It runs in Duty.
+// planRound runs one planning round: it applies the VM list, records completions, plans, and
+// has the decisions carried out. It runs in Duty.
 func (s *session) step(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
--- a/coord/place/index.go
+++ b/coord/place/index.go
@@ -19,7 +19,7 @@
 	// foreign holds tasks that the worker runs but that this planner did not adopt,
 	// until they have been stopped.
 	foreign map[winch.Attempt]winch.Task
-	// reconciled is set once the worker has answered under the current epoch.
+	// reconciled is set once the worker has listed its tasks under the current epoch.
 	reconciled bool
 	// quarantinedUntil is the time until which the worker gets no work, after several
 	// jobs failed on it.
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -18,7 +18,7 @@
 	"plantainwinch/winch"
 )
 
-// fleet is a set of holders that share a simulated store.
+// holderGroup is a set of holders that share a simulated store.
 type fleet struct {
 	platform *stand.Platform
 	holders  []*Holder
--- a/entry/call.go
+++ b/entry/call.go
@@ -277,8 +277,8 @@
 	return reply
 }
 
-// answerUnsent answers a request that an earlier attempt has recorded, or that could not be recorded. In the
-// second case this attempt sends nothing; if its record was written nevertheless, it is marked as not run.
+// answerUnsent answers a request that is not sent, because an earlier attempt has recorded it or because it could not
+// be recorded. In the second case, if the record may have been written nevertheless, it is marked as not run.
 func (p *pendingCall) answerUnsent(ctx context.Context, old, rec winch.CallRecord, err error) *Reply {
 	switch {
 	case errors.Is(err, ledger.ErrDuplicate):
@@ -396,8 +396,8 @@
 	}
 }
 
-// uncertainResult returns the result of a request that may still be running. A repeatable one may be sent again only
-// once it is guaranteed to have ended; before that, it could run at two executors at once.
+// uncertainResult returns the result of a request that may still be running. The caller may send a repeatable one again
+// only once it is guaranteed to have ended; before that, it could run at two executors at once.
 func (p *pendingCall) uncertainResult(reason winch.Reason, detail string) winch.Result {
 	r := winch.Uncertain(reason, detail)
 	if p.caller.class.Repeatable {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -41,18 +41,18 @@
 	// Seed makes random choices reproducible in tests; if it is zero, a random seed is used.
 	Seed uint64
 
-	incarnation string
+	incarnation string // incarnation distinguishes this process from earlier ones of the same entry.
 	config      config.Latest
 	editor      config.Editor
 	members     *member.Tracker
-	table       *slots.Table
-	units       *quota.Holder
-	jobs        *ledger.Ledger
-	calls       *ledger.Ledger
+	table       *slots.Table   // table grants the slots of the executors whose home is this entry.
+	units       *quota.Holder  // units holds this entry's units of the teams' limits, which its calls use.
+	jobs        *ledger.Ledger // jobs holds the records of all jobs.
+	calls       *ledger.Ledger // calls holds the records of the non-repeatable calls.
 	office      *office.Office
 	planner     *place.Planner
 	budgets     retry.Budgets
-	grants      grantTable
+	grants      grantTable // grants holds the slots that this entry uses, whatever their home.
 	// storeContact records when this entry last reached the store, keysCurrent when it would last have learned of
 	// a withdrawn key.
 	storeContact, keysCurrent contactTime
--- a/entry/job_test.go
+++ b/entry/job_test.go
@@ -366,8 +366,8 @@
 	})
 }
 
-// Guards against a worker that takes a new start of a task for an earlier one: it still holds the result of the task
-// under an earlier planner when the new planner starts the task there for the first time.
+// Guards against a task that never runs again because its worker mistakes a new start for an earlier one: the worker
+// still holds the result of the task under an earlier planner when the new planner starts the task there.
 func TestNewPlannerStartsTheTaskAtTheSameWorker(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
--- a/entry/status.go
+++ b/entry/status.go
@@ -90,15 +90,15 @@
 	return out
 }
 
-// teamRows returns an empty row for each team of the configuration.
+// teamStatuses returns a status for each team of the configuration, without its usage.
 func (e *Entry) teamRows() map[string]*TeamStatus {
-	rows := make(map[string]*TeamStatus)
+	out := make(map[string]*TeamStatus)
 	if doc := e.config.Get(); doc != nil {
 		for name, t := range doc.Teams {
-			rows[name] = &TeamStatus{Name: name, Limit: t.Limit, Share: t.Share}
+			out[name] = &TeamStatus{Name: name, Limit: t.Limit, Share: t.Share}
 		}
 	}
-	return rows
+	return out
 }
 
 func memberStatus(name string, b proto.Heartbeat) MemberStatus {
