--- a/coord/fleet/account.go
+++ b/coord/fleet/account.go
@@ -20,7 +20,7 @@
 	Waited map[Reason]time.Duration
 	// FailedStarts counts the starts that a worker refused or did not respond to, Failed the runs
 	// that failed.
-	Unanswered, Failed int
+	FailedStarts, Failed int
 	// Crashes lists the worker crashes for which the job was failed.
 	Crashes []winch.Crash
 	// Excess is set if the job exceeded its team's share.
@@ -95,7 +95,7 @@
 	out := JobSummary{
 		Job: j.rec.ID, Queue: j.rec.Queue, Team: j.rec.Team, State: j.state, Accepted: begin,
 		Took: now.Sub(begin), Objective: j.allowedTime(j.observedCriticalPath()),
-		Waited: make(map[Reason]time.Duration), Unanswered: j.unanswered, Crashes: j.crashes, Excess: j.excess,
+		Waited: make(map[Reason]time.Duration), FailedStarts: j.failedStarts, Crashes: j.crashes, Excess: j.excess,
 	}
 	for _, s := range j.phases {
 		s.accountWait(now, 0)
--- a/coord/fleet/advise.go
+++ b/coord/fleet/advise.go
@@ -47,7 +47,7 @@
 var unlimitedQuota = RequestQuota{math.MaxInt, math.MaxInt}
 
 // forPhase returns the quota that a phase's requests count against.
-func (q *RequestQuota) forStep(s *phase) *int {
+func (q *RequestQuota) forPhase(s *phase) *int {
 	if s.job.inUrgentQueue() {
 		return &q.Urgent
 	}
@@ -61,10 +61,10 @@
 	if !p.needsAdvice(s, now, moving) {
 		return
 	}
-	if left := *p.Openings.forStep(s); left > p.starvingQuota(s) || moving > 0 && left > 0 {
-		p.sendRequest(s, now, r, moving)
+	if left := *p.Quota.forPhase(s); left > p.starvingQuota(s) || moving > 0 && left > 0 {
+		p.enqueueRequest(s, now, r, moving)
 	} else if now.Sub(later(s.readySince, s.advice.requested)) > starvationThreshold {
-		p.starving = append(p.starving, waitingStep{s, r})
+		p.starving = append(p.starving, waitingPhase{s, r})
 	}
 }
 
@@ -79,21 +79,21 @@
 
 // starvingQuota returns how much of the quota is reserved for starving phases.
 func (p *Planner) starvingQuota(s *phase) int {
-	if *p.initialOpenings.forStep(s) == math.MaxInt {
+	if *p.initialQuota.forPhase(s) == math.MaxInt {
 		return 0
 	}
-	return *p.initialOpenings.forStep(s) / starvingDivisor
+	return *p.initialQuota.forPhase(s) / starvingDivisor
 }
 
 // requestForStarving enqueues requests about starving phases, the longest waiting first. With few
 // lanes, ordering by rank alone would never reach those that rank last.
 func (p *Planner) requestForStarving(now time.Time) {
-	slices.SortFunc(p.starving, func(a, b waitingStep) int {
-		return cmp.Or(later(a.step.readySince, a.step.advice.requested).Compare(later(b.step.readySince, b.step.advice.requested)), compareWaitingSteps(a, b))
+	slices.SortFunc(p.starving, func(a, b waitingPhase) int {
+		return cmp.Or(later(a.phase.readySince, a.phase.advice.requested).Compare(later(b.phase.readySince, b.phase.advice.requested)), compareWaitingPhases(a, b))
 	})
 	for _, e := range p.starving {
-		if *p.Openings.forStep(e.step) > 0 {
-			p.sendRequest(e.step, now, e.rank, 0)
+		if *p.Quota.forPhase(e.phase) > 0 {
+			p.enqueueRequest(e.phase, now, e.rank, 0)
 		}
 	}
 	clear(p.starving)
@@ -102,7 +102,7 @@
 
 // enqueueRequest enqueues a request about a phase, unless the workers with free capacity and valid
 // tickets suffice.
-func (p *Planner) sendRequest(s *phase, now time.Time, r rank, moving int) {
+func (p *Planner) enqueueRequest(s *phase, now time.Time, r rank, moving int) {
 	cost := s.job.queue.Advice
 	wanted := s.waiting + moving
 	covered := p.ticketedTasks(s, now)
@@ -113,7 +113,7 @@
 	if len(ids) == 0 {
 		return
 	}
-	*p.Openings.forStep(s)--
+	*p.Quota.forPhase(s)--
 	s.advice.pending, s.advice.requested = true, now
 	p.counts.AdviceRequests++
 	p.adviceRequests = append(p.adviceRequests, AdviceRequest{
@@ -204,8 +204,8 @@
 
 // markByAdvice marks the workers that the advice service is known to allow or to deny.
 func (p *Planner) markByAdvice(s *phase, now time.Time) {
-	p.marks++
-	mark := func(w *worker, value int) { w.mark, w.markedAs = p.marks, value }
+	p.markRound++
+	mark := func(w *worker, value int) { w.markedRound, w.markedAs = p.markRound, value }
 	for _, w := range s.advice.denied {
 		mark(w, markDenied)
 	}
@@ -230,7 +230,7 @@
 	out := topK[candidate]{limit: maxRequestWorkers, before: betterCandidate}
 	for _, w := range workers {
 		mark := 0
-		if w.mark == p.marks {
+		if w.markedRound == p.markRound {
 			mark = w.markedAs
 		}
 		if mark == markDenied || mark == markTicketed || !p.suits(s, w, now) {
@@ -299,8 +299,8 @@
 		if w == nil {
 			continue
 		}
-		if w.mark != p.marks || w.markedAs == markDenied {
-			w.mark, w.markedAs = p.marks, markNamed
+		if w.markedRound != p.markRound || w.markedAs == markDenied {
+			w.markedRound, w.markedAs = p.markRound, markNamed
 			named = append(named, w)
 		}
 	}
@@ -310,7 +310,7 @@
 		if w == nil {
 			continue
 		}
-		if w.mark == p.marks && w.markedAs == markNamed {
+		if w.markedRound == p.markRound && w.markedAs == markNamed {
 			allowed++
 			w.markedAs = markAllowed
 		}
--- a/coord/fleet/ahead.go
+++ b/coord/fleet/ahead.go
@@ -14,9 +14,9 @@
 		return
 	}
 	for _, next := range s.next {
-		if !next.ahead && next.advice.requested.IsZero() {
-			next.ahead = true
-			s.job.planner.ahead = append(s.job.planner.ahead, next)
+		if !next.anticipated && next.advice.requested.IsZero() {
+			next.anticipated = true
+			s.job.planner.anticipated = append(s.job.planner.anticipated, next)
 		}
 	}
 }
@@ -25,10 +25,10 @@
 // of the quota, so that their tickets arrive before the preceding phases end and are still valid
 // then.
 func (p *Planner) requestAhead(now time.Time) {
-	kept := p.ahead[:0]
-	for _, s := range p.ahead {
+	kept := p.anticipated[:0]
+	for _, s := range p.anticipated {
 		if s.enqueued || s.dependenciesDone() || s.job.cancelled || s.job.state.Final() || !s.advice.requested.IsZero() {
-			s.ahead = false
+			s.anticipated = false
 			continue
 		}
 		kept = append(kept, s)
@@ -36,12 +36,12 @@
 		if !soon || left > time.Duration(aheadFraction*float64(s.job.queue.Advice.Valid)) {
 			continue
 		}
-		if p.needsAdvice(s, now, 0) && *p.Openings.forStep(s) > p.starvingQuota(s) {
-			p.sendRequest(s, now, p.rank(s, now), 0)
+		if p.needsAdvice(s, now, 0) && *p.Quota.forPhase(s) > p.starvingQuota(s) {
+			p.enqueueRequest(s, now, p.rank(s, now), 0)
 		}
 	}
-	clear(p.ahead[len(kept):])
-	p.ahead = kept
+	clear(p.anticipated[len(kept):])
+	p.anticipated = kept
 }
 
 // startsIn returns how long the preceding phases are expected to take from now, and whether that is
--- a/coord/fleet/ahead_test.go
+++ b/coord/fleet/ahead_test.go
@@ -24,11 +24,11 @@
 			second.After = []int{0}
 			c.add("a", "preview", "choir", tasks(2, 1000), second)
 			c.planner.Schedule()
-			answerPhase(c, 0)
+			respondForPhase(c, 0)
 			first := c.schedule()
 			is.Equal(len(first), 2)
 			c.schedule()
-			answerPhase(c, 1)
+			respondForPhase(c, 1)
 			time.Sleep(time.Second)
 			for _, o := range first {
 				c.endRun(o, winch.CompletionDone)
@@ -39,7 +39,7 @@
 }
 
 // respondForPhase allows all workers named in the requests about a phase.
-func answerPhase(c *simRegion, phase int) {
+func respondForPhase(c *simRegion, phase int) {
 	for _, a := range c.planner.AdviceRequests() {
 		if a.Phase.Phase != phase {
 			continue
@@ -65,7 +65,7 @@
 		second.After = []int{0}
 		c.add("a", "preview", "choir", long, second)
 		c.planner.Schedule()
-		answerPhase(c, 0)
+		respondForPhase(c, 0)
 		c.schedule()
 		time.Sleep(8 * time.Second)
 		c.schedule()
--- a/coord/fleet/bench_test.go
+++ b/coord/fleet/bench_test.go
@@ -20,7 +20,7 @@
 					for range 20 {
 						p.Schedule()
 						p.Orders()
-						answerAll(p)
+						respondToAll(p)
 					}
 					b.ResetTimer()
 					for b.Loop() {
@@ -35,7 +35,7 @@
 }
 
 // respondToAll allows every fourth worker named in the pending requests.
-func answerAll(p *Planner) {
+func respondToAll(p *Planner) {
 	for _, a := range p.AdviceRequests() {
 		var tickets []winch.Ticket
 		for i, id := range a.Workers {
@@ -50,7 +50,7 @@
 // waitingPlanner returns a planner with full workers and waiting tasks.
 func waitingPlanner(workers, waiting int, advised bool) *Planner {
 	p := New(1)
-	queues := []winch.Queue{urgentQueue(), usualQueue()}
+	queues := []winch.Queue{urgentQueue(), normalQueue()}
 	if advised {
 		for i := range queues {
 			queues[i].Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: time.Hour}
@@ -71,7 +71,7 @@
 	for range 40 {
 		p.Schedule()
 		p.Orders()
-		answerAll(p)
+		respondToAll(p)
 	}
 	const width = 20
 	for i := range waiting / width {
--- a/coord/fleet/bound_test.go
+++ b/coord/fleet/bound_test.go
@@ -21,8 +21,8 @@
 			time.Sleep(10 * time.Millisecond)
 			p.Schedule()
 			// The last phase may examine all workers of its pool once for each of four reasons.
-			is.True(p.examined <= maxLooks+4*1100)
-			answerAll(p)
+			is.True(p.examined <= maxExamined+4*1100)
+			respondToAll(p)
 		}
 	})
 }
@@ -48,8 +48,8 @@
 			time.Sleep(10 * time.Millisecond)
 			p.Schedule()
 			for _, e := range p.ready {
-				if e.step.accountedAt.Equal(p.now()) {
-					tried[e.step] = true
+				if e.phase.accountedAt.Equal(p.now()) {
+					tried[e.phase] = true
 				}
 			}
 		}
@@ -62,7 +62,7 @@
 func TestPhaseThatWaitsLongGetsAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		queue := usualQueue()
+		queue := normalQueue()
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: time.Millisecond, Valid: 50 * time.Millisecond}
 		c := newSimRegion(t, 20, queue)
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
@@ -73,7 +73,7 @@
 		c.planner.jobs["late"].excess = true
 		requested := false
 		for range 100 {
-			c.planner.Openings = RequestQuota{Urgent: 8, Normal: 8}
+			c.planner.Quota = RequestQuota{Urgent: 8, Normal: 8}
 			c.planner.Schedule()
 			for _, a := range c.planner.AdviceRequests() {
 				requested = requested || a.Phase.Job == "late"
--- a/coord/fleet/crash_test.go
+++ b/coord/fleet/crash_test.go
@@ -112,7 +112,7 @@
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newSimRegion(t, 6, urgentQueue(), usualQueue())
+				c := newSimRegion(t, 6, urgentQueue(), normalQueue())
 				c.fillWithLasting(24)
 				c.add("bad", "preview", "choir", tasks(1, 1000))
 				is.Equal(c.crashUntilFailed("bad", after), 2)
@@ -132,7 +132,7 @@
 func TestCrashesLongAfterTheStartAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
 		crashes := 0
 		for ; c.state("bad") != winch.JobFailed && crashes < 10; crashes++ {
@@ -166,7 +166,7 @@
 func TestProbeThatSurvivesIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 2, urgentQueue(), normalQueue())
 		c.add("good", "mix", "choir", tasks(1, 1000))
 		first := c.settle()[0]
 		time.Sleep(200 * time.Millisecond)
@@ -194,7 +194,7 @@
 func TestSimultaneousCrashesGiveNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 12, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 12, urgentQueue(), normalQueue())
 		c.add("a", "mix", "choir", tasks(48, 1000))
 		is.Equal(len(c.settle()), 48)
 		for range 2 {
@@ -231,7 +231,7 @@
 func TestOneProbeGivesUpJobWhoseTasksAllCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 12, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 12, urgentQueue(), normalQueue())
 		c.add("bad", "preview", "choir", tasks(6, 9000)) // each on a worker of its own
 		starts := c.settle()
 		is.Equal(len(starts), 6)
@@ -258,7 +258,7 @@
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 8, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 8, urgentQueue(), normalQueue())
 		c.fillWithLasting(16)
 		phase := tasks(2, 9000)
 		phase.Gang = true
@@ -287,7 +287,7 @@
 func TestCrashDetectedAfterLeaseExpiryCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 6, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 6, urgentQueue(), normalQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
 		crashes := 0
 		for ; crashes < 10; crashes++ {
@@ -311,7 +311,7 @@
 func TestLeaseExpiryAndDrainAreNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.add("a", "preview", "choir", tasks(1, 1000))
 		first := c.settle()[0]
 		c.stopResponding(first.Worker)
@@ -332,7 +332,7 @@
 func TestSuspectStartsOnlyOnceRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
 		first := c.settle()[0]
 		time.Sleep(5 * time.Millisecond)
@@ -360,7 +360,7 @@
 func TestSuccessorKnowsProbeOfLostPlanner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.add("bad", "preview", "choir", tasks(1, 1000))
 		starts := c.settle()
 		time.Sleep(5 * time.Millisecond)
@@ -368,7 +368,7 @@
 		c.schedule()
 		progress := c.planner.Records(10)[0].Progress
 		for term := uint64(2); term < 5; term++ {
-			next := newSimRegion(t, 4, urgentQueue(), usualQueue())
+			next := newSimRegion(t, 4, urgentQueue(), normalQueue())
 			next.planner.Term = term
 			next.planner.Add(c.planner.jobs["bad"].rec, &progress, 10)
 			next.schedule()
@@ -392,7 +392,7 @@
 func TestProbesOfATeamAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 16, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 16, urgentQueue(), normalQueue())
 		for i := range 8 {
 			c.add(fmt.Sprint("bad", i), "preview", "choir", tasks(1, 9000))
 		}
@@ -418,7 +418,7 @@
 func TestStalledProbeIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 3, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 3, urgentQueue(), normalQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		first := c.settle()[0]
 		time.Sleep(2500 * time.Millisecond)
@@ -440,7 +440,7 @@
 func TestLastingTasksDoNotWaitForOtherProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 2, urgentQueue(), normalQueue())
 		c.add("a", "mix", "duct", lastingPhase(6, 10))
 		for _, x := range c.planner.jobs["a"].phases[0].tasks {
 			for run := range uint64(minWeakCrashes) {
--- a/coord/fleet/events.go
+++ b/coord/fleet/events.go
@@ -161,7 +161,7 @@
 		r.task.phase.advice.expireTicket(w)
 	case winch.StartNoCapacity, winch.StartRefused, winch.StartUncertain:
 		w.health.quarantine(p.now(), refusedQuarantine)
-		r.task.phase.job.unanswered++
+		r.task.phase.job.failedStarts++
 	}
 }
 
--- a/coord/fleet/fleet.go
+++ b/coord/fleet/fleet.go
@@ -46,17 +46,17 @@
 	// Policy selects the scheduling mechanisms in use; New sets DefaultPolicy.
 	Policy Policy
 	// Quota limits the advice requests of the next Schedule; New sets no limit.
-	Openings RequestQuota
+	Quota RequestQuota
 
 	jobs map[string]*job
 	// active holds the jobs that have not ended; most jobs in memory have ended.
 	active map[string]*job
 	// ready holds the phases that may have waiting tasks, in the order of the last Schedule.
-	ready []waitingStep
+	ready []waitingPhase
 	// anticipated holds the phases for which advice may be requested before their dependencies are
 	// done.
-	ahead   []*phase
-	workers map[string]*worker
+	anticipated []*phase
+	workers     map[string]*worker
 	// byID lists the workers by ID; it is out of date while unsorted is set.
 	byID     []*worker
 	unsorted bool
@@ -66,7 +66,7 @@
 	// their runs.
 	roster map[string]bool
 	// assignedRuns counts the run numbers that this planner has assigned.
-	runs uint64
+	assignedRuns uint64
 	// pools holds the capacity and the urgent demand of the workers of each service.
 	pools map[string]*pool
 	// reservedWorkers lists the workers with capacity that the last Schedule reserved for phases
@@ -74,15 +74,15 @@
 	reservedWorkers []*worker
 	// plannedPhases counts the phases for which the last Schedule planned slots, searchedPhases
 	// those for which it computed the slots again, and examined the workers that it examined.
-	planned, searched, examined int
+	plannedPhases, searchedPhases, examined int
 	// resumeAt is the phase at which the last Schedule stopped if it did not finish.
-	resume *phase
+	resumeAt *phase
 	// markRound counts the calls of markByAdvice. Marks of earlier rounds are void.
-	marks uint64
+	markRound uint64
 	// initialQuota is Quota at the start of the last Schedule; starving lists the phases that have
 	// waited long without an advice request.
-	initialOpenings RequestQuota
-	starving        []waitingStep
+	initialQuota RequestQuota
+	starving     []waitingPhase
 	// pendingWorkers holds the workers with completions that have not been forgotten yet.
 	pendingWorkers map[*worker]bool
 	// probes holds the workers on which nothing may be started beside a probe; lostBoots holds the
@@ -117,7 +117,7 @@
 	return &Planner{
 		Term: term, Policy: DefaultPolicy(), Clock: time.Now, jobs: make(map[string]*job), active: make(map[string]*job), workers: make(map[string]*worker),
 		queues: make(map[string]*queue), teams: make(map[string]*team), roster: make(map[string]bool),
-		pendingWorkers: make(map[*worker]bool), probes: make(map[*worker]*suspicion), pools: make(map[string]*pool), Openings: unlimitedQuota,
+		pendingWorkers: make(map[*worker]bool), probes: make(map[*worker]*suspicion), pools: make(map[string]*pool), Quota: unlimitedQuota,
 	}
 }
 
--- a/coord/fleet/fleet_test.go
+++ b/coord/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 	return winch.Queue{Name: "preview", Service: "render", Attempts: 2, Target: 250 * time.Millisecond, Stretch: 1.5}
 }
 
-func usualQueue() winch.Queue {
+func normalQueue() winch.Queue {
 	return winch.Queue{Name: "mix", Service: "render", Priority: 2, Attempts: 3, Target: 1200 * time.Millisecond, Stretch: 2.2}
 }
 
@@ -161,7 +161,7 @@
 func TestLongWorkLeavesCapacityForUrgentWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.planner.teams["choir"].Cap = winch.Capacity{Milli: 10000}
 		c.add("a", "preview", "choir", tasks(4, 1000))
 		for _, o := range c.schedule() {
@@ -181,7 +181,7 @@
 func TestUrgentReserveDecays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.planner.teams["choir"].Cap = winch.Capacity{Milli: 10000}
 		c.add("a", "preview", "choir", tasks(8, 1000))
 		for _, o := range c.schedule() {
@@ -211,15 +211,15 @@
 	for _, gang := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := newSimRegion(t, 3, usualQueue())
+			c := newSimRegion(t, 3, normalQueue())
 			phase := tasks(9, 4000)
 			phase.Gang = gang
 			c.add("a", "mix", "choir", phase)
 			is.Equal(len(c.schedule()), 9)
 
-			next := newSimRegion(t, 3, usualQueue())
+			next := newSimRegion(t, 3, normalQueue())
 			next.planner = New(2)
-			next.planner.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{usualQueue()}})
+			next.planner.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{normalQueue()}})
 			next.planner.SetRoster([]string{"w0", "w1", "w2"})
 			next.planner.Barrier = time.Now().Add(8 * time.Second)
 			next.planner.SetWorkers(c.planner.WorkersToHold())
@@ -243,7 +243,7 @@
 func TestUnresponsiveWorkerDelaysEarlierJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		c.planner.SetRoster([]string{"gone"})
 		c.planner.Barrier = time.Now().Add(8 * time.Second)
 		c.planner.AdoptedRevision = 7
@@ -264,7 +264,7 @@
 func TestRemovedWorkerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, usualQueue())
+		c := newSimRegion(t, 2, normalQueue())
 		list := c.planner.WorkersToHold()
 		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: list[0].ID})
 		is.True(c.planner.Empty(list[0].ID))
@@ -279,7 +279,7 @@
 func TestReplacedBootIsNotHeldAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		list := c.planner.WorkersToHold()
 		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventLost, Worker: "w0", Result: winch.StartOtherBoot})
 		is.Equal(len(c.planner.WorkersToHold()), 0)
@@ -298,7 +298,7 @@
 func TestUnrecordedCompletionIsNotForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, usualQueue())
+		c := newSimRegion(t, 2, normalQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		start := c.schedule()[0]
 		c.endRun(start, winch.CompletionDone)
@@ -307,7 +307,7 @@
 		is.Equal(known, []winch.Running{{Task: start.Task, Run: start.Run}})
 
 		next := New(2)
-		next.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{usualQueue()}})
+		next.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{normalQueue()}})
 		next.SetRoster([]string{"w0", "w1"})
 		next.Barrier = time.Now().Add(8 * time.Second)
 		next.AdoptedRevision = 100
@@ -364,7 +364,7 @@
 func TestPeakOfOneTeamDoesNotIdleTheRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, urgentQueue(), usualQueue())
+		c := newSimRegion(t, 4, urgentQueue(), normalQueue())
 		c.planner.teams["choir"].Cap = winch.Capacity{Milli: 8000}
 		c.add("a", "preview", "choir", tasks(300, 1000))
 		is.Equal(len(c.schedule()), 8)
@@ -421,8 +421,8 @@
 func TestWorkBeyondTheShareRunsLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, urgentQueue(), usualQueue())
-		c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{urgentQueue(), usualQueue()}, Teams: []winch.RegionTeam{{Name: "choir", Weight: 2}, {Name: "duct", Weight: 2}}})
+		c := newSimRegion(t, 1, urgentQueue(), normalQueue())
+		c.planner.SetConfig(&winch.RegionConfig{Version: 2, Queues: []winch.Queue{urgentQueue(), normalQueue()}, Teams: []winch.RegionTeam{{Name: "choir", Weight: 2}, {Name: "duct", Weight: 2}}})
 		for i := range 20 {
 			c.add(fmt.Sprintf("hot%02d", i), "preview", "choir", tasks(1, 8000))
 		}
@@ -447,7 +447,7 @@
 func TestSharesAreCountedInOrderOfAcceptance(t *testing.T) {
 	is := is.New(t)
 	p := New(1)
-	p.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{usualQueue()}, Teams: []winch.RegionTeam{{Name: "choir", Weight: 1}}})
+	p.SetConfig(&winch.RegionConfig{Queues: []winch.Queue{normalQueue()}, Teams: []winch.RegionTeam{{Name: "choir", Weight: 1}}})
 	at := time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 	job := func(id string, after time.Duration) StoredJob {
 		return StoredJob{Job: &winch.PhasedJob{ID: id, Queue: "mix", Team: "choir", Phases: []winch.Phase{tasks(1, 1000)}, Accepted: at.Add(after)}}
@@ -464,7 +464,7 @@
 func TestForgetOrderIsRepeatedForNextKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		start := c.schedule()[0]
 		c.endRun(start, winch.CompletionDone)
--- a/coord/fleet/job.go
+++ b/coord/fleet/job.go
@@ -38,13 +38,13 @@
 	failed       map[string][]uint64 // failed lists the failed runs by failureKey.
 	// suspects holds the tasks whose workers crashed, by failureKey; crashes lists the crashes for
 	// which the job was failed.
-	suspects   map[string]*suspicion
-	cleared    int // cleared counts the suspects that were shown not to crash their workers.
-	crashes    []winch.Crash
-	unanswered int  // failedStarts counts the starts that a worker refused or did not respond to.
-	awaited    bool // awaited is set while a caller, or the start of a task, waits for the record.
-	dirty      bool // dirty is set if the record must be written.
-	retained   bool // retained is set if the job has ended and the store still holds it.
+	suspects     map[string]*suspicion
+	cleared      int // cleared counts the suspects that were shown not to crash their workers.
+	crashes      []winch.Crash
+	failedStarts int  // failedStarts counts the starts that a worker refused or did not respond to.
+	awaited      bool // awaited is set while a caller, or the start of a task, waits for the record.
+	dirty        bool // dirty is set if the record must be written.
+	retained     bool // retained is set if the job has ended and the store still holds it.
 	// completionWorkers holds the workers with completions that wait for the job's record.
 	completionWorkers []*worker
 }
@@ -63,9 +63,9 @@
 	due time.Time
 	// enqueued is set if the phase is in the planner's ready list, readySince is when it became
 	// ready.
-	enqueued   bool
-	readySince time.Time
-	ahead      bool // anticipated is set if advice may be requested before the dependencies are done.
+	enqueued    bool
+	readySince  time.Time
+	anticipated bool // anticipated is set if advice may be requested before the dependencies are done.
 	// waiting counts the tasks that neither run nor are done, done those that are done, and live
 	// those that run.
 	waiting int
@@ -189,7 +189,7 @@
 func (p *Planner) enqueueIfReady(s *phase) {
 	if !s.enqueued && s.waiting > 0 && s.job.queue != nil && s.dependenciesDone() {
 		s.enqueued, s.readySince = true, time.Time{}
-		p.ready = append(p.ready, waitingStep{step: s})
+		p.ready = append(p.ready, waitingPhase{phase: s})
 	}
 }
 
--- a/coord/fleet/pick.go
+++ b/coord/fleet/pick.go
@@ -11,7 +11,7 @@
 // Schedule.
 type picker struct {
 	planner *Planner
-	step    *phase
+	phase   *phase
 	charge  winch.Capacity
 	// choices is a heap by score of the workers with free capacity for a task.
 	choices []choice
@@ -68,7 +68,7 @@
 }
 
 func (p *Planner) newPicker(s *phase, now time.Time) *picker {
-	k := &picker{planner: p, step: s, charge: s.spec.Charge()}
+	k := &picker{planner: p, phase: s, charge: s.spec.Charge()}
 	if p.knownMiss(s) {
 		return k
 	}
@@ -151,15 +151,15 @@
 	c.free = c.free.Sub(k.charge)
 	c.maxTasks--
 	if k.charge.Fits(c.free) && c.maxTasks > 0 {
-		c.score = k.planner.score(k.step, c.w, c.free)
+		c.score = k.planner.score(k.phase, c.w, c.free)
 		k.siftDown(i)
 		k.siftUp(i)
 	} else {
 		k.remove(i)
 	}
-	if k.step.spec.SameRack {
+	if k.phase.spec.SameRack {
 		for i := range k.choices {
-			k.choices[i].score = k.planner.score(k.step, k.choices[i].w, k.choices[i].free)
+			k.choices[i].score = k.planner.score(k.phase, k.choices[i].w, k.choices[i].free)
 		}
 		k.heapify()
 	}
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -18,8 +18,8 @@
 )
 
 func (p *Planner) nextRunNumber() uint64 {
-	p.runs++
-	return p.Term*runsPerTerm + p.runs
+	p.assignedRuns++
+	return p.Term*runsPerTerm + p.assignedRuns
 }
 
 // rank orders waiting phases; the lowest goes first.
@@ -36,7 +36,7 @@
 	rankNormal
 	rankExcess    // rankExcess is work beyond its team's share.
 	rankAbandoned // rankAbandoned is work so late that its caller no longer waits for it; it still runs.
-	rankHeld      // rankDeferred is work that must not start yet.
+	rankDeferred  // rankDeferred is work that must not start yet.
 )
 
 // A phase counts as able to meet its objective if its remaining chain of estimates, multiplied by
@@ -95,14 +95,14 @@
 // decision takes a few milliseconds however many phases wait. The next Schedule resumes where the
 // last one stopped: one resumeDivisor-th of the limit is reserved for the phases from there on.
 const (
-	maxLooks      = 100_000
+	maxExamined   = 100_000
 	resumeDivisor = 8
 )
 
 // waitingPhase is a phase that may have tasks to start, with its rank as of the last Schedule.
-type waitingStep struct {
-	step *phase
-	rank rank
+type waitingPhase struct {
+	phase *phase
+	rank  rank
 }
 
 // Schedule starts all tasks that can start. It is called after events, at most every few
@@ -111,7 +111,7 @@
 	now := p.now()
 	adopting := p.Adopting()
 	p.clearReservations()
-	p.planned, p.searched, p.examined, p.initialOpenings = 0, 0, 0, p.Openings
+	p.plannedPhases, p.searchedPhases, p.examined, p.initialQuota = 0, 0, 0, p.Quota
 	p.endLongProbes(now)
 	p.measure(now, adopting)
 	p.startReady(now)
@@ -128,30 +128,30 @@
 // startReady starts tasks of the ready phases in order of rank. For those that cannot start yet it
 // requests advice and reserves capacity.
 func (p *Planner) startReady(now time.Time) {
-	resume := p.resume
-	p.resume = nil
-	limit := maxLooks - maxLooks/resumeDivisor
+	resume := p.resumeAt
+	p.resumeAt = nil
+	limit := maxExamined - maxExamined/resumeDivisor
 	for _, e := range p.ready {
-		if e.rank.class == rankHeld {
+		if e.rank.class == rankDeferred {
 			break
 		}
-		if e.step == resume {
-			limit, resume = maxLooks, nil
+		if e.phase == resume {
+			limit, resume = maxExamined, nil
 		}
 		if p.examined >= limit {
 			if resume == nil {
-				p.resume = e.step
+				p.resumeAt = e.phase
 				break
 			}
-			if p.resume == nil {
-				p.resume = e.step
+			if p.resumeAt == nil {
+				p.resumeAt = e.phase
 			}
 			continue // Skip to the phase at which the last Schedule stopped.
 		}
-		p.placeStep(e.step, now)
-		p.reserve(e.step, now, e.rank)
-		p.requestAdvice(e.step, now, e.rank, 0)
-		e.step.accountWait(now, p.waitReason(e.step))
+		p.placePhase(e.phase, now)
+		p.reserve(e.phase, now, e.rank)
+		p.requestAdvice(e.phase, now, e.rank, 0)
+		e.phase.accountWait(now, p.waitReason(e.phase))
 	}
 }
 
@@ -160,10 +160,10 @@
 func (p *Planner) sortReady(now time.Time, adopting bool) {
 	kept := p.ready[:0]
 	for _, e := range p.ready {
-		s := e.step
+		s := e.phase
 		if !s.ready() {
 			if s.waiting > 0 && s.dependenciesDone() && !s.job.cancelled && !s.job.state.Final() {
-				e.rank = rank{class: rankHeld} // It is not due yet.
+				e.rank = rank{class: rankDeferred} // It is not due yet.
 				kept = append(kept, e)
 				continue
 			}
@@ -176,7 +176,7 @@
 		p.countWaiting(s)
 		if reason := p.deferReason(s.job, adopting); reason != 0 {
 			s.accountWait(now, reason)
-			e.rank = rank{class: rankHeld}
+			e.rank = rank{class: rankDeferred}
 		} else {
 			e.rank = p.rank(s, now)
 		}
@@ -184,20 +184,20 @@
 	}
 	clear(p.ready[len(kept):])
 	p.ready = kept
-	slices.SortFunc(p.ready, compareWaitingSteps)
+	slices.SortFunc(p.ready, compareWaitingPhases)
 }
 
-func compareWaitingSteps(a, b waitingStep) int {
+func compareWaitingPhases(a, b waitingPhase) int {
 	if a.rank.class != b.rank.class {
 		return cmp.Compare(a.rank.class, b.rank.class)
 	}
 	if a.rank.key != b.rank.key {
 		return cmp.Compare(a.rank.key, b.rank.key)
 	}
-	return cmp.Or(cmp.Compare(a.step.job.rec.ID, b.step.job.rec.ID), cmp.Compare(a.step.index, b.step.index), cmp.Compare(a.step.repetition, b.step.repetition))
+	return cmp.Or(cmp.Compare(a.phase.job.rec.ID, b.phase.job.rec.ID), cmp.Compare(a.phase.index, b.phase.index), cmp.Compare(a.phase.repetition, b.phase.repetition))
 }
 
-func (p *Planner) placeStep(s *phase, now time.Time) {
+func (p *Planner) placePhase(s *phase, now time.Time) {
 	if s.spec.Gang {
 		p.placeGang(s, now)
 		return
@@ -306,7 +306,7 @@
 func (p *Planner) score(s *phase, w *worker, capacity winch.Capacity) float64 {
 	free := float64(capacity.Milli)
 	if s.spec.Fills {
-		free -= float64(w.fillMilli)
+		free -= float64(w.backfillMilli)
 	}
 	score := free / float64(max(1, w.vm.Room.Milli))
 	if p.Policy.PackAccelerators && s.spec.Need.Accelerators > 0 {
@@ -318,7 +318,7 @@
 	if s.spec.SameRack && s.usesOtherRack(w.vm.Rack) {
 		score -= remotePenalty
 	}
-	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.fillMilli > 0 {
+	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.backfillMilli > 0 {
 		score -= interferencePenalty
 	}
 	return score
--- a/coord/fleet/policy_test.go
+++ b/coord/fleet/policy_test.go
@@ -13,7 +13,7 @@
 )
 
 // acceleratorRegion returns a region of identical workers with eight accelerators each.
-func acceleratorCell(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
+func acceleratorRegion(t *testing.T, workers int, queues ...winch.Queue) *simRegion {
 	c := newSimRegion(t, workers, queues...)
 	for _, w := range c.planner.workers {
 		w.vm.Room = winch.Capacity{Milli: 128_000, Memory: 256 * gigabyte, Accelerators: 8}
@@ -58,7 +58,7 @@
 	for _, lastCall := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			queue := usualQueue() // Objective: 1.2 s plus 2.2 times the work of 1 s.
+			queue := normalQueue() // Objective: 1.2 s plus 2.2 times the work of 1 s.
 			c := newSimRegion(t, 1, queue)
 			c.planner.Policy.LastCall = lastCall
 			c.planner.Policy.UrgentRoom = false
@@ -84,7 +84,7 @@
 	for _, pack := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := acceleratorCell(t, 4, usualQueue())
+			c := acceleratorRegion(t, 4, normalQueue())
 			c.planner.Policy.PackAccelerators = pack
 			c.add("a", "mix", "choir", acceleratorPhase(9, 1, 2*time.Second))
 			is.Equal(len(c.schedule()), 9)
@@ -102,7 +102,7 @@
 	for _, reserve := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := acceleratorCell(t, 2, usualQueue())
+			c := acceleratorRegion(t, 2, normalQueue())
 			c.planner.Policy.Reserve = reserve
 			n := 0
 			begin := time.Now()
@@ -127,7 +127,7 @@
 func TestShortTasksUseReservedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := acceleratorCell(t, 1, usualQueue())
+		c := acceleratorRegion(t, 1, normalQueue())
 		c.add("a", "mix", "choir", acceleratorPhase(4, 1, 10*time.Second))
 		is.Equal(len(c.schedule()), 4)
 		gang := acceleratorPhase(1, 8, time.Second)
@@ -148,8 +148,8 @@
 	for _, all := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			queue := usualQueue()
-			c := acceleratorCell(t, 13, queue)
+			queue := normalQueue()
+			c := acceleratorRegion(t, 13, queue)
 			c.planner.Policy.AskAll = all
 			c.add("a", "mix", "choir", acceleratorPhase(11, 8, 4*time.Second))
 			is.Equal(len(c.schedule()), 11)
@@ -169,7 +169,7 @@
 func TestExpensiveRequestNamesFewWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		queue := usualQueue()
+		queue := normalQueue()
 		queue.Advice = &winch.AdviceCost{Call: 20 * time.Millisecond, Worker: 10 * time.Millisecond, Valid: 2 * time.Second}
 		c := newSimRegion(t, 40, queue)
 		c.add("a", "mix", "choir", tasks(1, 1000))
@@ -186,8 +186,8 @@
 func TestTicketIsRenewedBeforeCapacityIsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		queue := usualQueue()
-		c := acceleratorCell(t, 4, queue)
+		queue := normalQueue()
+		c := acceleratorRegion(t, 4, queue)
 		c.add("a", "mix", "choir", acceleratorPhase(4, 8, 5*time.Second))
 		is.Equal(len(c.schedule()), 4)
 		queue.Advice = &winch.AdviceCost{Call: 400 * time.Millisecond, Worker: time.Millisecond, Valid: 2 * time.Second}
@@ -232,7 +232,7 @@
 func TestCompletionRecordsWaitingTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		c.add("a", "mix", "choir", tasks(1, 16000))
 		c.add("b", "mix", "choir", tasks(1, 16000))
 		c.runUntil(5*time.Second, func(time.Duration) {}, func() bool { return c.state("b") == winch.JobDone })
--- a/coord/fleet/reserve.go
+++ b/coord/fleet/reserve.go
@@ -16,8 +16,8 @@
 	slotsTTL = 20 * time.Millisecond
 	// maxPlannedPhases bounds the phases for which one Schedule plans slots, maxSearchedPhases those
 	// whose slots it computes again.
-	maxPlannedSteps  = 64
-	maxSearchedSteps = 6
+	maxPlannedPhases  = 64
+	maxSearchedPhases = 6
 	// expectedStopTime is how long a run that is being stopped is expected to hold its capacity.
 	expectedStopTime = 300 * time.Millisecond
 	// minRemainingTime is the minimum time that a run is expected to take from now.
@@ -41,11 +41,11 @@
 // the phase would wait for as long as small tasks keep arriving. Tasks that end before the phase is
 // expected to start may still use the capacity.
 func (p *Planner) reserve(s *phase, now time.Time, r rank) {
-	if !p.Policy.Reserve || p.planned >= maxPlannedSteps || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.nextStartNeed()) || !p.sparesUrgent(s) {
+	if !p.Policy.Reserve || p.plannedPhases >= maxPlannedPhases || s.waiting == 0 || r.class >= rankExcess || !s.job.team.allows(s.nextStartNeed()) || !p.sparesUrgent(s) {
 		s.slots = nil
 		return
 	}
-	p.planned++
+	p.plannedPhases++
 	p.findSlots(s, now)
 	if len(s.slots) > 0 && (s.spec.Gang || s.large(s.slots[0].w)) {
 		p.reserveSlots(s, now)
@@ -61,8 +61,8 @@
 	if now.Sub(s.slotsFoundAt) < slotsTTL && len(s.slots) == wants {
 		return
 	}
-	if p.searched < maxSearchedSteps {
-		p.searched++
+	if p.searchedPhases < maxSearchedPhases {
+		p.searchedPhases++
 		s.slotsFoundAt, s.slots = now, p.earliestSlots(s, now, wants)
 	}
 	if s.spec.Gang && len(s.slots) < wants {
@@ -163,10 +163,10 @@
 // times, the earliest first. The list is computed again when the worker's runs have changed or
 // after slotsTTL.
 func (w *worker) expectedReleases(now time.Time) []expectedRelease {
-	if w.expectedOf == w.changes && now.Sub(w.expectedAt) < slotsTTL {
-		return w.expectedEnds
+	if w.cachedReleasesChanges == w.changes && now.Sub(w.cachedReleasesAt) < slotsTTL {
+		return w.cachedReleases
 	}
-	out := w.expectedEnds[:0]
+	out := w.cachedReleases[:0]
 	for _, r := range w.runs {
 		if at, ok := r.expectedCompletion(now); ok {
 			out = append(out, expectedRelease{at, r.charge})
@@ -175,7 +175,7 @@
 	slices.SortFunc(out, func(a, b expectedRelease) int {
 		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.capacity.Milli, b.capacity.Milli), cmp.Compare(a.capacity.Accelerators, b.capacity.Accelerators))
 	})
-	w.expectedEnds, w.expectedOf, w.expectedAt = out, w.changes, now
+	w.cachedReleases, w.cachedReleasesChanges, w.cachedReleasesAt = out, w.changes, now
 	return out
 }
 
--- a/coord/fleet/slow_test.go
+++ b/coord/fleet/slow_test.go
@@ -47,7 +47,7 @@
 	for _, on := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			c := newSimRegion(t, 4, usualQueue())
+			c := newSimRegion(t, 4, normalQueue())
 			c.planner.Policy.Restart = on
 			stuck := startOnTwo(c, 4*time.Second)
 			starts := c.reportProgress(3*time.Second, func(worker string) float64 {
@@ -68,7 +68,7 @@
 func TestTaskOfSlowWorkerIsRestartedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, usualQueue())
+		c := newSimRegion(t, 4, normalQueue())
 		slow := startOnTwo(c, 10*time.Second)
 		starts := c.reportProgress(3*time.Second, func(worker string) float64 {
 			if worker == slow {
@@ -88,7 +88,7 @@
 func TestTasksLongerThanTheirEstimateAreNotRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 4, usualQueue())
+		c := newSimRegion(t, 4, normalQueue())
 		startOnTwo(c, time.Second)
 		is.Equal(len(c.reportProgress(6*time.Second, func(string) float64 { return 10 })), 0)
 	})
@@ -98,7 +98,7 @@
 func TestRestartsOfStuckTaskAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 8, usualQueue())
+		c := newSimRegion(t, 8, normalQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		c.schedule()
 		is.True(len(c.reportProgress(40*time.Second, func(string) float64 { return 0 })) <= maxRestarts)
@@ -109,7 +109,7 @@
 func TestSlowTaskStaysWithoutCapacityElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		c.add("a", "mix", "choir", tasks(1, 1000))
 		c.schedule()
 		is.Equal(len(c.reportProgress(5*time.Second, func(string) float64 { return 0 })), 0)
--- a/coord/fleet/throttle.go
+++ b/coord/fleet/throttle.go
@@ -45,18 +45,18 @@
 	switch {
 	case maxLoad >= 1:
 		p.setThrottle(w, 0, now)
-		w.raiseAfter = now.Add(2 * releaseInterval)
+		w.releaseAfter = now.Add(2 * releaseInterval)
 	case maxLoad >= throttleThreshold:
 		p.setThrottle(w, max(0, w.throttlePercent()-40), now)
-		w.raiseAfter = now.Add(releaseInterval)
-	case maxLoad < releaseThreshold && now.After(w.raiseAfter):
+		w.releaseAfter = now.Add(releaseInterval)
+	case maxLoad < releaseThreshold && now.After(w.releaseAfter):
 		percent := w.throttlePercent()
 		if w.hasUnknownThrottle() {
 			percent = min(percent, throttleAssumed)
 		}
 		if percent < 100 {
 			p.setThrottle(w, min(100, percent+releaseStep), now)
-			w.raiseAfter = now.Add(releaseInterval)
+			w.releaseAfter = now.Add(releaseInterval)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 func (w *worker) throttlePercent() int {
 	percent := 100
 	for _, r := range w.runs {
-		if r.isFilling() && r.throttle != throttleUnknown {
+		if r.isBackfill() && r.throttle != throttleUnknown {
 			percent = min(percent, r.throttle)
 		}
 	}
@@ -76,20 +76,20 @@
 // hasUnknownThrottle reports whether the throttle percentage of a backfill run is unknown.
 func (w *worker) hasUnknownThrottle() bool {
 	for _, r := range w.runs {
-		if r.isFilling() && r.throttle == throttleUnknown {
+		if r.isBackfill() && r.throttle == throttleUnknown {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *run) isFilling() bool {
+func (r *run) isBackfill() bool {
 	return r.task != nil && r.task.phase.spec.Fills && r.started && !r.stopping
 }
 
 func (p *Planner) setThrottle(w *worker, percent int, now time.Time) {
 	for _, r := range w.runs {
-		if !r.isFilling() || r.throttle == percent || now.Sub(r.throttledAt) < releaseInterval/4 {
+		if !r.isBackfill() || r.throttle == percent || now.Sub(r.throttledAt) < releaseInterval/4 {
 			continue
 		}
 		r.throttle, r.throttledAt = percent, now
--- a/coord/fleet/waits.go
+++ b/coord/fleet/waits.go
@@ -115,7 +115,7 @@
 	Until      time.Time
 	// Revision is the job's revision, AdoptedRevision that of the Planner. A job with a higher
 	// revision does not wait for the workers of earlier planners.
-	Revision, Fresh uint64
+	Revision, AdoptedRevision uint64
 	// AdviceRequested is when the last request went to the advice service.
 	AdviceRequested time.Time
 	// Used and Limit are the team's use and limit; UsedAtUnresponsive is the part of Used at
@@ -196,7 +196,7 @@
 		}
 		for _, s := range j.phases {
 			if s.spec.Lasting && s.isDue() {
-				out = append(out, p.stepWaitingTasks(s, now, minWait)...)
+				out = append(out, p.waitingTasksOf(s, now, minWait)...)
 			}
 		}
 	}
@@ -209,7 +209,7 @@
 
 // waitingTasksOf returns the waiting tasks of a phase. A reason that applies to all of them is
 // computed once.
-func (p *Planner) stepWaitingTasks(s *phase, now time.Time, minWait time.Duration) []WaitingTask {
+func (p *Planner) waitingTasksOf(s *phase, now time.Time, minWait time.Duration) []WaitingTask {
 	var out []WaitingTask
 	var common *WaitingTask
 	for _, t := range s.tasks {
@@ -286,7 +286,7 @@
 // explainAdopting returns the wait for the runs of earlier planners. It names one of the workers
 // that have not reported their runs.
 func (p *Planner) explainAdopting(j *job) WaitingTask {
-	w := WaitingTask{Reason: WaitAdopting, Unreported: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, Fresh: p.AdoptedRevision}
+	w := WaitingTask{Reason: WaitAdopting, Unreported: len(p.roster), Until: p.Barrier, Revision: j.rec.Revision, AdoptedRevision: p.AdoptedRevision}
 	for id := range p.roster {
 		if w.Contact.Worker == "" || id < w.Contact.Worker {
 			w.Contact = WorkerContact{Worker: id}
--- a/coord/fleet/waits_test.go
+++ b/coord/fleet/waits_test.go
@@ -33,7 +33,7 @@
 func TestTaskAtUnresponsiveWorkerWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, usualQueue())
+		c := newSimRegion(t, 2, normalQueue())
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		start := c.schedule()[0]
 		time.Sleep(10 * time.Second)
@@ -65,7 +65,7 @@
 func TestTaskAtWorkerThatRespondsAgainDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		start := c.schedule()[0]
 		c.planner.HandleEvent(proto.KeeperEvent{Kind: proto.EventUnresponsive, Worker: start.Worker})
@@ -86,7 +86,7 @@
 func TestUnresponsiveWorkersAreDistinguishedByCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, usualQueue())
+		c := newSimRegion(t, 2, normalQueue())
 		phase := servicePhase(2, 1000)
 		phase.MostPerVM = 1
 		c.add("a", "mix", "choir", phase)
@@ -112,7 +112,7 @@
 func TestRunKnownOnlyToEarlierPlannerCountsAsWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 0, usualQueue())
+		c := newSimRegion(t, 0, normalQueue())
 		c.planner.SetRoster([]string{"w0"})
 		c.planner.SetWorkers([]winch.WorkerVM{{ID: "w0", Service: "render", Born: 1, Room: winch.Capacity{Milli: 1000, Memory: gigabyte}}})
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
@@ -136,7 +136,7 @@
 func TestUnconfirmedStartWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
 		c.planner.Schedule()
 		ordered := time.Now()
@@ -150,7 +150,7 @@
 // For each cause that prevents the start of a lasting task, the reason reported must be that
 // cause, and WaitingTasks must change nothing.
 func TestWaitReasons(t *testing.T) {
-	advised := usualQueue()
+	advised := normalQueue()
 	advised.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
 	for _, x := range []struct {
 		reason Reason
@@ -159,17 +159,17 @@
 		check  func(is *is.I, w WaitingTask)
 	}{
 		{WaitQueue, urgentQueue(), func(*simRegion) {}, nil},
-		{WaitAdopting, usualQueue(), func(c *simRegion) {
+		{WaitAdopting, normalQueue(), func(c *simRegion) {
 			c.planner.SetRoster([]string{"x", "b"})
 			c.planner.Barrier, c.planner.AdoptedRevision = time.Now().Add(8*time.Second), 9
 		}, func(is *is.I, w WaitingTask) {
 			is.Equal(w.Unreported, 2)
 			is.Equal(w.Contact.Worker, "b")
 			is.Equal(w.Revision, uint64(7))
-			is.Equal(w.Fresh, uint64(9))
+			is.Equal(w.AdoptedRevision, uint64(9))
 		}},
-		{WaitOffice, usualQueue(), func(c *simRegion) { c.planner.LeaseExpiry = time.Now().Add(-time.Second) }, nil},
-		{WaitLimit, usualQueue(), func(c *simRegion) {
+		{WaitOffice, normalQueue(), func(c *simRegion) { c.planner.LeaseExpiry = time.Now().Add(-time.Second) }, nil},
+		{WaitLimit, normalQueue(), func(c *simRegion) {
 			c.planner.team("choir").Cap = winch.Capacity{Milli: 1500}
 			c.add("first", "mix", "choir", tasks(1, 1000))
 			o := c.schedule()[0]
@@ -179,15 +179,15 @@
 			is.Equal(w.Limit.Milli, int64(1500))
 			is.Equal(w.UsedAtUnresponsive.Milli, int64(1000)) // The limit is reached because of runs that may have ended.
 		}},
-		{WaitWorker, usualQueue(), func(c *simRegion) {
+		{WaitWorker, normalQueue(), func(c *simRegion) {
 			c.planner.SetUnready([]string{"w0", "w1"})
 		}, func(is *is.I, w WaitingTask) { is.Equal(w.Offer, Offer{Workers: 2}) }},
-		{WaitQuarantine, usualQueue(), func(c *simRegion) {
+		{WaitQuarantine, normalQueue(), func(c *simRegion) {
 			for _, w := range c.planner.workers {
 				w.health.quarantine(time.Now(), 10*time.Second)
 			}
 		}, func(is *is.I, w WaitingTask) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Resting: 2}) }},
-		{WaitCapacity, usualQueue(), func(c *simRegion) {
+		{WaitCapacity, normalQueue(), func(c *simRegion) {
 			c.add("first", "mix", "duct", tasks(2, 16000))
 			c.schedule()
 		}, func(is *is.I, w WaitingTask) { is.Equal(w.Offer, Offer{Workers: 2, Usable: 2, Ticketed: 2}) }},
@@ -222,7 +222,7 @@
 func TestWaitReasonsForAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		queue := usualQueue()
+		queue := normalQueue()
 		queue.Advice = &winch.AdviceCost{Call: time.Millisecond, Valid: time.Second}
 		c := newSimRegion(t, 1, queue)
 		c.add("a", "mix", "choir", servicePhase(1, 1000))
@@ -255,7 +255,7 @@
 func TestGangWaitsForItsPreviousRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 2, usualQueue())
+		c := newSimRegion(t, 2, normalQueue())
 		phase := servicePhase(2, 1000)
 		phase.Gang, phase.MostPerVM = true, 1
 		c.add("a", "mix", "choir", phase)
@@ -280,7 +280,7 @@
 func TestOnlyReadyLastingTasksWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newSimRegion(t, 1, usualQueue())
+		c := newSimRegion(t, 1, normalQueue())
 		behind := servicePhase(1, 1000)
 		behind.After = []int{0}
 		c.add("a", "mix", "choir", tasks(1, 1000), behind)
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -75,26 +75,26 @@
 	// the worker was ordered to forget.
 	lastCompletion uint64
 	forgottenUpTo  uint64
-	fillMilli      int64 // backfillMilli is the sum of what backfill runs could use, in thousandths of a processor.
+	backfillMilli  int64 // backfillMilli is the sum of what backfill runs could use, in thousandths of a processor.
 	serving        int   // serving counts the runs with a latency target.
 	lasting        int   // lasting counts the runs of lasting tasks.
 	// reportsOften is set while the worker is ordered to report more often.
 	reportsOften bool
 	// probe is set while nothing else may be started beside a probe.
-	probe      *suspicion
-	health     health
-	raiseAfter time.Time // releaseAfter is when the throttle of backfill runs may next be released.
+	probe        *suspicion
+	health       health
+	releaseAfter time.Time // releaseAfter is when the throttle of backfill runs may next be released.
 	// reserved is the capacity that the last Schedule reserved for phases of higher rank.
 	reserved reservation
 	// changes counts the changes of the worker's runs. cachedReleases holds the expected releases
 	// computed at cachedReleasesAt, after cachedReleasesChanges changes.
-	changes, expectedOf uint64
-	expectedEnds        []expectedRelease
-	expectedAt          time.Time
-	index               int // index is the worker's position in the list of workers by ID.
+	changes, cachedReleasesChanges uint64
+	cachedReleases                 []expectedRelease
+	cachedReleasesAt               time.Time
+	index                          int // index is the worker's position in the list of workers by ID.
 	// markedRound is the markRound in which the worker was last marked, markedAs the mark.
-	mark     uint64
-	markedAs int
+	markedRound uint64
+	markedAs    int
 }
 
 // pendingCompletion is a completion that the worker may forget once the job's record includes the
@@ -318,7 +318,7 @@
 // updateReporting makes a worker report more often while backfill runs beside tasks with a latency
 // target, and while a probe runs.
 func (p *Planner) updateReporting(w *worker) {
-	often := w.serving > 0 && w.fillMilli > 0 || w.probe != nil
+	often := w.serving > 0 && w.backfillMilli > 0 || w.probe != nil
 	if often != w.reportsOften {
 		w.reportsOften = often
 		p.orders = append(p.orders, proto.Order{Kind: proto.OrderReportRate, Worker: w.vm.ID, Closely: often})
@@ -328,7 +328,7 @@
 // countRun updates the worker's totals for n runs of a phase that start or, if n is negative, end.
 func (w *worker) countRun(spec *winch.Phase, n int) {
 	if spec.Fills {
-		w.fillMilli += int64(n) * spec.Need.Milli
+		w.backfillMilli += int64(n) * spec.Need.Milli
 	}
 	if spec.Target > 0 {
 		w.serving += n
--- a/region/leadership.go
+++ b/region/leadership.go
@@ -301,7 +301,7 @@
 		l.yield(live)
 	}
 	if !l.closed && l.mayStart() {
-		l.planner.Openings = l.openings()
+		l.planner.Quota = l.openings()
 		begin := time.Now()
 		l.planner.Schedule()
 		l.decidedAt = time.Now()
--- a/region/stall.go
+++ b/region/stall.go
@@ -162,7 +162,7 @@
 	case fleet.WaitAdopting:
 		return []zap.Field{
 			zap.Int("unheard", w.Unreported), zap.Duration("until", w.Until.Sub(now)),
-			zap.Uint64("revision", w.Revision), zap.Uint64("fresh", w.Fresh),
+			zap.Uint64("revision", w.Revision), zap.Uint64("fresh", w.AdoptedRevision),
 		}
 	case fleet.WaitLimit:
 		return []zap.Field{zap.Any("used", w.Used), zap.Any("limit", w.Limit), zap.Any("doubtful", w.UsedAtUnresponsive)}
--- a/trial/region.go
+++ b/trial/region.go
@@ -203,7 +203,7 @@
 func (r *simRegion) decide() {
 	r.decisionPending = false
 	urgent, normal := r.lanes.Available(r.now)
-	r.planner.Openings = fleet.RequestQuota{Urgent: urgent, Normal: normal}
+	r.planner.Quota = fleet.RequestQuota{Urgent: urgent, Normal: normal}
 	before := r.planner.Counts().Examined
 	r.planner.Schedule()
 	r.decisionTime = time.Duration(r.planner.Counts().Examined-before) * r.pattern.ExamineTime
