--- a/region/accept.go
+++ b/region/accept.go
@@ -107,7 +107,7 @@
 		var conflict *winch.ConflictError
 		switch {
 		case err == nil:
-			a.accepted(batch, revision)
+			a.confirmAccepted(batch, revision)
 			return
 		case errors.As(err, &conflict):
 			remaining := a.answerStored(batch, conflict)
@@ -149,7 +149,7 @@
 }
 
 // confirmAccepted answers the stored submissions of a batch and notifies the planner of them.
-func (a *acceptor) accepted(batch []*submission, revision uint64) {
+func (a *acceptor) confirmAccepted(batch []*submission, revision uint64) {
 	var msg proto.AcceptedJobs
 	for _, s := range batch {
 		s.job.Revision = revision
@@ -164,7 +164,7 @@
 // Submit implements winch.Region. It returns when the job is stored, when storing it has failed or
 // its outcome is unknown, or when ctx ends.
 func (n *Node) Submit(ctx context.Context, job *winch.PhasedJob) winch.Result {
-	if !n.healthy() {
+	if !n.storeResponsive() {
 		return winch.RefuseFor(winch.StoreUnavailable, "the store does not answer", retryAfter)
 	}
 	job.Origin = n.Name
--- a/region/assign.go
+++ b/region/assign.go
@@ -11,7 +11,7 @@
 )
 
 // liveEntries returns the entries that can be keepers and use lanes at present.
-func (l *leadership) live() map[string]member {
+func (l *leadership) liveEntries() map[string]member {
 	connected := make(map[string]bool)
 	for _, name := range l.node.Peers.Names() {
 		connected[name] = true
@@ -29,7 +29,7 @@
 // come and go at once, and each computation goes over all workers.
 func (l *leadership) reassignSoon() {
 	l.reassignPending = true
-	l.wake()
+	l.decideSoon()
 }
 
 // reassign gives each worker a keeper: one of its own failure domain if there is one, so that a
@@ -39,7 +39,7 @@
 		return
 	}
 	l.reassignPending, l.reassignedAt = false, time.Now()
-	live := l.live()
+	live := l.liveEntries()
 	l.lanes.SetLanes(slices.Collect(maps.Keys(live)))
 	for name := range l.keeperBackoff {
 		delete(live, name)
@@ -56,7 +56,7 @@
 	l.activateKeepers(held, live)
 	l.askEarlierKeepers()
 	l.resumeResponsive()
-	l.wake()
+	l.decideSoon()
 }
 
 // askEarlierKeepers opens a session with each entry that kept workers for the earlier planner and
@@ -172,12 +172,12 @@
 		if _, ok := live[name]; !ok || recorded.Keeper != name || recorded.Generation != generation || recorded.VM.Born != vm.Born {
 			continue
 		}
-		if l.keepers[vm.ID] == name && l.kept[vm.ID].Generation == generation {
+		if l.keepers[vm.ID] == name && l.assignments[vm.ID].Generation == generation {
 			continue
 		}
 		if old := l.keepers[vm.ID]; old != "" {
 			changed[old] = true
-			l.expiries.endAssignment(vm.ID, old, l.kept[vm.ID].Token, l.authority())
+			l.expiries.endAssignment(vm.ID, old, l.assignments[vm.ID].Token, l.authority())
 			l.expiriesChanged = true
 			l.planner.SetUnready([]string{vm.ID})
 		}
--- a/region/cell.go
+++ b/region/cell.go
@@ -236,7 +236,7 @@
 
 func (n *Node) cellChanged() {
 	n.wakeOffice()
-	if l := n.lead.Load(); l != nil {
+	if l := n.leadership.Load(); l != nil {
 		l.post(l.reassignSoon)
 	}
 }
@@ -326,7 +326,7 @@
 		} else if lease != 0 && n.Table.RevokeLease(ctx, lease) == nil {
 			lease = 0
 		}
-		if now := n.healthy(); now != responsive {
+		if now := n.storeResponsive(); now != responsive {
 			responsive = now
 			n.Log.Info("store responsiveness changed", zap.Bool("answers", now))
 		}
@@ -341,7 +341,7 @@
 // renewWithTimeout renews the entry's record, with a short timeout while the store is
 // unresponsive.
 func (n *Node) renewWithTimeout(ctx context.Context, lease uint64) uint64 {
-	if !n.healthy() {
+	if !n.storeResponsive() {
 		shortCtx, cancel := context.WithTimeout(ctx, outageRenewTimeout)
 		defer cancel()
 		ctx = shortCtx
@@ -355,7 +355,7 @@
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
 	_, listed := n.cell.members[n.Host]
-	return n.cell.loaded && !listed && n.healthy()
+	return n.cell.loaded && !listed && n.storeResponsive()
 }
 
 // earlierBoots returns the earlier boots of this entry that its stored record belongs to or
--- a/region/expiry.go
+++ b/region/expiry.go
@@ -147,7 +147,7 @@
 // mirrorUpdate returns, for the standby, until when work may run at the unresponsive workers whose leases
 // nobody may renew at present. With withoutContact set, it includes the workers that have not responded to
 // their current keeper yet.
-func (s *leaseExpiries) updates(keepers map[string]string, withoutContact bool) []proto.MirrorLeaseExpiry {
+func (s *leaseExpiries) mirrorUpdate(keepers map[string]string, withoutContact bool) []proto.MirrorLeaseExpiry {
 	var out []proto.MirrorLeaseExpiry
 	for worker := range s.unresponsive {
 		expiry, fixed := s.fixed[worker]
@@ -173,10 +173,10 @@
 	for id, w := range l.previousRoster {
 		expiry := latest
 		if at, seen := l.node.cell.termSeen(l.boundOf(w)); seen {
-			expiry = earlier(expiry, at.Add(barrier()))
+			expiry = earlierTime(expiry, at.Add(barrier()))
 		}
 		if w.Left > 0 {
-			expiry = earlier(expiry, l.startedAt.Add(w.Left))
+			expiry = earlierTime(expiry, l.startedAt.Add(w.Left))
 		}
 		if l.copiedExpiries[id] == nil {
 			for _, k := range append([]earlierKeeper{{w.Keeper, w.Address, w.Generation}}, w.Earlier...) {
--- a/region/expiry_test.go
+++ b/region/expiry_test.go
@@ -13,7 +13,7 @@
 // workerKeptBy returns a worker with runs, and its keeper: the planner's own entry if own is set, and
 // otherwise an entry that is neither planner nor standby.
 func (w *world) workerKeptBy(p *simNode, own bool) (worker string, keeper *simNode) {
-	l := p.node.lead.Load()
+	l := p.node.leadership.Load()
 	_ = l.duty.Do(w.ctx, func() {
 		for id, name := range l.keepers {
 			isStandby := l.standby != nil && l.standby.name == name
@@ -146,9 +146,9 @@
 		time.Sleep(time.Second)
 		s.endAssignment("w", "d", 11, 7*time.Second) // It renewed nothing after that report.
 		is.Equal(s.remaining("w"), 4*time.Second)
-		is.Equal(len(s.updates(nil, false)), 1)
+		is.Equal(len(s.mirrorUpdate(nil, false)), 1)
 		s.markResponsive("w")
-		is.Equal(len(s.updates(nil, false)), 0)
+		is.Equal(len(s.mirrorUpdate(nil, false)), 0)
 	})
 }
 
@@ -163,11 +163,11 @@
 		expiries := []proto.MirrorLeaseExpiry{{Worker: "w", Left: 5 * time.Second}}
 		claimedExpiries := func(wait time.Duration, resend bool) int {
 			var m mirror
-			ack := m.answer(proto.Mirror{Term: 1, Session: 1, Full: true, LeaseExpiries: expiries})
+			ack := m.respond(proto.Mirror{Term: 1, Session: 1, Full: true, LeaseExpiries: expiries})
 			is.True(ack.OK)
 			time.Sleep(wait)
 			if resend {
-				is.True(m.answer(proto.Mirror{Term: 1, Session: 1, LeaseExpiries: expiries, Stamp: ack.Stamp}).OK)
+				is.True(m.respond(proto.Mirror{Term: 1, Session: 1, LeaseExpiries: expiries, Stamp: ack.Stamp}).OK)
 			}
 			out, complete := m.claim(2)
 			is.True(complete)
--- a/region/fault_test.go
+++ b/region/fault_test.go
@@ -128,7 +128,7 @@
 		w.setUnresponsive("w0", false)
 		time.Sleep(3 * time.Second)
 		var usable int
-		l := w.planner().node.lead.Load()
+		l := w.planner().node.leadership.Load()
 		is.NoErr(l.duty.Do(w.ctx, func() { usable = l.planner.Load().Usable }))
 		is.Equal(usable, 9) // The worker is given work again.
 		w.end()
@@ -323,7 +323,7 @@
 		is.True(successor.domain != p.domain)
 		var started int64
 		w.mu.Lock()
-		l := successor.node.lead.Load()
+		l := successor.node.leadership.Load()
 		w.mu.Unlock()
 		is.NoErr(l.duty.Do(w.ctx, func() { started = l.planner.Counts().Started }))
 		// Runs are started during the partition, long before the old leases are guaranteed to have expired.
@@ -416,7 +416,7 @@
 		settle()
 		ids := w.submitJobs(0, 12)
 		p := w.planner()
-		l := p.node.lead.Load()
+		l := p.node.leadership.Load()
 		w.setStoreUnavailable(true)
 		time.Sleep(2 * time.Second) // Longer than the lease on the office.
 		var before, after fleet.Counts
--- a/region/handover.go
+++ b/region/handover.go
@@ -78,7 +78,7 @@
 	for ctx.Err() == nil {
 		var pending, ready bool
 		if l.duty.Do(ctx, func() {
-			pending, ready = l.mirrorPending, l.covered()
+			pending, ready = l.mirrorPending, l.standbyReady()
 		}) != nil {
 			return false
 		}
@@ -91,7 +91,7 @@
 }
 
 // standbyReady reports whether the standby knows all runs that were started, and is named by the store.
-func (l *leadership) covered() bool {
+func (l *leadership) standbyReady() bool {
 	s := l.standby
 	return s != nil && s.synced && l.namedStandby == s.name && len(l.maybeNamed) == 0
 }
@@ -117,7 +117,7 @@
 func (l *leadership) yield(live map[string]member) {
 	largest := maxShare(maps.Values(live))
 	weak := time.Since(l.startedAt) >= weakYieldDelay && !strong(l.node.Share, largest)
-	ready := l.covered() && strong(live[l.standby.name].Share, largest)
+	ready := l.standbyReady() && strong(live[l.standby.name].Share, largest)
 	stuck := l.planner.Adopting() && time.Since(l.startedAt) > stuckYieldDelay
 	slow := ready && l.slow()
 	if !slow && !(weak && (ready || stuck)) {
--- a/region/jobs.go
+++ b/region/jobs.go
@@ -59,7 +59,7 @@
 	add := func(values []winch.Value) {
 		l.post(func() {
 			l.addJobs(values)
-			l.wake()
+			l.decideSoon()
 		})
 	}
 	l.node.watch(ctx, prefixJobs, watchOptions{delay: jobsPollInterval, after: l.jobsRevision}, add, func(events []winch.Event) {
@@ -92,7 +92,7 @@
 		case proto.CancelJob:
 			l.planner.Cancel(m.ID)
 		}
-		l.wake()
+		l.decideSoon()
 	})
 }
 
--- a/region/jobs_test.go
+++ b/region/jobs_test.go
@@ -28,7 +28,7 @@
 			if state.Final() {
 				break
 			}
-			l := w.planner().node.lead.Load()
+			l := w.planner().node.leadership.Load()
 			ended := false
 			_ = l.duty.Do(w.ctx, func() { ended = l.planner.HasUnsaved() || l.planner.Counts().Done+l.planner.Counts().Failed > 0 })
 			is.True(!ended) // A request after the end gets the final state.
--- a/region/lag.go
+++ b/region/lag.go
@@ -19,9 +19,9 @@
 // lag measures how much later than scheduled the planner decides, as a moving average. On a VM that
 // has become slow the lag grows although the office's lease is renewed in time.
 type lag struct {
-	due  time.Time // due is when the next decision is scheduled.
-	mean time.Duration
-	at   time.Time // updatedAt is when mean was last updated.
+	due       time.Time // due is when the next decision is scheduled.
+	mean      time.Duration
+	updatedAt time.Time // updatedAt is when mean was last updated.
 }
 
 // note records that a decision begins.
@@ -31,15 +31,15 @@
 	}
 	late := max(0, now.Sub(l.due))
 	weight := 0.0 // weight is the weight of the old mean.
-	if !l.at.IsZero() {
-		weight = math.Exp2(-(now.Sub(l.at) + time.Millisecond).Seconds() / lagHalfLife.Seconds())
+	if !l.updatedAt.IsZero() {
+		weight = math.Exp2(-(now.Sub(l.updatedAt) + time.Millisecond).Seconds() / lagHalfLife.Seconds())
 	}
 	l.mean = late + time.Duration(weight*float64(l.mean-late))
-	l.at = now
+	l.updatedAt = now
 }
 
 // slow reports whether the planner decides much later than scheduled, while its standby is ready and
 // responds in less time than that.
 func (l *leadership) slow() bool {
-	return l.lag.mean > maxLag && time.Since(l.startedAt) > lagYieldDelay && l.covered() && l.mirrorRoundTrip < l.lag.mean
+	return l.lag.mean > maxLag && time.Since(l.startedAt) > lagYieldDelay && l.standbyReady() && l.mirrorRoundTrip < l.lag.mean
 }
--- a/region/lag_test.go
+++ b/region/lag_test.go
@@ -20,7 +20,7 @@
 		w.startLasting("00000000000000a1", 12)
 		time.Sleep(5 * time.Second)
 		first := w.planner()
-		l := first.node.lead.Load()
+		l := first.node.leadership.Load()
 		for range 20 {
 			if w.planner() != first {
 				break
--- a/region/leadership.go
+++ b/region/leadership.go
@@ -88,7 +88,7 @@
 	lanes         lanes.Lanes[fleet.AdviceRequest]
 	proxies       map[string]*proxy
 	keepers       map[string]string           // keepers holds the name of each worker's keeper.
-	kept          map[string]proto.Assignment // assignments holds each worker's present assignment.
+	assignments   map[string]proto.Assignment // assignments holds each worker's present assignment.
 	byToken       map[uint64]string           // byToken holds the worker of each fencing token.
 	workers       map[string]winch.WorkerVM
 	listAsOf      time.Time // listAsOf is the time at which the known worker list was current.
@@ -179,7 +179,7 @@
 	l := &leadership{
 		node: n, term: term, revision: revision, lease: lease, namedRevision: revision, maybeNamed: make(map[string]bool),
 		duty: duty.New("Planner", eventQueueSize, nil), planner: fleet.New(term),
-		proxies: make(map[string]*proxy), keepers: make(map[string]string), kept: make(map[string]proto.Assignment),
+		proxies: make(map[string]*proxy), keepers: make(map[string]string), assignments: make(map[string]proto.Assignment),
 		byToken: make(map[uint64]string), stateWaiters: make(map[string][]chan struct{}),
 		workers: make(map[string]winch.WorkerVM), missing: make(map[string]time.Time),
 		keeperBackoff: make(map[string]bool), previousRoster: make(map[string]rosteredWorker), roster: make(map[string]rosteredWorker),
@@ -216,20 +216,20 @@
 	if l.load(l.ctx) {
 		// Requests are served only from here on: one that came while the records are read would have
 		// to wait until that is done.
-		l.node.lead.Store(l)
+		l.node.leadership.Store(l)
 		if l.node.stopping.Load() {
 			l.group.Go(func() { l.handOver(l.ctx) })
 		}
 		for _, f := range []func(context.Context){
 			l.followJobs, l.followWorkers, l.runCommits, l.runRoster,
-			l.runWaiting, l.runSweep, l.runLoad, l.runStallMonitor, l.runStandby, l.runFresh, l.readCommands,
+			l.runWaiting, l.runSweep, l.runLoad, l.runStallMonitor, l.runStandby, l.findAdoptedRevision, l.readCommands,
 		} {
 			l.group.Go(func() { f(l.ctx) })
 		}
 	}
 	l.duty.RunWithTick(l.ctx, l.timer.C, l.decide) // It returns at once if the records were not read.
 	l.cancel()
-	l.node.lead.CompareAndSwap(l, nil)
+	l.node.leadership.CompareAndSwap(l, nil)
 	l.group.Wait()
 }
 
@@ -268,7 +268,7 @@
 }
 
 // decideSoon schedules a decision soon.
-func (l *leadership) wake() {
+func (l *leadership) decideSoon() {
 	if !l.decisionPending {
 		l.decisionPending = true
 		l.scheduleDecision(max(gatherDelay, decisionPauseFactor*l.decisionTime))
@@ -296,12 +296,12 @@
 	}
 	if !l.closed && (l.standby == nil || time.Since(l.standbyCheckedAt) > standbyCheckInterval) {
 		l.standbyCheckedAt = time.Now()
-		live := l.live()
+		live := l.liveEntries()
 		l.chooseStandby(live)
 		l.yield(live)
 	}
 	if !l.closed && l.mayStart() {
-		l.planner.Quota = l.openings()
+		l.planner.Quota = l.adviceQuota()
 		begin := time.Now()
 		l.planner.Schedule()
 		l.decidedAt = time.Now()
--- a/region/mirror.go
+++ b/region/mirror.go
@@ -59,7 +59,7 @@
 }
 
 // respond applies a message and returns the acknowledgement.
-func (m *mirror) answer(msg proto.Mirror) proto.MirrorAck {
+func (m *mirror) respond(msg proto.Mirror) proto.MirrorAck {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.stampBase.IsZero() {
@@ -257,7 +257,7 @@
 		ExpiriesUnchanged: s.synced && !l.expiriesChanged, Stamp: s.stamp,
 	}
 	if !msg.ExpiriesUnchanged {
-		msg.LeaseExpiries = l.expiries.updates(l.keepers, l.closed)
+		msg.LeaseExpiries = l.expiries.mirrorUpdate(l.keepers, l.closed)
 	}
 	if msg.Full {
 		msg.Add, msg.Remove = l.allRuns(), nil
--- a/region/node.go
+++ b/region/node.go
@@ -26,7 +26,7 @@
 	// Lease is the longest lease that workers grant on what runs.
 	Lease time.Duration
 	// Retention is how long the state of an ended job remains available to callers.
-	Keep time.Duration
+	Retention time.Duration
 }
 
 const (
@@ -86,8 +86,8 @@
 	commands    keep.Commands // commands holds the commands of the jobs that this entry accepted last.
 	keeper      *keep.Keeper
 	mirror      mirror
-	prefetch    prefetch
-	lead        atomic.Pointer[leadership]
+	prefetch    prefetcher
+	leadership  atomic.Pointer[leadership]
 	waiting     atomic.Pointer[waitingView]
 	lastContact atomic.Int64 // lastContact is when the store last answered, in nanoseconds after started.
 	storeBack   broadcast    // storeBack is sent when the store answers again.
@@ -96,7 +96,7 @@
 	stopping    atomic.Bool               // stopping is set when Stop begins.
 	leaving     atomic.Bool               // leaving is set once the office has been handed over.
 	// officeWake wakes the loop that takes the office after a change of the cell's records.
-	changed chan struct{}
+	officeWake chan struct{}
 }
 
 var _ winch.Region = (*Node)(nil)
@@ -104,7 +104,7 @@
 // Prepare initializes the entry. It has to be called before Run.
 func (n *Node) Prepare() {
 	n.started = time.Now()
-	n.changed = make(chan struct{}, 1)
+	n.officeWake = make(chan struct{}, 1)
 	n.keeper = &keep.Keeper{Client: n.Runner, Log: n.Log, Metrics: n.Metrics, Lease: min(n.Timing.Lease, maxLease), FetchCommand: n.command}
 	n.keeper.Prepare()
 	n.accept.prepare(n)
@@ -114,7 +114,7 @@
 
 // NoteStoreResponse records that the store has just answered.
 func (n *Node) NoteStoreResponse() {
-	wasResponsive := n.healthy()
+	wasResponsive := n.storeResponsive()
 	n.lastContact.Store(int64(time.Since(n.started)))
 	if !wasResponsive {
 		n.storeBack.send()
@@ -146,7 +146,7 @@
 }
 
 // storeResponsive reports whether the store has answered a call lately.
-func (n *Node) healthy() bool {
+func (n *Node) storeResponsive() bool {
 	return time.Since(n.started)-time.Duration(n.lastContact.Load()) < storeUnresponsiveAfter
 }
 
@@ -167,7 +167,7 @@
 // continues to serve its callers meanwhile.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
-	if l := n.lead.Load(); l != nil {
+	if l := n.leadership.Load(); l != nil {
 		l.handOver(ctx)
 	}
 	n.leaving.Store(true)
@@ -175,12 +175,12 @@
 }
 
 func (n *Node) wakeOffice() {
-	duty.Signal(n.changed)
+	duty.Signal(n.officeWake)
 }
 
 // Ready implements winch.Region.
 func (n *Node) Ready() bool {
-	return n.Config() != nil && n.healthy() && !n.stopping.Load()
+	return n.Config() != nil && n.storeResponsive() && !n.stopping.Load()
 }
 
 // Stopping implements winch.Region.
@@ -200,7 +200,7 @@
 
 // LinkChanged notifies the entry that a link to a peer was established or has broken.
 func (n *Node) LinkChanged() {
-	if l := n.lead.Load(); l != nil {
+	if l := n.leadership.Load(); l != nil {
 		l.post(l.reassignSoon)
 	}
 }
--- a/region/office.go
+++ b/region/office.go
@@ -34,16 +34,16 @@
 func (n *Node) runOffice(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.endStaleOffice(ctx)
-		if n.mayTake() {
+		if n.mayTakeOffice() {
 			duty.Sleep(ctx, n.electionDelay())
-			if n.mayTake() {
+			if n.mayTakeOffice() {
 				n.tryOffice(ctx)
 			}
 		}
 		timer := time.NewTimer(officePollInterval)
 		select {
 		case <-ctx.Done():
-		case <-n.changed:
+		case <-n.officeWake:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -52,7 +52,7 @@
 
 // mayTakeOffice reports whether this entry may try to take the office: as far as is known the office is
 // free, a configuration is in force, and the entry is not stopping.
-func (n *Node) mayTake() bool {
+func (n *Node) mayTakeOffice() bool {
 	n.cell.mu.Lock()
 	defer n.cell.mu.Unlock()
 	return n.cell.loaded && n.cell.officeRevision == 0 && !n.stopping.Load() && n.settings.config.Load() != nil
@@ -150,7 +150,7 @@
 		l.copiedRuns, l.copiedExpiries = copied.runs, copied.expiries
 	}
 	l.run(ctx)
-	n.lead.CompareAndSwap(l, nil)
+	n.leadership.CompareAndSwap(l, nil)
 	n.Log.Info("office given up", zap.Uint64("term", mine.Term))
 	n.forgetOffice(revision)
 }
--- a/region/prefetch.go
+++ b/region/prefetch.go
@@ -88,13 +88,13 @@
 
 // prefetcher reads the jobs and their changes while this entry is standby, so that it need not read all
 // of them during a takeover.
-type prefetch struct {
+type prefetcher struct {
 	mu   sync.Mutex
 	data prefetched
 }
 
 // run follows the jobs whenever this entry is standby, until ctx ends.
-func (p *prefetch) run(ctx context.Context, n *Node) {
+func (p *prefetcher) run(ctx context.Context, n *Node) {
 	for ctx.Err() == nil {
 		if n.mirror.active() {
 			p.follow(ctx, n)
@@ -104,7 +104,7 @@
 }
 
 // follow follows the jobs until this entry is no longer standby.
-func (p *prefetch) follow(ctx context.Context, n *Node) {
+func (p *prefetcher) follow(ctx context.Context, n *Node) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var group conc.WaitGroup
@@ -122,7 +122,7 @@
 	p.data = prefetched{}
 }
 
-func (p *prefetch) followPrefix(ctx context.Context, n *Node, prefix string, into *prefixCopy) {
+func (p *prefetcher) followPrefix(ctx context.Context, n *Node, prefix string, into *prefixCopy) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
 		next := prefixCopy{values: maps.Clone(into.values), revision: into.revision}
@@ -140,7 +140,7 @@
 }
 
 // result returns a copy of what was read, or nil if it is not complete.
-func (p *prefetch) result() *prefetched {
+func (p *prefetcher) result() *prefetched {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.data.jobs.revision == 0 || p.data.progress.revision == 0 {
--- a/region/proxy.go
+++ b/region/proxy.go
@@ -31,13 +31,13 @@
 
 // proxy is the planner's side of one session with a keeper.
 type proxy struct {
-	lead    *leadership
-	name    string
-	session proto.Session
-	stamp   time.Duration // stamp is that of the keeper's last response.
-	local   bool          // local is set if the keeper is the planner's own entry.
-	ctx     context.Context
-	cancel  context.CancelFunc
+	leadership *leadership
+	name       string
+	session    proto.Session
+	stamp      time.Duration // stamp is that of the keeper's last response.
+	local      bool          // local is set if the keeper is the planner's own entry.
+	ctx        context.Context
+	cancel     context.CancelFunc
 }
 
 // sendAssignments sends a keeper the workers assigned to it. It begins a session if there is
@@ -47,14 +47,14 @@
 	fresh := p == nil
 	if fresh {
 		l.sessions++
-		p = &proxy{lead: l, name: name, local: name == l.node.Name, session: proto.Session{Term: l.term, Number: l.sessions}}
+		p = &proxy{leadership: l, name: name, local: name == l.node.Name, session: proto.Session{Term: l.term, Number: l.sessions}}
 		l.proxies[name] = p
 		p.ctx, p.cancel = context.WithCancel(l.ctx)
 	}
 	set := proto.AssignmentSet{Session: p.session, Authority: l.authority()}
 	for id, keeper := range l.keepers {
 		if keeper == name {
-			a := l.kept[id]
+			a := l.assignments[id]
 			a.Left = l.expiries.remaining(id)
 			set.Workers = append(set.Workers, a)
 		}
@@ -67,7 +67,7 @@
 
 // send sends a message to the keeper and ends the session if that fails.
 func (p *proxy) send(kind winch.Kind, body any) {
-	n := p.lead.node
+	n := p.leadership.node
 	if p.local {
 		switch m := body.(type) {
 		case proto.AssignmentSet:
@@ -84,7 +84,7 @@
 
 // poll fetches the keeper's events until the session ends, and then takes its workers away.
 func (p *proxy) poll() {
-	l, ctx := p.lead, p.ctx
+	l, ctx := p.leadership, p.ctx
 	for ctx.Err() == nil {
 		report, err := p.pollOnce(ctx)
 		if ctx.Err() != nil {
@@ -130,14 +130,14 @@
 
 // pollOnce sends one poll request to the keeper.
 func (p *proxy) pollOnce(ctx context.Context) (proto.KeeperPollResponse, error) {
-	request := proto.KeeperPollRequest{Session: p.session, Authority: p.lead.authority(), Wait: pollWait, Stamp: p.stamp}
+	request := proto.KeeperPollRequest{Session: p.session, Authority: p.leadership.authority(), Wait: pollWait, Stamp: p.stamp}
 	if p.local {
-		return p.lead.node.keeper.Poll(ctx, request), nil
+		return p.leadership.node.keeper.Poll(ctx, request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollWait+pollTimeout)
 	defer cancel()
 	var report proto.KeeperPollResponse
-	err := p.lead.node.Peers.Request(ctx, p.name, proto.KindKeeperPoll, request, &report)
+	err := p.leadership.node.Peers.Request(ctx, p.name, proto.KindKeeperPoll, request, &report)
 	return report, err
 }
 
@@ -150,7 +150,7 @@
 	for id, name := range l.keepers {
 		if name == p.name {
 			ids = append(ids, id)
-			l.expiries.endAssignment(id, name, l.kept[id].Token, l.authority())
+			l.expiries.endAssignment(id, name, l.assignments[id].Token, l.authority())
 			l.removeAssignment(id)
 		}
 	}
@@ -177,7 +177,7 @@
 			l.releaseAssignment(p.name, e)
 			continue
 		}
-		if l.keepers[e.Worker] != p.name || l.kept[e.Worker].Token != e.Token {
+		if l.keepers[e.Worker] != p.name || l.assignments[e.Worker].Token != e.Token {
 			continue // The event is of an earlier assignment of the worker.
 		}
 		l.logEvent(e)
@@ -190,7 +190,7 @@
 			continue
 		}
 		l.applyExpiryEvent(e)
-		if vm, listed := l.workers[e.Worker]; listed && e.Kind == proto.EventLost && l.kept[e.Worker].VM.Born != vm.Born {
+		if vm, listed := l.workers[e.Worker]; listed && e.Kind == proto.EventLost && l.assignments[e.Worker].VM.Born != vm.Born {
 			// The lost boot is not the listed one, which may be alive.
 			l.unassignLost(e.Worker)
 			continue
@@ -213,7 +213,7 @@
 	if changed {
 		l.reassignSoon()
 	}
-	l.wake()
+	l.decideSoon()
 }
 
 // handleKnown handles the runs that a keeper knew at a worker when this planner's session began. If
@@ -235,15 +235,15 @@
 
 // recordAssignment records that a worker is assigned to a keeper under a fencing token.
 func (l *leadership) recordAssignment(id, keeper string, a proto.Assignment) {
-	delete(l.byToken, l.kept[id].Token)
-	l.keepers[id], l.kept[id], l.byToken[a.Token] = keeper, a, id
+	delete(l.byToken, l.assignments[id].Token)
+	l.keepers[id], l.assignments[id], l.byToken[a.Token] = keeper, a, id
 }
 
 // removeAssignment records that a worker is assigned to no keeper.
 func (l *leadership) removeAssignment(id string) {
-	delete(l.byToken, l.kept[id].Token)
+	delete(l.byToken, l.assignments[id].Token)
 	delete(l.keepers, id)
-	delete(l.kept, id)
+	delete(l.assignments, id)
 }
 
 // dispatch sends the planner's orders to the keepers: starts once the standby has acknowledged
@@ -251,7 +251,7 @@
 func (l *leadership) dispatch() {
 	var now []proto.Order
 	for _, o := range l.planner.Orders() {
-		o.Token = l.kept[o.Worker].Token
+		o.Token = l.assignments[o.Worker].Token
 		if o.Kind == proto.OrderStart {
 			l.queuedOrders = append(l.queuedOrders, o)
 		} else {
@@ -270,7 +270,7 @@
 	for _, o := range orders {
 		name := l.keepers[o.Worker]
 		p := l.proxies[name]
-		if p == nil || o.Token != l.kept[o.Worker].Token {
+		if p == nil || o.Token != l.assignments[o.Worker].Token {
 			l.handleUnsent(o)
 			continue
 		}
@@ -303,7 +303,7 @@
 
 // adviceQuota returns how many requests to the advice service may be made now. There are no more
 // than free lanes, so that each request is based on what is known when a lane takes it.
-func (l *leadership) openings() fleet.RequestQuota {
+func (l *leadership) adviceQuota() fleet.RequestQuota {
 	urgent, normal := l.lanes.Available(time.Now())
 	return fleet.RequestQuota{Urgent: urgent, Normal: normal}
 }
@@ -349,7 +349,7 @@
 		} else {
 			l.planner.AdviceFailed(a)
 		}
-		l.wake()
+		l.decideSoon()
 	})
 }
 
--- a/region/record.go
+++ b/region/record.go
@@ -128,7 +128,7 @@
 			l.planner.SaveFailed(r, current)
 		}
 		l.logCompletions()
-		l.wake()
+		l.decideSoon()
 	})
 	if err != nil {
 		l.node.Log.Info("job records not written; retrying", zap.Int("count", len(batch)), zap.Error(err))
@@ -142,7 +142,7 @@
 	old := l.readEnded(ctx)
 	for ctx.Err() == nil {
 		duty.Sleep(ctx, sweepInterval)
-		before := time.Now().Add(-l.node.Timing.Keep - retentionMargin)
+		before := time.Now().Add(-l.node.Timing.Retention - retentionMargin)
 		var ids []string
 		if l.duty.Do(ctx, func() { ids = l.planner.ExpiredJobs(before) }) != nil {
 			return
--- a/region/records_test.go
+++ b/region/records_test.go
@@ -81,7 +81,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		starts := w.log.count("run start ordered\t{\"job\": \"" + id)
-		w.planner().node.handToLead(proto.AcceptedJobs{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
+		w.planner().node.applyAsPlanner(proto.AcceptedJobs{Jobs: []proto.AcceptedJob{{Job: *s.job, Revision: s.job.Revision}}})
 		time.Sleep(3 * time.Second)
 		state, result := w.planner().node.State(w.ctx, id)
 		is.True(result.OK())
--- a/region/serve.go
+++ b/region/serve.go
@@ -51,7 +51,7 @@
 func (n *Node) requestState(ctx context.Context, id string) proto.StateResponse {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
-	if l := n.lead.Load(); l != nil {
+	if l := n.leadership.Load(); l != nil {
 		return l.state(ctx, id)
 	}
 	var response proto.StateResponse
@@ -108,7 +108,7 @@
 
 // Cancel implements winch.Region. It returns when the cancellation is stored.
 func (n *Node) Cancel(ctx context.Context, id string) winch.Result {
-	if !n.healthy() {
+	if !n.storeResponsive() {
 		return winch.RefuseFor(winch.StoreUnavailable, "the store does not answer", retryAfter)
 	}
 	s, ended, err := n.readJob(ctx, id)
@@ -147,7 +147,7 @@
 // notifyPlanner notifies the planner of something that has been stored. A lost message does no
 // harm, since the planner also watches the store.
 func (n *Node) notifyPlanner(kind winch.Kind, body any) {
-	if !n.handToLead(body) {
+	if !n.applyAsPlanner(body) {
 		_ = n.Peers.Notify(n.cell.holder(), kind, body)
 	}
 }
@@ -164,9 +164,9 @@
 	case proto.KindCommand:
 		return handleMessage(read, func(m proto.CommandRequest) any { return n.commandResponse(m) })
 	case proto.KindTerm:
-		return handleMessage(read, func(m proto.TermRequest) any { return n.answerTerm(m) })
+		return handleMessage(read, func(m proto.TermRequest) any { return n.termResponse(m) })
 	case proto.KindMirror:
-		return handleMessage(read, func(m proto.Mirror) any { return n.mirror.answer(m) })
+		return handleMessage(read, func(m proto.Mirror) any { return n.mirror.respond(m) })
 	case proto.KindAdvise:
 		return handleMessage(read, func(m proto.AdviseRequest) any { return n.advise(ctx, m) })
 	case proto.KindSettings:
@@ -180,12 +180,12 @@
 			return nil
 		})
 	case proto.KindAcceptedJobs:
-		return handleMessage(read, func(m proto.AcceptedJobs) any { n.handToLead(m); return nil })
+		return handleMessage(read, func(m proto.AcceptedJobs) any { n.applyAsPlanner(m); return nil })
 	case proto.KindCancel:
-		return handleMessage(read, func(m proto.CancelJob) any { n.handToLead(m); return nil })
+		return handleMessage(read, func(m proto.CancelJob) any { n.applyAsPlanner(m); return nil })
 	case proto.KindState:
 		return handleMessage(read, func(m proto.StateRequest) any {
-			if l := n.lead.Load(); l != nil {
+			if l := n.leadership.Load(); l != nil {
 				return l.state(ctx, m.ID)
 			}
 			return proto.StateResponse{}
@@ -205,8 +205,8 @@
 }
 
 // applyAsPlanner applies a notification if this entry is the planner, and reports whether it is.
-func (n *Node) handToLead(body any) bool {
-	l := n.lead.Load()
+func (n *Node) applyAsPlanner(body any) bool {
+	l := n.leadership.Load()
 	if l != nil {
 		l.applyNotification(body)
 	}
--- a/region/settings.go
+++ b/region/settings.go
@@ -62,8 +62,8 @@
 
 // needsPeers reports whether the entry has to ask its peers for the configuration: the store is
 // unresponsive, or it answers other calls but not the watch of the configuration.
-func (s *settings) uninformed() bool {
-	return s.watchFailed.Load() || !s.node.healthy()
+func (s *settings) needsPeers() bool {
+	return s.watchFailed.Load() || !s.node.storeResponsive()
 }
 
 // runPeerFetch fetches the configuration from peers if the store has not sent it, until ctx ends.
@@ -78,7 +78,7 @@
 			s.waitForStore(ctx)
 			s.fetch(ctx, name)
 		case <-ticker.C:
-			if names := s.node.Peers.Names(); s.uninformed() && len(names) > 0 {
+			if names := s.node.Peers.Names(); s.needsPeers() && len(names) > 0 {
 				s.fetch(ctx, names[rand.IntN(len(names))])
 			}
 		}
@@ -153,8 +153,8 @@
 	}
 	s.node.Log.Info("configuration applied", zap.Uint64("version", config.Version), zap.String("from", from),
 		zap.Int("queues", len(config.Queues)), zap.Int("teams", len(config.Teams)))
-	if l := s.node.lead.Load(); l != nil {
-		l.post(func() { l.planner.SetConfig(config); l.wake() })
+	if l := s.node.leadership.Load(); l != nil {
+		l.post(func() { l.planner.SetConfig(config); l.decideSoon() })
 	}
 }
 
--- a/region/staleinfo_test.go
+++ b/region/staleinfo_test.go
@@ -69,7 +69,7 @@
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 40)
 		p := w.planner()
-		l := p.node.lead.Load()
+		l := p.node.leadership.Load()
 		worker, keeper := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		standby := ""
@@ -88,7 +88,7 @@
 			if p == nil {
 				continue
 			}
-			t.Log(time.Since(leftAt), "adopting:", p.node.lead.Load().planner.Adopting())
+			t.Log(time.Since(leftAt), "adopting:", p.node.leadership.Load().planner.Adopting())
 			p.kill()
 			time.Sleep(300 * time.Millisecond)
 			p.start()
@@ -127,7 +127,7 @@
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 35)
 		p := w.planner()
-		l := p.node.lead.Load()
+		l := p.node.leadership.Load()
 		worker, keeper := w.workerKeptBy(p, false)
 		is.True(worker != "")
 		w.setUnresponsive(worker, true)
@@ -176,7 +176,7 @@
 // workerInThirdDomain returns a worker in a failure domain with neither planner nor standby, and its
 // keeper.
 func (w *world) workerInThirdDomain(p *simNode) (worker, keeper string) {
-	l := p.node.lead.Load()
+	l := p.node.leadership.Load()
 	_ = l.duty.Do(w.ctx, func() {
 		for id, name := range l.keepers {
 			for _, n := range w.nodes {
@@ -207,7 +207,7 @@
 // as the store names the first keeper again, and partitions the worker.
 func makeStaleAssignment(w *world, is *is.I, meanwhile func()) {
 	p := w.planner()
-	l := p.node.lead.Load()
+	l := p.node.leadership.Load()
 	worker, name := w.workerInThirdDomain(p)
 	is.True(worker != "")
 	planner := p.node.Name
@@ -268,7 +268,7 @@
 		standby := ""
 		makeStaleAssignment(w, is.NewRelaxed(t), func() {
 			w.startLasting("00000000000000a2", 12)
-			l := p.node.lead.Load()
+			l := p.node.leadership.Load()
 			_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
 		})
 		w.killEntry(standby)
@@ -287,7 +287,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := lastingWorld(t, 37)
 		p := w.planner()
-		l := p.node.lead.Load()
+		l := p.node.leadership.Load()
 		worker, keeper := w.workerInThirdDomain(p)
 		standby := ""
 		_ = l.duty.Do(w.ctx, func() { standby = l.standby.name })
@@ -317,7 +317,7 @@
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 38)
 		p := w.planner()
-		l := p.node.lead.Load()
+		l := p.node.leadership.Load()
 		worker, _ := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		planner := p.node.Name
@@ -345,7 +345,7 @@
 		is := is.NewRelaxed(t)
 		w := lastingWorld(t, 39)
 		p := w.planner()
-		l := p.node.lead.Load()
+		l := p.node.leadership.Load()
 		worker, _ := w.workerInThirdDomain(p)
 		is.True(worker != "")
 		w.terminateWorker(worker)
@@ -362,7 +362,7 @@
 		time.Sleep(12 * time.Second)
 		_ = l.duty.Do(w.ctx, func() {
 			is.True(l.keepers[worker] != "")
-			is.Equal(l.kept[worker].VM.Born, x.vm.Born)
+			is.Equal(l.assignments[worker].VM.Born, x.vm.Born)
 		})
 		w.endWithoutDowntimeCheck()
 	})
@@ -417,7 +417,7 @@
 			is := is.NewRelaxed(t)
 			w := lastingWorld(t, 45)
 			p := w.planner()
-			l := p.node.lead.Load()
+			l := p.node.leadership.Load()
 			worker, keeper := w.workerInThirdDomain(p)
 			is.True(worker != "")
 			standby := ""
@@ -430,7 +430,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			next := w.planner()
-			lead := next.node.lead.Load()
+			lead := next.node.leadership.Load()
 			is.True(w.awaitLeadState(lead, 2*time.Second, func() bool { return lead.roster[worker].Bound != 0 }))
 			if x.later {
 				next.kill()
--- a/region/stall.go
+++ b/region/stall.go
@@ -27,8 +27,8 @@
 // stallSnapshot holds the lasting tasks that wait and the unresponsive workers that runs are charged to,
 // as of one moment.
 type stallSnapshot struct {
-	waits   []fleet.WaitingTask
-	charged []fleet.UnresponsiveWorker
+	waiting      []fleet.WaitingTask
+	unresponsive []fleet.UnresponsiveWorker
 	// workers holds the state of the workers that the snapshot names.
 	workers   map[string]workerState
 	decidedAt time.Time
@@ -45,13 +45,13 @@
 // snapshotStalls returns which lasting tasks wait and which workers with runs are unresponsive.
 func (l *leadership) snapshotStalls() stallSnapshot {
 	snapshot := stallSnapshot{
-		waits: l.planner.WaitingTasks(minStallTime), charged: l.planner.UnresponsiveWorkers(minStallTime),
+		waiting: l.planner.WaitingTasks(minStallTime), unresponsive: l.planner.UnresponsiveWorkers(minStallTime),
 		workers: make(map[string]workerState), decidedAt: l.decidedAt, closed: l.closed,
 	}
-	for _, w := range snapshot.waits {
+	for _, w := range snapshot.waiting {
 		snapshot.workers[w.Contact.Worker] = l.workerStateOf(w.Contact.Worker)
 	}
-	for _, c := range snapshot.charged {
+	for _, c := range snapshot.unresponsive {
 		snapshot.workers[c.Contact.Worker] = l.workerStateOf(c.Contact.Worker)
 	}
 	return snapshot
@@ -88,10 +88,10 @@
 // stalled for longer than minStallTime and while this entry is not planner.
 func (n *Node) updateStallGauges(snapshot stallSnapshot) {
 	longest, runs := time.Duration(0), 0
-	if len(snapshot.waits) > 0 {
-		longest = time.Since(snapshot.waits[0].Since)
+	if len(snapshot.waiting) > 0 {
+		longest = time.Since(snapshot.waiting[0].Since)
 	}
-	for _, c := range snapshot.charged {
+	for _, c := range snapshot.unresponsive {
 		runs += c.Runs
 	}
 	metrics.GetOrRegisterGauge("Planner.LastingWait.Milliseconds", n.Metrics).Update(longest.Milliseconds())
@@ -116,19 +116,19 @@
 // report logs one snapshot.
 func (m *stallMonitor) report(snapshot stallSnapshot, officeLeft time.Duration) {
 	m.now, m.linesLeft, m.omitted = time.Now(), maxStallLines, 0
-	for _, w := range snapshot.waits {
+	for _, w := range snapshot.waiting {
 		m.reportTask(w, snapshot, officeLeft)
 	}
-	for _, c := range snapshot.charged {
-		fields := append(signFields(c.Contact, snapshot.workers[c.Contact.Worker], m.now), zap.Int("runs", c.Runs),
+	for _, c := range snapshot.unresponsive {
+		fields := append(contactFields(c.Contact, snapshot.workers[c.Contact.Worker], m.now), zap.Int("runs", c.Runs),
 			zap.Uint64("term", m.term))
-		m.logLine("worker "+c.Contact.Worker, "worker with runs is unresponsive", signCause(c.Contact), fields,
+		m.logLine("worker "+c.Contact.Worker, "worker with runs is unresponsive", contactCause(c.Contact), fields,
 			[]zap.Field{zap.String("worker", c.Contact.Worker)})
 	}
 	m.reportEnded()
 	if m.omitted > 0 {
-		m.log.Info("stall reports omitted", zap.Int("lines", m.omitted), zap.Int("tasks", len(snapshot.waits)),
-			zap.Int("workers", len(snapshot.charged)))
+		m.log.Info("stall reports omitted", zap.Int("lines", m.omitted), zap.Int("tasks", len(snapshot.waiting)),
+			zap.Int("workers", len(snapshot.unresponsive)))
 	}
 }
 
@@ -144,10 +144,10 @@
 		zap.Duration("decided", age(snapshot.decidedAt, m.now)), zap.Duration("office", officeLeft),
 		zap.Bool("closed", snapshot.closed))
 	if w.Contact.Worker != "" {
-		fields = append(fields, signFields(w.Contact, snapshot.workers[w.Contact.Worker], m.now)...)
+		fields = append(fields, contactFields(w.Contact, snapshot.workers[w.Contact.Worker], m.now)...)
 	}
 	key := id.Job + "." + strconv.Itoa(id.K) + "." + strconv.Itoa(id.Phase) + "." + strconv.Itoa(id.Index)
-	cause := w.Reason.String() + strconv.FormatUint(w.Run, 10) + signCause(w.Contact)
+	cause := w.Reason.String() + strconv.FormatUint(w.Run, 10) + contactCause(w.Contact)
 	m.logLine(key, "lasting task waits", cause, append(fields, waitFields(w, m.now)...), taskFields)
 }
 
@@ -173,7 +173,7 @@
 }
 
 // contactFields returns the log fields that describe a worker's contact with the planner.
-func signFields(contact fleet.WorkerContact, state workerState, now time.Time) []zap.Field {
+func contactFields(contact fleet.WorkerContact, state workerState, now time.Time) []zap.Field {
 	return []zap.Field{
 		zap.String("worker", contact.Worker), zap.String("keeper", state.keeper), zap.Bool("listed", contact.Listed),
 		zap.Bool("missing", state.missing),
@@ -181,7 +181,7 @@
 	}
 }
 
-func signCause(contact fleet.WorkerContact) string {
+func contactCause(contact fleet.WorkerContact) string {
 	return contact.Worker + strconv.FormatBool(contact.Listed) + strconv.FormatBool(contact.Ready) + strconv.FormatBool(contact.NoResponse)
 }
 
--- a/region/stall_test.go
+++ b/region/stall_test.go
@@ -109,7 +109,7 @@
 		w := newWorld(t, 1, 3, 3)
 		settle()
 		n := w.planner().node
-		n.updateStallGauges(stallSnapshot{charged: []fleet.UnresponsiveWorker{{Runs: 3}}})
+		n.updateStallGauges(stallSnapshot{unresponsive: []fleet.UnresponsiveWorker{{Runs: 3}}})
 		n.Stop(w.ctx)
 		time.Sleep(time.Second)
 		is.Equal(metrics.GetOrRegisterGauge("Planner.RunsNotHeard", n.Metrics).Value(), int64(0))
@@ -128,7 +128,7 @@
 		s := stallMonitor{log: log.logger("e"), reported: make(map[string]stallReport)}
 		var look stallSnapshot
 		for i := range 50 {
-			look.waits = append(look.waits, fleet.WaitingTask{
+			look.waiting = append(look.waiting, fleet.WaitingTask{
 				Task:   winch.RunID{Job: fmt.Sprintf("j%02d", i)},
 				Reason: fleet.WaitCapacity,
 			})
@@ -139,10 +139,10 @@
 			time.Sleep(stallCheckInterval)
 		}
 		is.Equal(len(log.find("stall reports omitted", `"lines": 30`)), 1)
-		for i := range look.waits {
-			is.Equal(len(log.find("lasting task waits", look.waits[i].Task.Job)), 1)
+		for i := range look.waiting {
+			is.Equal(len(log.find("lasting task waits", look.waiting[i].Task.Job)), 1)
 		}
-		look.waits[7].Reason = fleet.WaitLimit
+		look.waiting[7].Reason = fleet.WaitLimit
 		s.report(look, 0) // Nothing else is due yet.
 		is.Equal(len(log.find("lasting task waits")), 51)
 		is.Equal(len(log.find("lasting task waits", "j07", fleet.WaitLimit.String())), 1)
--- a/region/standbyrecord_test.go
+++ b/region/standbyrecord_test.go
@@ -38,13 +38,13 @@
 		}
 		w.store.mu.Unlock()
 		settle()
-		l := w.planner().node.lead.Load()
+		l := w.planner().node.leadership.Load()
 		var second string
 		_ = l.duty.Do(w.ctx, func() {
 			second = l.standby.name
 			l.dropStandby()
 			l.standbyBackoff = map[string]time.Time{} // No other standby is chosen meanwhile.
-			for name := range l.live() {
+			for name := range l.liveEntries() {
 				l.standbyBackoff[name] = time.Now().Add(time.Hour)
 			}
 		})
--- a/region/takeover.go
+++ b/region/takeover.go
@@ -108,7 +108,7 @@
 // findAdoptedRevision determines the revision after which no earlier planner can have started an accepted
 // job. An earlier planner whose lease the store has ended may assume for a whole lease duration more that
 // it holds the office, unless its process is known to have ended.
-func (l *leadership) runFresh(ctx context.Context) {
+func (l *leadership) findAdoptedRevision(ctx context.Context) {
 	for end := time.Now().Add(officeTTL); time.Now().Before(end) && ctx.Err() == nil; duty.Sleep(ctx, processEndPollInterval) {
 		if _, ended := l.node.cell.endedBy(l.lastHolder); ended && l.lastHolder != "" {
 			break
@@ -119,7 +119,7 @@
 		if err == nil {
 			l.post(func() {
 				l.planner.AdoptedRevision = asOf
-				l.wake()
+				l.decideSoon()
 			})
 			return
 		}
--- a/region/termbound.go
+++ b/region/termbound.go
@@ -146,7 +146,7 @@
 }
 
 // termResponse returns for how long this entry has known that a term began.
-func (n *Node) answerTerm(req proto.TermRequest) proto.TermResponse {
+func (n *Node) termResponse(req proto.TermRequest) proto.TermResponse {
 	at, seen := n.cell.termSeen(req.Term)
 	if !seen {
 		return proto.TermResponse{}
@@ -154,7 +154,7 @@
 	return proto.TermResponse{Known: true, Age: time.Since(at)}
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/region/world_test.go
+++ b/region/world_test.go
@@ -147,7 +147,7 @@
 	n.cancel = cancel
 	node := &Node{
 		Name: fmt.Sprintf("%s/%d", n.host, n.boots), Host: n.host, Domain: n.domain, Address: n.host, Share: 400,
-		Timing: Timing{Lease: 6 * time.Second, Keep: time.Minute},
+		Timing: Timing{Lease: 6 * time.Second, Retention: time.Minute},
 		Codec:  simCodec{}, Log: n.world.log.logger(n.host), Metrics: metrics.NewRegistry(),
 	}
 	if share, ok := n.world.shares[n.host]; ok {
@@ -493,7 +493,7 @@
 	defer w.mu.Unlock()
 	for _, n := range w.nodes {
 		if n.node != nil {
-			if l := n.node.lead.Load(); l != nil && l.validity.Load().remaining() > 0 {
+			if l := n.node.leadership.Load(); l != nil && l.validity.Load().remaining() > 0 {
 				return n
 			}
 		}
--- a/server/region.go
+++ b/server/region.go
@@ -71,7 +71,7 @@
 	s.Node = &region.Node{
 		Name: boot, Host: e.Name, Domain: e.Domain, Address: cmp.Or(s.Settings.Listen.Announce, s.Settings.Listen.Peers),
 		Share:  int(1000 * s.Settings.Limits.Processors),
-		Timing: region.Timing{Lease: s.Settings.Timing.Lease, Keep: s.Settings.Timing.Keep},
+		Timing: region.Timing{Lease: s.Settings.Timing.Lease, Retention: s.Settings.Timing.Keep},
 		Table:  s.table, Runner: s.runner, Advisor: platform.NewAdvisor(s.Settings.Platform.Advice),
 		Codec: platform.Codec{}, Peers: s.Mesh, Log: s.Log, Metrics: s.Metrics,
 	}
