--- a/coord/keep/keep_test.go
+++ b/coord/keep/keep_test.go
@@ -240,7 +240,7 @@
 // Guards against a task that runs twice, or never again, after a start without a response,
 // whether or not the start took effect. The run is stopped and its completion reported, so
 // that the task can be restarted.
-func TestUnansweredStartIsStopped(t *testing.T) {
+func TestStartWithoutResponseIsStopped(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -302,7 +302,7 @@
 // Guards against a deadlock between the start of a later planner's session and a worker's
 // response. Both acquire the keeper's and a holder's lock; in different orders they would
 // deadlock, and the workers' leases would expire.
-func TestSessionsBeginWhileWorkersAnswer(t *testing.T) {
+func TestSessionsBeginWhileWorkersRespond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -354,7 +354,7 @@
 // Guards against a hold that carries the completion numbers of the previous boot. A worker
 // crashes and returns under the same ID. The new boot would drop completions that nobody has
 // seen, and finished tasks would run again.
-func TestNextBootGetsNoCompletionNumbersOfTheLast(t *testing.T) {
+func TestNextBootGetsNoCompletionNumbersOfThePreviousBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/coord/keep/roundtrip_test.go
+++ b/coord/keep/roundtrip_test.go
@@ -28,7 +28,7 @@
 
 // Guards against a task that waits too long after a start without a response. The pending hold
 // returns only after its wait, although the worker could list at once that the run doesn't exist.
-func TestTaskOfAnUnansweredStartIsReleasedSoon(t *testing.T) {
+func TestTaskOfAStartWithoutResponseIsReleasedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/coord/keep/send.go
+++ b/coord/keep/send.go
@@ -30,7 +30,7 @@
 	case proto.OrderStart:
 		h.start(ctx, c)
 	case proto.OrderStop:
-		h.stopUntilAnswered(ctx, runKey{c.Task, c.Run}, false)
+		h.stopUntilResponse(ctx, runKey{c.Task, c.Run}, false)
 	case proto.OrderThrottle:
 		callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
 		defer cancel()
@@ -58,7 +58,7 @@
 	})
 	h.recordOrder(now, result != winch.StartUncertain)
 	if otherBoot := h.updateClock(clock); otherBoot {
-		h.startedOnOtherBoot(ctx, key)
+		h.stopAtOtherBoot(ctx, key)
 		return
 	}
 	switch result {
@@ -68,7 +68,7 @@
 	case winch.StartUncertain:
 		h.keeper.Log.Info("no response to a start, stopping the run", zap.String("job", c.Task.Job),
 			zap.Any("task", c.Task), zap.Uint64("run", c.Run), zap.String("worker", h.vm.ID))
-		h.stopUntilAnswered(ctx, key, true)
+		h.stopUntilResponse(ctx, key, true)
 	case winch.StartOtherBoot:
 		h.emit(proto.KeeperEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
 		h.cancel()
@@ -93,8 +93,8 @@
 // stopAtOtherBoot stops a run that was started by another boot of the worker under the
 // same ID. The planner knows nothing of that boot. It will restart all tasks of the intended
 // boot elsewhere, so this task would otherwise run twice.
-func (h *holder) startedOnOtherBoot(ctx context.Context, key runKey) {
-	h.stopUntilAnswered(ctx, key, true)
+func (h *holder) stopAtOtherBoot(ctx context.Context, key runKey) {
+	h.stopUntilResponse(ctx, key, true)
 	h.emit(proto.KeeperEvent{Kind: proto.EventLost, Result: winch.StartOtherBoot})
 	h.cancel()
 }
@@ -134,7 +134,7 @@
 // stopUntilResponse stops a run and retries until the worker has responded. After the
 // response the worker refuses a start of the run that is still in flight, so the next lists
 // show definitively whether it was started.
-func (h *holder) stopUntilAnswered(ctx context.Context, key runKey, startUncertain bool) {
+func (h *holder) stopUntilResponse(ctx context.Context, key runKey, startUncertain bool) {
 	for ctx.Err() == nil {
 		sent := time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, h.callTimeout())
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a function that goes on waiting after the stop signal, and against reporting a
 // function as stopped that returned by itself.
-func TestUntil(t *testing.T) {
+func TestRunUntilStopsOnSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		stop := make(chan struct{})
--- a/region/crash_test.go
+++ b/region/crash_test.go
@@ -69,7 +69,7 @@
 
 // crashDuringRun crashes a worker some time after the start of a run there, unless the run has ended by
 // then, and boots the worker again after a delay.
-func (w *world) crashUnderRun(x *simWorker, key runKey, after time.Duration) {
+func (w *world) crashDuringRun(x *simWorker, key runKey, after time.Duration) {
 	time.Sleep(after + 10*time.Millisecond)
 	w.mu.Lock()
 	x.mu.Lock()
@@ -99,7 +99,7 @@
 }
 
 // crashesDuring returns the number of worker crashes during runs of a job's tasks.
-func (w *world) crashesUnder(job string) (n int) {
+func (w *world) crashesDuring(job string) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, crashes := range w.crashes.crashedWorkers {
@@ -154,7 +154,7 @@
 		w.submitCrashing("00000000000000c1", 1, 0)
 		killed := 0
 		for w.ctx.Err() == nil && time.Since(w.log.startedAt) < 80*time.Second {
-			if p := w.planner(); p != nil && w.crashesUnder("00000000000000c1") > killed {
+			if p := w.planner(); p != nil && w.crashesDuring("00000000000000c1") > killed {
 				killed++
 				time.Sleep(20 * time.Millisecond)
 				p.kill()
--- a/region/simworker_test.go
+++ b/region/simworker_test.go
@@ -356,7 +356,7 @@
 		if after, crashes := crashAfter(c.Command); crashes {
 			w.crashes.checkStart(w, c.Task)
 			r.end = time.Time{}
-			w.group.Go(func() { w.crashUnderRun(x, key, after) })
+			w.group.Go(func() { w.crashDuringRun(x, key, after) })
 			return
 		}
 		r.fails = w.intn(20) == 0
