--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -115,7 +115,7 @@
 
 // Planner returns the name of a domain's planner according to the heartbeat with the highest epoch,
 // and that epoch.
-func (v *View) Placer(domain string) (string, uint64) {
+func (v *View) Planner(domain string) (string, uint64) {
 	name, epoch := "", uint64(0)
 	for _, p := range v.Peers {
 		if p.Beat.Domain == domain && p.Beat.Epoch > epoch {
--- a/coord/office/events.go
+++ b/coord/office/events.go
@@ -42,7 +42,7 @@
 
 // markStale makes the planner read the whole ledger again because a change of it could not
 // be read or applied.
-func (s *session) markStale() {
+func (s *plannerState) markStale() {
 	_ = s.Duty.Do(context.Background(), func() { s.stale = true })
 }
 
--- a/coord/office/office.go
+++ b/coord/office/office.go
@@ -73,7 +73,7 @@
 
 	knownHolder knownHolder
 	// current is the state of the term that this entry serves, or nil.
-	current          atomic.Pointer[session]
+	current          atomic.Pointer[plannerState]
 	leaving          chan struct{} // leaving is closed by Leave.
 	recheckRequested chan struct{}
 	planRequested    chan struct{}
@@ -134,7 +134,7 @@
 	defer cancel()
 	o.Log.Info("acquired the office lease; serving as planner", zap.String("Domain", o.Domain), zap.Uint64("Epoch", term.epoch))
 	metrics.GetOrRegisterCounter("Office.Taken", o.Metrics).Inc(1)
-	s := &session{Office: o, term: term, cancel: cancel, workers: make(map[string]*workerState), finishedJobs: make(map[string]bool)}
+	s := &plannerState{Office: o, term: term, cancel: cancel, workers: make(map[string]*workerState), finishedJobs: make(map[string]bool)}
 	o.current.Store(s)
 	defer o.current.Store(nil)
 	if o.OnAcquired != nil {
--- a/coord/office/office_test.go
+++ b/coord/office/office_test.go
@@ -20,7 +20,7 @@
 
 // testPlanner is a planner in its first term, with a simulated store and one accepted job.
 type testPlanner struct {
-	*session
+	*plannerState
 	doc   *winch.Document
 	job   winch.Job
 	store *hookStore
@@ -76,8 +76,8 @@
 		Document: func() *winch.Document { return p.doc },
 	}
 	o.Prepare()
-	p.session = &session{Office: o, term: &term{epoch: 1}, workers: make(map[string]*workerState), finishedJobs: make(map[string]bool)}
-	o.current.Store(p.session)
+	p.plannerState = &plannerState{Office: o, term: &term{epoch: 1}, workers: make(map[string]*workerState), finishedJobs: make(map[string]bool)}
+	o.current.Store(p.plannerState)
 	p.job = winch.Job{
 		ID: "Jone", Domain: "d1", Team: "choir", Class: "mix", State: winch.JobQueued, Epoch: 1,
 		Spec: winch.JobSpec{Kind: winch.Batch, Tasks: 1, Need: winch.Resources{Processors: 1, Memory: 1}, Command: "echo"},
@@ -103,7 +103,7 @@
 			p.store.afterGet = cancel
 			p.JobsChanged(ctx, p.Ledger.Key(0))
 			p.store.afterGet = nil
-			p.load(t.Context())
+			p.loadJobs(t.Context())
 			is.True(p.hasJob(t.Context()))
 		})
 	}
@@ -117,10 +117,10 @@
 		is := is.New(t)
 		doc := p.doc
 		p.doc = nil
-		p.load(t.Context())
+		p.loadJobs(t.Context())
 		is.Equal(p.hasJob(t.Context()), false)
 		p.doc = doc
-		p.load(t.Context())
+		p.loadJobs(t.Context())
 		is.True(p.hasJob(t.Context()))
 	})
 }
--- a/coord/office/planner.go
+++ b/coord/office/planner.go
@@ -16,7 +16,7 @@
 
 // plannerState is the planner's state during one term. Only functions that run in Duty access
 // the fields that change.
-type session struct {
+type plannerState struct {
 	*Office
 	term        *term
 	cancel      context.CancelFunc
@@ -55,7 +55,7 @@
 }
 
 // run does the work until ctx ends, and returns once all goroutines it started are done.
-func (s *session) run(ctx context.Context) {
+func (s *plannerState) run(ctx context.Context) {
 	var group conc.WaitGroup
 	s.group = &group
 	s.semaphore = make(chan struct{}, maxConcurrentDecisions)
@@ -67,8 +67,8 @@
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
-		s.load(ctx)
-		_ = s.Duty.Do(ctx, func() { s.step(ctx) })
+		s.loadJobs(ctx)
+		_ = s.Duty.Do(ctx, func() { s.planRound(ctx) })
 		select {
 		case <-ctx.Done():
 			return
@@ -79,7 +79,7 @@
 }
 
 // reset empties the planner for the new term.
-func (s *session) reset(ctx context.Context) bool {
+func (s *plannerState) reset(ctx context.Context) bool {
 	err := s.Duty.Do(ctx, func() {
 		old := s.Planner
 		fresh := place.NewPlanner(old.Limits, old.Team)
@@ -94,7 +94,7 @@
 // loadJobs reads the domain's unfinished jobs from the ledger if they have not been read yet or
 // are stale. A change that is reported during the read marks them stale again, since the
 // read may not include it.
-func (s *session) load(ctx context.Context) {
+func (s *plannerState) loadJobs(ctx context.Context) {
 	needed := false
 	_ = s.Duty.Do(ctx, func() {
 		needed = !s.loaded || s.stale
@@ -119,7 +119,7 @@
 
 // submit adds a job to the planner. Only a job that was accepted under an older epoch can
 // have been started by an earlier planner.
-func (s *session) submit(j winch.Job) {
+func (s *plannerState) submit(j winch.Job) {
 	if j.Domain != s.Domain || j.State.Final() {
 		return
 	}
@@ -143,7 +143,7 @@
 }
 
 // applyJob submits a new job or cancels a known one.
-func (s *session) applyJob(j winch.Job) {
+func (s *plannerState) applyJob(j winch.Job) {
 	if !s.loaded {
 		s.stale = true // The load in progress may not include the job.
 		return
@@ -159,7 +159,7 @@
 
 // cancelWithdrawnKeys cancels the waiting jobs of access keys that are not in the
 // configuration any more. Running tasks continue.
-func (s *session) cancelWithdrawnKeys() {
+func (s *plannerState) cancelWithdrawnKeys() {
 	doc := s.Document()
 	if doc == nil {
 		return
@@ -170,13 +170,13 @@
 	})
 }
 
-func (s *session) cancelJob(id string) {
+func (s *plannerState) cancelJob(id string) {
 	out, _ := s.Planner.Cancel(id)
 	s.execute(out)
 }
 
 // endTerm ends the term because a planner of a newer epoch exists.
-func (s *session) endTerm(why string) {
+func (s *plannerState) endTerm(why string) {
 	if s.term.active() {
 		s.Log.Warn("planner of a later term has taken over; ending this term", zap.String("Domain", s.Domain), zap.Uint64("Epoch", s.term.epoch), zap.String("Why", why))
 		metrics.GetOrRegisterCounter("Office.Deposed", s.Metrics).Inc(1)
@@ -187,7 +187,7 @@
 
 // mayStart reports whether the planner may still start work. It is checked after every wait
 // and right before every start, since the process may have been paused at any point.
-func (s *session) mayStart() bool {
+func (s *plannerState) mayStart() bool {
 	if s.FenceAtVM {
 		return s.term.active()
 	}
@@ -196,7 +196,7 @@
 
 // planRound runs one planning round: it applies the VM list, records completions, plans, and
 // has the decisions carried out. It runs in Duty.
-func (s *session) step(ctx context.Context) {
+func (s *plannerState) planRound(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -227,13 +227,13 @@
 const planSamples = 1024
 
 // planTime returns the histogram of the duration of a planning round, in microseconds.
-func (s *session) planTime() metrics.Histogram {
+func (s *plannerState) planTime() metrics.Histogram {
 	return metrics.GetOrRegisterHistogram("Office.Plan.Microseconds", s.Metrics, metrics.NewUniformSample(planSamples))
 }
 
 // updateWorkers starts a renewal loop for each new worker and removes the workers that are
 // no longer listed, once the leases of their tasks are guaranteed to have expired.
-func (s *session) updateWorkers(ctx context.Context) {
+func (s *plannerState) updateWorkers(ctx context.Context) {
 	list, ok := s.Workers()
 	if !ok {
 		return
@@ -257,14 +257,14 @@
 	}
 }
 
-func (s *session) addWorker(ctx context.Context, vm winch.VM) {
+func (s *plannerState) addWorker(ctx context.Context, vm winch.VM) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &workerState{vm: vm, cancel: cancel, lastContact: time.Now()}
 	s.workers[vm.ID] = w
 	s.group.Go(func() { s.renewLoop(ctx, w) })
 }
 
-func (s *session) removeWorker(id string, w *workerState, now time.Time) {
+func (s *plannerState) removeWorker(id string, w *workerState, now time.Time) {
 	w.cancel()
 	delete(s.workers, id)
 	s.Planner.RemoveWorker(id, now)
@@ -279,7 +279,7 @@
 // cannot reach, so such a worker keeps the barrier closed until the platform removes it
 // from its list. Where workers do not compare epochs, the earlier planner has stopped by
 // its own clock, and it is enough to wait until the leases it granted have expired.
-func (s *session) checkBarrier() {
+func (s *plannerState) checkBarrier() {
 	if _, ok := s.Workers(); !ok {
 		return
 	}
@@ -298,7 +298,7 @@
 
 // execute carries out the decisions in goroutines of their own, at most
 // maxConcurrentDecisions at a time.
-func (s *session) execute(list []place.Decision) {
+func (s *plannerState) execute(list []place.Decision) {
 	for _, d := range list {
 		s.group.Go(func() {
 			s.semaphore <- struct{}{}
@@ -308,7 +308,7 @@
 	}
 }
 
-func (s *session) executeOne(d place.Decision) {
+func (s *plannerState) executeOne(d place.Decision) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.TaskLease)
 	defer cancel()
 	switch d.Action {
@@ -322,7 +322,7 @@
 
 // start starts a task. For a non-repeatable task it first records the intent, so that a
 // later planner never starts the task again.
-func (s *session) start(ctx context.Context, d place.Decision) {
+func (s *plannerState) start(ctx context.Context, d place.Decision) {
 	err := s.recordIntent(ctx, d)
 	if err == nil && !s.mayStart() {
 		err = winch.ErrRefused
@@ -344,7 +344,7 @@
 // contact with the worker. Recording the intent can take as long as the store is down. If
 // the worker was unresponsive as well, its tasks may have been given up by then; a start
 // would run the task twice and could exceed its team's limit.
-func (s *session) stillPlaced(ctx context.Context, d place.Decision) (ok bool) {
+func (s *plannerState) stillPlaced(ctx context.Context, d place.Decision) (ok bool) {
 	_ = s.Duty.Do(ctx, func() {
 		ok = s.Planner.StillPlaced(d.Task.Ref())
 		s.noteContact(d.VM.ID)
@@ -353,7 +353,7 @@
 }
 
 // recordIntent records that a non-repeatable task is about to be started.
-func (s *session) recordIntent(ctx context.Context, d place.Decision) error {
+func (s *plannerState) recordIntent(ctx context.Context, d place.Decision) error {
 	if d.Repeatable {
 		return nil
 	}
@@ -365,14 +365,14 @@
 }
 
 // noteContact notes that a message that extends leases may just have reached a worker.
-func (s *session) noteContact(id string) {
+func (s *plannerState) noteContact(id string) {
 	if w := s.workers[id]; w != nil {
 		w.lastContact = time.Now()
 	}
 }
 
 // checkFenced ends the term if a worker refused a call because it knows a newer epoch.
-func (s *session) checkFenced(err error) {
+func (s *plannerState) checkFenced(err error) {
 	if errors.Is(err, winch.ErrFenced) {
 		s.endTerm("a worker knows a newer epoch")
 	}
@@ -380,7 +380,7 @@
 
 // handleStartResult applies the outcome of a start. Any error other than a refusal means
 // that the task may or may not run.
-func (s *session) handleStartResult(d place.Decision, err error) {
+func (s *plannerState) handleStartResult(d place.Decision, err error) {
 	switch {
 	case err == nil:
 		s.Planner.StartConfirmed(d.Task.Ref())
@@ -397,7 +397,7 @@
 }
 
 // recordFinishedJobs starts writing the results of finished jobs to the ledger.
-func (s *session) recordFinishedJobs(ctx context.Context) {
+func (s *plannerState) recordFinishedJobs(ctx context.Context) {
 	for _, f := range s.Planner.TakeCompletions() {
 		rec, ok := s.Planner.Record(f.Job)
 		if !ok {
@@ -411,7 +411,7 @@
 
 // recordCompletions starts writing the completions of tasks whose jobs are unfinished, at
 // most once per recordInterval, and removes finished jobs from the planner.
-func (s *session) recordCompletions() {
+func (s *plannerState) recordCompletions() {
 	if time.Since(s.lastRecording) < recordInterval {
 		return
 	}
@@ -435,7 +435,7 @@
 
 // recordTasks writes the successful ones of a job's ended tasks to the ledger. It then lets
 // the workers forget all of the ended tasks, or has them written again after an error.
-func (s *session) recordTasks(id string, done []winch.Task) {
+func (s *plannerState) recordTasks(id string, done []winch.Task) {
 	var succeeded []int
 	for _, t := range done {
 		if t.State == winch.TaskDone {
@@ -459,7 +459,7 @@
 const recordRetryDelay = 500 * time.Millisecond
 
 // recordFinishedJob retries until the result of the job is in the ledger or the term ends.
-func (s *session) recordFinishedJob(ctx context.Context, rec winch.Job) {
+func (s *plannerState) recordFinishedJob(ctx context.Context, rec winch.Job) {
 	for s.term.active() && ctx.Err() == nil {
 		call, cancel := context.WithTimeout(context.Background(), s.TaskLease)
 		err := s.Ledger.Finish(call, rec)
@@ -473,7 +473,7 @@
 }
 
 // handleJobRecorded lets the workers forget the tasks of a job whose result is recorded.
-func (s *session) handleJobRecorded(rec winch.Job) {
+func (s *plannerState) handleJobRecorded(rec winch.Job) {
 	s.finishedJobs[rec.ID] = true
 	s.completions.markRecorded(rec.ID, nil)
 	metrics.GetOrRegisterCounter("Office.Finished", s.Metrics).Inc(1)
--- a/coord/office/renew.go
+++ b/coord/office/renew.go
@@ -17,7 +17,7 @@
 
 // renewLoop renews the leases of one worker's tasks, with one message for all of them, and
 // handles the completions that the worker reports.
-func (s *session) renewLoop(ctx context.Context, w *workerState) {
+func (s *plannerState) renewLoop(ctx context.Context, w *workerState) {
 	full := true
 	for ctx.Err() == nil {
 		var call winch.Renewal
@@ -44,7 +44,7 @@
 // nextRenewal returns the next message to a worker. The message to an unresponsive worker
 // carries no lease: a message may arrive although its response is lost, and each one would
 // postpone the time at which the worker's leases are guaranteed to have expired.
-func (s *session) nextRenewal(w *workerState, full bool) winch.Renewal {
+func (s *plannerState) nextRenewal(w *workerState, full bool) winch.Renewal {
 	w.forget = s.completions.takeForgettable(w.vm.ID)
 	w.acknowledged = s.Planner.ConfirmedOn(w.vm.ID)
 	call := winch.Renewal{Epoch: s.term.epoch, Full: full || w.needsFullList, Forget: w.forget}
@@ -60,7 +60,7 @@
 
 // handleReport applies a worker's response to a renewal, or its failure. It reports
 // whether the next renewal must request the list of all tasks.
-func (s *session) handleReport(w *workerState, call winch.Renewal, report winch.Report, err error) bool {
+func (s *plannerState) handleReport(w *workerState, call winch.Renewal, report winch.Report, err error) bool {
 	now := time.Now()
 	if call.Lease > 0 {
 		// The process may have been paused between creating and sending the message, so
@@ -97,7 +97,7 @@
 
 // expireWorker removes an unresponsive worker from the planner. The leases of its tasks are
 // guaranteed to have expired.
-func (s *session) expireWorker(w *workerState, now time.Time) {
+func (s *plannerState) expireWorker(w *workerState, now time.Time) {
 	w.expired = true
 	s.Planner.RemoveWorker(w.vm.ID, now)
 	s.PlanSoon()
@@ -105,7 +105,7 @@
 
 // restoreWorker adds a worker to the planner again if it had been removed because it was
 // unresponsive for longer than its leases.
-func (s *session) restoreWorker(w *workerState) {
+func (s *plannerState) restoreWorker(w *workerState) {
 	if w.expired {
 		w.expired = false
 		s.Planner.SetVM(w.vm)
@@ -115,7 +115,7 @@
 // handleCompletions applies the completions in a worker's report. The worker keeps them
 // until they are in the ledger: if this planner crashes before that, its successor can
 // learn of a completion only from the worker, and would otherwise run the task again.
-func (s *session) handleCompletions(w *workerState, report winch.Report, now time.Time) {
+func (s *plannerState) handleCompletions(w *workerState, report winch.Report, now time.Time) {
 	for _, t := range report.Tasks {
 		if t.State == winch.TaskRunning || s.completions.has(w.vm.ID, t.Ref()) {
 			continue
@@ -129,7 +129,7 @@
 // blockLostStarts blocks the starts whose request may have been lost: the response was lost,
 // and the worker's full list does not contain the task. Starts that are still in progress
 // are not considered.
-func (s *session) blockLostStarts(w *workerState, report winch.Report) {
+func (s *plannerState) blockLostStarts(w *workerState, report winch.Report) {
 	listed := make(map[winch.TaskID]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
 		listed[t.ID] = true
@@ -143,7 +143,7 @@
 
 // runsFewer reports whether a worker runs fewer tasks than it had acknowledged before the
 // renewal was sent, not counting those whose completion it reports.
-func (s *session) runsFewer(w *workerState, report winch.Report) bool {
+func (s *plannerState) runsFewer(w *workerState, report winch.Report) bool {
 	ended := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
 		ended[t.Ref()] = t.State != winch.TaskRunning
@@ -159,7 +159,7 @@
 
 // handleMissing reports to the planner the tasks that the worker had acknowledged but that
 // its full list does not contain. Otherwise they would count as running forever.
-func (s *session) handleMissing(w *workerState, report winch.Report, now time.Time) {
+func (s *plannerState) handleMissing(w *workerState, report winch.Report, now time.Time) {
 	listed := make(map[winch.Attempt]bool, len(report.Tasks))
 	for _, t := range report.Tasks {
 		listed[t.Ref()] = true
@@ -174,7 +174,7 @@
 // blockStart makes the worker refuse a lost start request that may still arrive, before
 // the task is started elsewhere. A worker whose process was paused may still have the
 // request in its receive buffer, and the task would run twice.
-func (s *session) blockStart(w *workerState, t winch.Task) {
+func (s *plannerState) blockStart(w *workerState, t winch.Task) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.TaskLease/3)
 	defer cancel()
 	found, err := s.Worker.Stop(ctx, w.vm, s.term.epoch, t)
--- a/coord/place/place_test.go
+++ b/coord/place/place_test.go
@@ -292,7 +292,7 @@
 // A job fails or is cancelled while one of its starts is in flight, and the worker then
 // refuses that start. No task of the job may start again, since the caller has already
 // been notified that the job has ended.
-func TestStartRefusedAfterTheJobEnded(t *testing.T) {
+func TestEndedJobStaysEndedAfterARefusedStart(t *testing.T) {
 	for _, end := range []string{"cancelled", "failed"} {
 		t.Run(end, func(t *testing.T) {
 			is := is.New(t)
--- a/coord/place/random_test.go
+++ b/coord/place/random_test.go
@@ -21,8 +21,8 @@
 		r.Prefer = rapid.SampledFrom([]Preference{Packing, Waiting}).Draw(t, "prefer")
 		m := &randomOps{rig: r}
 		t.Repeat(map[string]func(*rapid.T){
-			"submit": m.submitOne, "plan": m.planOne, "end": m.endOne, "cancel": m.cancelOne,
-			"lose": m.loseOne, "add": m.addOne, "limit": m.limitOne, "refuse": m.refuseOne, "": m.check,
+			"submit": m.submitRandomJob, "plan": m.planOnce, "end": m.endRandomTask, "cancel": m.cancelRandomJob,
+			"lose": m.loseRandomWorker, "add": m.addNextWorker, "limit": m.setRandomLimit, "refuse": m.refuseStart, "": m.checkInvariants,
 		})
 	})
 }
@@ -34,7 +34,7 @@
 	added     int
 }
 
-func (m *randomOps) submitOne(t *rapid.T) {
+func (m *randomOps) submitRandomJob(t *rapid.T) {
 	m.submitted++
 	class := rapid.SampledFrom([]winch.Class{urgent, deferred, nonRepeatable, longRunning}).Draw(t, "class")
 	kind := rapid.SampledFrom([]winch.JobKind{winch.Batch, winch.Gang, winch.LongRunning}).Draw(t, "kind")
@@ -46,7 +46,7 @@
 		time.Duration(rapid.IntRange(0, 300).Draw(t, "run"))*time.Second)
 }
 
-func (m *randomOps) planOne(t *rapid.T) {
+func (m *randomOps) planOnce(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pass")) * time.Second)
 	for _, d := range m.Plan(m.now, rapid.IntRange(1, 20).Draw(t, "most")) {
 		m.do(d)
@@ -57,7 +57,7 @@
 	m.collect()
 }
 
-func (m *randomOps) anyTask(t *rapid.T) (winch.TaskID, bool) {
+func (m *randomOps) randomTask(t *rapid.T) (winch.TaskID, bool) {
 	var ids []winch.TaskID
 	for _, n := range sortNodes(m.nodes) {
 		for _, p := range sortedTasks(n) {
@@ -70,13 +70,13 @@
 	return rapid.SampledFrom(ids).Draw(t, "task"), true
 }
 
-func (m *randomOps) endOne(t *rapid.T) {
-	if id, ok := m.anyTask(t); ok {
+func (m *randomOps) endRandomTask(t *rapid.T) {
+	if id, ok := m.randomTask(t); ok {
 		m.end(id, rapid.SampledFrom([]winch.TaskState{winch.TaskDone, winch.TaskDone, winch.TaskFailed}).Draw(t, "state"))
 	}
 }
 
-func (m *randomOps) cancelOne(t *rapid.T) {
+func (m *randomOps) cancelRandomJob(t *rapid.T) {
 	if m.submitted > 0 {
 		out, _ := m.Cancel(fmt.Sprintf("j%03d", rapid.IntRange(1, m.submitted).Draw(t, "job")))
 		for _, d := range out {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (m *randomOps) loseOne(t *rapid.T) {
+func (m *randomOps) loseRandomWorker(t *rapid.T) {
 	nodes := sortNodes(m.nodes)
 	if len(nodes) == 0 {
 		return
@@ -99,16 +99,16 @@
 	m.RemoveWorker(vm, m.now)
 }
 
-func (m *randomOps) addOne(*rapid.T) {
+func (m *randomOps) addNextWorker(*rapid.T) {
 	m.added++
 	m.addWorker(100+m.added%20, size8)
 }
 
-func (m *randomOps) limitOne(t *rapid.T) {
+func (m *randomOps) setRandomLimit(t *rapid.T) {
 	m.limits.limit[rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")] = rapid.IntRange(0, 20).Draw(t, "limit")
 }
 
-func (m *randomOps) refuseOne(*rapid.T) {
+func (m *randomOps) refuseStart(*rapid.T) {
 	out := m.Plan(m.now, 1)
 	for _, d := range out {
 		if d.Action != Start {
@@ -122,7 +122,7 @@
 	m.collect()
 }
 
-func (m *randomOps) check(t *rapid.T) {
+func (m *randomOps) checkInvariants(t *rapid.T) {
 	for id, j := range m.jobs {
 		idle := len(j.pending) > 0 && len(j.running) == 0 && j.shape == nil && !j.delayed && !j.held
 		if idle && !j.rec.State.Final() {
--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -19,7 +19,7 @@
 )
 
 // holderGroup is a set of holders that share a simulated store.
-type fleet struct {
+type holderGroup struct {
 	platform *stand.Platform
 	holders  []*Holder
 	mu       sync.Mutex
@@ -28,8 +28,8 @@
 	group    conc.WaitGroup
 }
 
-func newFleet(n, limit int) *fleet {
-	f := &fleet{platform: &stand.Platform{}}
+func newHolderGroup(n, limit int) *holderGroup {
+	f := &holderGroup{platform: &stand.Platform{}}
 	f.setLimit(limit)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -44,13 +44,13 @@
 	return f
 }
 
-func (f *fleet) document() *winch.Document {
+func (f *holderGroup) document() *winch.Document {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.doc
 }
 
-func (f *fleet) setLimit(limit int) {
+func (f *holderGroup) setLimit(limit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version := uint64(1)
@@ -61,7 +61,7 @@
 }
 
 // shareDemand sets each holder's view of the demand of the others once per second.
-func (f *fleet) shareDemand(ctx context.Context) {
+func (f *holderGroup) shareDemand(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
 		for i, h := range f.holders {
@@ -77,12 +77,12 @@
 	}
 }
 
-func (f *fleet) stop() {
+func (f *holderGroup) stop() {
 	f.cancel()
 	f.group.Wait()
 }
 
-func (f *fleet) units(t *testing.T) Units {
+func (f *holderGroup) units(t *testing.T) Units {
 	t.Helper()
 	v, err := swap.Read[Units](context.Background(), f.platform, Key)
 	if err != nil {
@@ -97,7 +97,7 @@
 func TestUnitsFollowDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet(5, 3)
+		f := newHolderGroup(5, 3)
 		defer f.stop()
 		ctx := context.Background()
 		for _, h := range f.holders {
@@ -120,7 +120,7 @@
 func TestReleasedUnitReachesWaitingCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet(2, 4)
+		f := newHolderGroup(2, 4)
 		defer f.stop()
 		ctx := context.Background()
 		for range 4 {
@@ -148,7 +148,7 @@
 func TestLoweredLimitStopsStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet(2, 20)
+		f := newHolderGroup(2, 20)
 		defer f.stop()
 		ctx := context.Background()
 		for i := range 20 {
@@ -181,7 +181,7 @@
 func TestUnitsOfAnUncertainReturnAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet(1, 12)
+		f := newHolderGroup(1, 12)
 		defer f.stop()
 		h := f.holders[0]
 		ctx := context.Background()
@@ -211,7 +211,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		f := &fleet{platform: p}
+		f := &holderGroup{platform: p}
 		f.setLimit(24)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group conc.WaitGroup
@@ -258,11 +258,11 @@
 // An entry loses its office and acquires it again while its write that returns idle units
 // is in progress. The write fails because it belongs to the earlier term. If the holder then
 // made the units usable again, they would exist twice, and the team could exceed its limit.
-func TestOfficeReacquiredDuringBalance(t *testing.T) {
+func TestWriteOfAnEarlierTermFreesNoUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &hookStore{Platform: &stand.Platform{}}
-		f := &fleet{}
+		f := &holderGroup{}
 		f.setLimit(24)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group conc.WaitGroup
@@ -287,16 +287,16 @@
 
 // Holders take and release units at random while the store is slow, down or loses
 // responses. Together they must never use more than the limit.
-func TestNeverOverLimit(t *testing.T) {
+func TestHoldersTogetherStayWithinLimit(t *testing.T) {
 	for seed := range uint64(40) {
-		synctest.Test(t, func(t *testing.T) { runRandomFleet(t, seed) })
+		synctest.Test(t, func(t *testing.T) { runRandomHolders(t, seed) })
 	}
 }
 
-func runRandomFleet(t *testing.T, seed uint64) {
+func runRandomHolders(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	limit := 2 + rnd.IntN(30)
-	f := newFleet(4, limit)
+	f := newHolderGroup(4, limit)
 	defer f.stop()
 	var mu sync.Mutex
 	used := 0
@@ -342,7 +342,7 @@
 func TestOwedUnitsAreReturnedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleet(1, 10)
+		f := newHolderGroup(1, 10)
 		defer f.stop()
 		ctx := context.Background()
 		h := f.holders[0]
--- a/coord/slots/home.go
+++ b/coord/slots/home.go
@@ -51,7 +51,7 @@
 func (t *Table) removeExecutor(id string) proto.Handoff {
 	out := proto.Handoff{Executor: id, Held: t.slotsInUse(id)}
 	for _, g := range t.grants {
-		if g.exec.vm.ID == id {
+		if g.executor.vm.ID == id {
 			t.release(g)
 		}
 	}
@@ -63,7 +63,7 @@
 func (t *Table) slotsInUse(id string) []proto.HeldSlot {
 	var out []proto.HeldSlot
 	for _, g := range t.grants {
-		if g.exec.vm.ID == id {
+		if g.executor.vm.ID == id {
 			out = append(out, proto.HeldSlot{Grant: g.id, Executor: id, Team: g.team, Left: time.Until(g.expires)})
 		}
 	}
@@ -148,7 +148,7 @@
 			}
 			continue
 		}
-		t.addGrant(&grant{id: h.Grant, holder: holder, team: h.Team, exec: e, expires: now.Add(h.Left)})
+		t.addGrant(&grant{id: h.Grant, holder: holder, team: h.Team, executor: e, expires: now.Add(h.Left)})
 	}
 }
 
--- a/coord/slots/slots_test.go
+++ b/coord/slots/slots_test.go
@@ -63,7 +63,7 @@
 	return b.Acquire(context.Background(), "a", newRequest(id, team, remaining))
 }
 
-func (b *rig) giveBack(id string, v proto.Verdict, after time.Duration) {
+func (b *rig) returnSlot(id string, v proto.Verdict, after time.Duration) {
 	if err := b.Return(proto.SlotRelease{Grant: id, Verdict: v, After: after, Took: time.Second}); err != nil {
 		b.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 
 // Calls wait for a slot. They must be served in the order of their deadlines, and a call
 // whose deadline passes must be refused at that instant.
-func TestDeadlineOrder(t *testing.T) {
+func TestWaitersAreServedInDeadlineOrder(t *testing.T) {
 	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
 		is.True(b.acquire("first", "choir", time.Second).Refused.OK())
@@ -105,7 +105,7 @@
 		time.Sleep(2 * time.Second)
 		last := "first"
 		for _, want := range []string{"w1", "w2", "w0"} {
-			b.giveBack(last, proto.Answered, 0)
+			b.returnSlot(last, proto.Answered, 0)
 			is.Equal(order[len(order)-1], want)
 			last = want
 		}
@@ -119,7 +119,7 @@
 	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
 		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
-		b.giveBack("x", proto.Answered, 0) // a run takes a second
+		b.returnSlot("x", proto.Answered, 0) // a run takes a second
 		is.True(b.acquire("y", "choir", time.Second).Refused.OK())
 		for i := range 5 {
 			b.group.Go(func() { b.acquire(fmt.Sprint("w", i), "choir", 10*time.Second) })
@@ -136,7 +136,7 @@
 
 // One team floods the queue before another team queues its calls. As both have the same
 // share, the next freed slots must go to the team that uses fewer.
-func TestShareInQueue(t *testing.T) {
+func TestFreedSlotsFollowShares(t *testing.T) {
 	withTable(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
 		is.True(b.acquire("f0", "flood", time.Hour).Refused.OK())
@@ -155,9 +155,9 @@
 		}
 		wait("quiet0", "quiet")
 		wait("quiet1", "quiet")
-		b.giveBack("f0", proto.Answered, 0)
+		b.returnSlot("f0", proto.Answered, 0)
 		is.Equal(<-granted, "quiet0")
-		b.giveBack("quiet0", proto.Answered, 0)
+		b.returnSlot("quiet0", proto.Answered, 0)
 		is.Equal(<-granted, "quiet1")
 		is.NoErr(b.Close(context.Background(), winch.Refuse(winch.Stopping, "")))
 		b.group.Wait()
@@ -190,7 +190,7 @@
 	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
 		is.True(b.acquire("x", "choir", time.Second).Refused.OK())
-		b.giveBack("x", proto.Failed, 20*time.Second)
+		b.returnSlot("x", proto.Failed, 20*time.Second)
 		started := time.Now()
 		is.True(b.acquire("y", "choir", time.Minute).Refused.OK())
 		waited := time.Since(started)
@@ -213,10 +213,10 @@
 
 // An entry cancels a request for a slot, and the cancellation overtakes the request. The
 // request must then be refused, or the slot would stay in use until it expires.
-func TestReturnOvertakesRequest(t *testing.T) {
+func TestRequestAfterItsReturnIsRefused(t *testing.T) {
 	withTable(t, 1, 1, func(b *rig) {
 		is := is.New(b.T)
-		b.giveBack("x", proto.Unused, 0)
+		b.returnSlot("x", proto.Unused, 0)
 		is.Equal(b.acquire("x", "choir", time.Second).Refused.Reason, winch.CallerGone)
 		is.Equal(b.busy(), 0)
 	})
@@ -247,10 +247,10 @@
 
 // A call ends while its executor moves to another home, and the return of the slot
 // overtakes the handoff. The new home must not keep the slot in use for the ended call.
-func TestReturnOvertakesHandoff(t *testing.T) {
+func TestSlotReturnedBeforeItsHandoffIsFree(t *testing.T) {
 	withTable(t, 1, 2, func(b *rig) {
 		is := is.New(b.T)
-		b.giveBack("x", proto.Answered, 0)
+		b.returnSlot("x", proto.Answered, 0)
 		is.NoErr(b.Adopt(proto.Handoff{Executor: "e0", Held: []proto.HeldSlot{
 			{Grant: "x", Executor: "e0", Left: 30 * time.Second}, {Grant: "y", Executor: "e0", Left: 30 * time.Second},
 		}}))
@@ -262,20 +262,20 @@
 // The home of an executor has crashed, and the new home does not know which calls still
 // run there. To avoid overload, it must open one slot at first and one more with each
 // answered call.
-func TestSlotsOpenStepByStep(t *testing.T) {
+func TestSlotsOfANewHomeOpenOneByOne(t *testing.T) {
 	withTable(t, 0, 0, func(b *rig) {
 		is := is.New(b.T)
 		b.setExecutors(1, 4, 1)
 		for n := 1; n <= 4; n++ {
 			is.True(b.acquire(fmt.Sprint("x", n), "choir", time.Second).Refused.OK())
-			b.giveBack(fmt.Sprint("x", n), proto.Answered, 0)
+			b.returnSlot(fmt.Sprint("x", n), proto.Answered, 0)
 			is.Equal(b.Loads()[0].Slots, min(n+1, 4))
 		}
 		is.NoErr(b.Reconcile("b", []proto.HeldSlot{{Grant: "old", Executor: "e0", Left: 5 * time.Second}}, false))
 		synctest.Wait()
 		is.Equal(b.busy(), 1) // another entry reports a call that the previous home granted
 		is.Equal(b.acquire("z", "choir", time.Second).Executor.ID, "e0")
-		b.giveBack("z", proto.Rejected, 0)
+		b.returnSlot("z", proto.Rejected, 0)
 		is.Equal(b.Loads()[0].Slots, 2) // the executor had no free slot after all
 	})
 }
@@ -309,10 +309,10 @@
 			is.True(r.Refused.OK())
 			if r.Executor.ID == "e0" {
 				failed++
-				b.giveBack(id, proto.Failed, 0)
+				b.returnSlot(id, proto.Failed, 0)
 				continue
 			}
-			b.giveBack(id, proto.Answered, 0)
+			b.returnSlot(id, proto.Answered, 0)
 		}
 		is.Equal(failed, failuresToQuarantine)
 		time.Sleep(2 * time.Second)
@@ -321,14 +321,14 @@
 			if b.acquire(id, "choir", time.Second).Executor.ID == "e0" {
 				failed++
 			}
-			b.giveBack(id, proto.Answered, 0)
+			b.returnSlot(id, proto.Answered, 0)
 		}
 		is.True(failed > failuresToQuarantine) // its quarantine is over
 		for i := range 400 {
 			id := fmt.Sprint("z", i)
 			r := b.acquire(id, "choir", time.Second)
 			is.True(r.Refused.OK()) // all executors fail, yet half of them stay available
-			b.giveBack(id, proto.Failed, 0)
+			b.returnSlot(id, proto.Failed, 0)
 		}
 	})
 }
--- a/coord/slots/table.go
+++ b/coord/slots/table.go
@@ -33,10 +33,10 @@
 
 // grant is a slot in use.
 type grant struct {
-	id     string
-	holder string
-	team   string
-	exec   *executor
+	id       string
+	holder   string
+	team     string
+	executor *executor
 	// expires is when the work is guaranteed to have ended, even if no report of it
 	// arrives.
 	expires time.Time
@@ -131,15 +131,15 @@
 	case response := <-w.reply:
 		return response
 	case <-timer.C:
-		t.refuseWaiting(w, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", t.retryAfter(ctx, request.Service)))
+		t.refuseWaiter(w, winch.RefuseFor(winch.DeadlinePassed, "no slot came free before the deadline", t.retryAfter(ctx, request.Service)))
 	case <-ctx.Done():
-		t.refuseWaiting(w, winch.Refuse(winch.CallerGone, "the caller went away"))
+		t.refuseWaiter(w, winch.Refuse(winch.CallerGone, "the caller went away"))
 	}
 	return <-w.reply
 }
 
 // refuseWaiter refuses a waiter unless it has received a response in the meantime.
-func (t *Table) refuseWaiting(w *waiter, why winch.Result) {
+func (t *Table) refuseWaiter(w *waiter, why winch.Result) {
 	err := t.Duty.Do(context.Background(), func() {
 		if t.dequeue(w) {
 			w.reply <- proto.SlotResponse{Refused: why}
@@ -246,7 +246,7 @@
 
 // grantTo grants a slot of the executor to the waiter.
 func (t *Table) grantTo(w *waiter, e *executor) {
-	g := &grant{id: w.request.Grant, holder: w.holder, team: w.request.Team, exec: e}
+	g := &grant{id: w.request.Grant, holder: w.holder, team: w.request.Team, executor: e}
 	g.expires = time.Now().Add(w.request.MaxRun)
 	t.addGrant(g)
 	w.reply <- proto.SlotResponse{Executor: e.vm}
@@ -255,7 +255,7 @@
 // addGrant records a slot as in use.
 func (t *Table) addGrant(g *grant) {
 	t.grants[g.id] = g
-	g.exec.busy++
+	g.executor.busy++
 	t.inUse[g.team]++
 	t.publishLoads()
 }
@@ -263,7 +263,7 @@
 // release frees the slot of a grant.
 func (t *Table) release(g *grant) {
 	delete(t.grants, g.id)
-	g.exec.busy--
+	g.executor.busy--
 	t.inUse[g.team]--
 	t.publishLoads()
 }
@@ -312,13 +312,13 @@
 			t.cancelRequest(done.Grant)
 			return
 		}
-		t.applyVerdict(g.exec, done)
+		t.applyVerdict(g.executor, done)
 		if done.After > 0 {
 			g.expires = time.Now().Add(done.After)
 			return
 		}
 		t.release(g)
-		t.dispatch(t.service(g.exec.vm.Service))
+		t.dispatch(t.service(g.executor.vm.Service))
 	})
 }
 
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -76,7 +76,7 @@
 
 // Guards against a second run of a request while the first may still be running: the executor's VM dies during a
 // preview. The caller must get at once an unknown outcome and the time after which it may send the request again.
-func TestExecutorDiesDuringCall(t *testing.T) {
+func TestCallIsUnknownWhenItsExecutorDies(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a, _ := newPair(w)
@@ -114,8 +114,8 @@
 func TestHungExecutorKeepsSlotAndUnitInUse(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.executor("e1", "d1", 2)
-		a := w.entry("a", "d1")
+		w.addExecutor("e1", "d1", 2)
+		a := w.addEntry("a", "d1")
 		w.settle()
 		w.configure(a, 2, "choir")
 		w.settle()
@@ -270,8 +270,8 @@
 func TestWaitingCallsAreRefusedWhenTheirKeyIsWithdrawn(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.executor("e1", "d1", 1)
-		a, b := w.entry("a", "d1"), w.entry("b", "d1")
+		w.addExecutor("e1", "d1", 1)
+		a, b := w.addEntry("a", "d1"), w.addEntry("b", "d1")
 		w.settle()
 		w.configure(a, 50, "choir", "guild")
 		w.settle()
@@ -316,9 +316,9 @@
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		for i := range 6 {
-			w.executor(fmt.Sprint("e", i), "d1", 8)
+			w.addExecutor(fmt.Sprint("e", i), "d1", 8)
 		}
-		a, b := w.entry("a", "d1"), w.entry("b", "d1")
+		a, b := w.addEntry("a", "d1"), w.addEntry("b", "d1")
 		w.settle()
 		w.configure(a, 7, "choir", "guild")
 		w.settle()
@@ -356,7 +356,7 @@
 		for _, id := range []string{"e1", "e2"} {
 			w.platform.SetVM(winch.VM{ID: id, Address: id, Role: winch.RoleExecutor, Domain: "d1", Service: "render", Slots: 4, Leaving: true})
 		}
-		w.executor("e3", "d1", 4)
+		w.addExecutor("e3", "d1", 4)
 		time.Sleep(3 * time.Second)
 		before := w.executors.totalRuns()
 		for i := range 8 {
@@ -447,8 +447,8 @@
 func TestSlotGrantedOverABrokenConnectionIsNotLost(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.executor("e1", "d1", 2)
-		a, b := w.entry("a", "d1"), w.entry("b", "d1")
+		w.addExecutor("e1", "d1", 2)
+		a, b := w.addEntry("a", "d1"), w.addEntry("b", "d1")
 		w.settle()
 		w.configure(a, 50, "choir")
 		w.settle()
@@ -475,12 +475,12 @@
 
 // Guards against an entry that takes many seconds to serve calls after the store became available: the entry starts
 // shortly before the store can be reached, so its first accesses fail.
-func TestEntryStartsBeforeTheStore(t *testing.T) {
+func TestEntryServesSoonAfterTheStoreIsAvailable(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a, _ := newPair(w)
 		w.platform.Set(platformDown)
-		c := w.entry("c", "d1")
+		c := w.addEntry("c", "d1")
 		time.Sleep(1700 * time.Millisecond)
 		w.platform.Set(stand.Faults{})
 		time.Sleep(1500 * time.Millisecond)
--- a/entry/chaos_test.go
+++ b/entry/chaos_test.go
@@ -77,13 +77,13 @@
 	}
 	for _, d := range []string{"d1", "d2"} {
 		for i := range 3 {
-			w.worker(fmt.Sprintf("w%d-%s", i, d), d)
+			w.addWorker(fmt.Sprintf("w%d-%s", i, d), d)
 		}
 		for i := range 2 {
-			w.executor(fmt.Sprintf("e%d-%s", i, d), d, 3)
+			w.addExecutor(fmt.Sprintf("e%d-%s", i, d), d, 3)
 			name := fmt.Sprintf("%s-%d", d, i)
 			c.entryNames = append(c.entryNames, name)
-			c.live[name] = w.entry(name, d)
+			c.live[name] = w.addEntry(name, d)
 		}
 	}
 	w.settle()
@@ -291,7 +291,7 @@
 
 // startEntry starts a new process of an entry.
 func (c *randomSchedule) startEntry(name string) {
-	n := c.entry(name, name[:2])
+	n := c.addEntry(name, name[:2])
 	c.liveMu.Lock()
 	c.live[name] = n
 	c.liveMu.Unlock()
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -101,12 +101,12 @@
 }
 
 // addExecutor adds an executor to the platform's list.
-func (w *world) executor(id, domain string, slots int) {
+func (w *world) addExecutor(id, domain string, slots int) {
 	w.platform.SetVM(winch.VM{ID: id, Address: id, Role: winch.RoleExecutor, Domain: domain, Service: "render", Slots: slots, Connections: 64})
 }
 
 // addWorker adds a worker of 8 processors to the platform's list.
-func (w *world) worker(id, domain string) *stand.Worker {
+func (w *world) addWorker(id, domain string) *stand.Worker {
 	vm := winch.VM{ID: id, Address: id, Role: winch.RoleWorker, Domain: domain, Rack: "r1", Size: winch.Resources{Processors: 8, Memory: 8 << 30}}
 	s := &stand.Worker{VM: vm, Fence: !w.noFencing}
 	w.mu.Lock()
@@ -124,7 +124,7 @@
 }
 
 // addEntry starts an entry.
-func (w *world) entry(name, domain string) *node {
+func (w *world) addEntry(name, domain string) *node {
 	s := conf.Default()
 	s.Entry = conf.Entry{Name: name, Domain: domain}
 	s.Cell.Partitions = 4
--- a/entry/job_test.go
+++ b/entry/job_test.go
@@ -321,10 +321,10 @@
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		for _, d := range []string{"d1", "d2"} {
-			w.executor("e-"+d, d, 4)
-			w.worker("w-"+d, d)
-			w.entry("a-"+d, d)
-			w.entry("b-"+d, d)
+			w.addExecutor("e-"+d, d, 4)
+			w.addWorker("w-"+d, d)
+			w.addEntry("a-"+d, d)
+			w.addEntry("b-"+d, d)
 		}
 		w.settle()
 		a1, a2 := w.entries["a-d1"], w.entries["a-d2"]
@@ -371,9 +371,9 @@
 func TestNewPlannerStartsTheTaskAtTheSameWorker(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.worker("w1", "d1")
-		w.entry("a", "d1")
-		w.entry("b", "d1")
+		w.addWorker("w1", "d1")
+		w.addEntry("a", "d1")
+		w.addEntry("b", "d1")
 		w.settle()
 		old := w.planner("d1")
 		other := w.otherEntry(old)
@@ -472,13 +472,13 @@
 func TestJobIsFoundWithoutANotification(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		w.worker("w1", "d1")
-		a := w.entry("d1-0", "d1")
-		b := w.entry("d2-0", "d2")
+		w.addWorker("w1", "d1")
+		a := w.addEntry("d1-0", "d1")
+		b := w.addEntry("d2-0", "d2")
 		w.settle()
 		w.configure(a, 4, "choir")
 		w.settle()
-		c := w.entry("d1-1", "d1")
+		c := w.addEntry("d1-1", "d1")
 		w.settle()
 		w.platform.Set(stand.Faults{Latency: 400 * time.Millisecond})
 		a.kill()
@@ -503,7 +503,7 @@
 func TestChangeWithALostResponseReturns(t *testing.T) {
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
-		a := w.entry("d1-0", "d1")
+		a := w.addEntry("d1-0", "d1")
 		w.settle()
 		w.configure(a, 4, "choir")
 		w.platform.Set(stand.Faults{Latency: 100 * time.Millisecond})
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -120,7 +120,7 @@
 
 // plannerOf returns the name and epoch of a domain's planner as far as this entry knows them.
 func (e *Entry) plannerOf(domain string) (string, uint64) {
-	name, epoch := e.members.View().Placer(domain)
+	name, epoch := e.members.View().Planner(domain)
 	if domain == e.Domain() {
 		if own, ownEpoch := e.office.Holder(); ownEpoch >= epoch {
 			return own, ownEpoch
--- a/entry/membership.go
+++ b/entry/membership.go
@@ -28,7 +28,7 @@
 	// reclaimInterval is the interval at which the planner looks for units of holders that have ended.
 	reclaimInterval = 10 * time.Second
 	// clockDriftMargin is added to waiting times because clocks run at different rates.
-	clockMargin = 2 * time.Second
+	clockDriftMargin = 2 * time.Second
 	// storeTimeout bounds one operation on the store.
 	storeTimeout = 2 * time.Second
 )
@@ -200,7 +200,7 @@
 		if _, replaced := live[name]; replaced || e.removedFromList(name) {
 			unitTerm = 0 // The process is guaranteed to have ended, so only its work at executors may still be running.
 		}
-		if time.Since(since) > unitTerm+u.Longest[holder]+clockMargin {
+		if time.Since(since) > unitTerm+u.Longest[holder]+clockDriftMargin {
 			ended = append(ended, holder)
 			delete(missing, holder)
 		}
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -11,12 +11,12 @@
 
 // newPair starts two entries in one failure domain that has two executors and two workers.
 func newPair(w *world) (*node, *node) {
-	w.executor("e1", "d1", 4)
-	w.executor("e2", "d1", 4)
-	w.worker("w1", "d1")
-	w.worker("w2", "d1")
-	a := w.entry("a", "d1")
-	b := w.entry("b", "d1")
+	w.addExecutor("e1", "d1", 4)
+	w.addExecutor("e2", "d1", 4)
+	w.addWorker("w1", "d1")
+	w.addWorker("w2", "d1")
+	a := w.addEntry("a", "d1")
+	b := w.addEntry("b", "d1")
 	w.settle()
 	w.configure(a, 20, "choir", "guild")
 	w.settle()
--- a/entry/status.go
+++ b/entry/status.go
@@ -67,7 +67,7 @@
 	}
 	out := CellStatus{Entry: e.Name(), Config: e.config.Version(), Store: own.Store}
 	domains := make(map[string]*DomainStatus)
-	teams := e.teamRows()
+	teams := e.teamStatuses()
 	for name, b := range beats {
 		out.Entries = append(out.Entries, memberStatus(name, b))
 		addDomain(domains, name, b)
@@ -91,7 +91,7 @@
 }
 
 // teamStatuses returns a status for each team of the configuration, without its usage.
-func (e *Entry) teamRows() map[string]*TeamStatus {
+func (e *Entry) teamStatuses() map[string]*TeamStatus {
 	out := make(map[string]*TeamStatus)
 	if doc := e.config.Get(); doc != nil {
 		for name, t := range doc.Teams {
