--- a/coord/quota/quota_test.go
+++ b/coord/quota/quota_test.go
@@ -326,11 +326,11 @@
 	}
 	for range 20 {
 		time.Sleep(time.Second)
-		f.platform.Set(stand.Faults{
+		f.platform.SetFaults(stand.Faults{
 			Down: rnd.IntN(5) == 0, LoseReplies: rnd.IntN(3), LosePrefix: Key, Latency: time.Duration(rnd.IntN(60)) * time.Millisecond,
 		})
 	}
-	f.platform.Set(stand.Faults{})
+	f.platform.SetFaults(stand.Faults{})
 	group.Wait()
 	time.Sleep(3 * time.Second)
 	u := f.units(t)
--- a/entry/call_test.go
+++ b/entry/call_test.go
@@ -255,7 +255,7 @@
 			w.call(a, "choir", "preview", "warm", "x")
 			w.call(b, "choir", "preview", "warm", "x")
 		}
-		w.platform.Set(platformDown)
+		w.platform.SetFaults(platformDown)
 		for i := range 60 {
 			time.Sleep(time.Second)
 			got := w.call([]*node{a, b}[i%2], "choir", "preview", fmt.Sprint("c", i), "x")
@@ -479,10 +479,10 @@
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a, _ := newPair(w)
-		w.platform.Set(platformDown)
+		w.platform.SetFaults(platformDown)
 		c := w.addEntry("c", "d1")
 		time.Sleep(1700 * time.Millisecond)
-		w.platform.Set(stand.Faults{})
+		w.platform.SetFaults(stand.Faults{})
 		time.Sleep(1500 * time.Millisecond)
 		is.Equal(w.call(c, "choir", "preview", "x", "y").Outcome, winch.Done)
 		_ = a
--- a/entry/chaos_test.go
+++ b/entry/chaos_test.go
@@ -224,20 +224,20 @@
 				n.loseResponses(1 + c.rnd.IntN(4))
 			}
 		case 4:
-			c.platform.Set(stand.Faults{Down: true})
-			c.undoLater(20, func() { c.platform.Set(stand.Faults{}) })
+			c.platform.SetFaults(stand.Faults{Down: true})
+			c.undoLater(20, func() { c.platform.SetFaults(stand.Faults{}) })
 		case 5:
-			c.platform.Set(stand.Faults{Latency: time.Duration(c.rnd.IntN(1500)) * time.Millisecond})
-			c.undoLater(10, func() { c.platform.Set(stand.Faults{}) })
+			c.platform.SetFaults(stand.Faults{Latency: time.Duration(c.rnd.IntN(1500)) * time.Millisecond})
+			c.undoLater(10, func() { c.platform.SetFaults(stand.Faults{}) })
 		case 6:
 			c.partition(true, c.entryNames[:2], c.entryNames[2:])
 			c.undoLater(20, func() { c.partition(false, c.entryNames[:2], c.entryNames[2:]); c.reconnect() })
 		case 7, 8:
 			s := c.randomWorker()
-			s.Set(stand.WorkerFaults{Down: true})
-			c.undoLater(40, func() { s.Set(stand.WorkerFaults{}) })
+			s.SetFaults(stand.WorkerFaults{Down: true})
+			c.undoLater(40, func() { s.SetFaults(stand.WorkerFaults{}) })
 		case 9:
-			c.randomWorker().Set(stand.WorkerFaults{LoseReplies: 1 + c.rnd.IntN(3)})
+			c.randomWorker().SetFaults(stand.WorkerFaults{LoseReplies: 1 + c.rnd.IntN(3)})
 		case 10:
 			c.undoLater(20, c.executors.block(fmt.Sprintf("e%d-d%d", c.rnd.IntN(2), 1+c.rnd.IntN(2))))
 		case 11:
@@ -312,10 +312,10 @@
 
 // endFaults ends all faults and waits until the cell has recovered.
 func (c *randomSchedule) endFaults() {
-	c.platform.Set(stand.Faults{})
+	c.platform.SetFaults(stand.Faults{})
 	c.partition(false, c.entryNames[:2], c.entryNames[2:])
 	for _, s := range c.fleet() {
-		s.Set(stand.WorkerFaults{})
+		s.SetFaults(stand.WorkerFaults{})
 	}
 	c.executors.unblockAll()
 	for _, n := range c.live {
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -254,7 +254,7 @@
 		w.recordViolation("task %s of class %s was started twice", task.ID, task.Class)
 	}
 	for id, other := range w.fleet() {
-		if other != at && other.Runs(task.ID) {
+		if other != at && other.IsRunning(task.ID) {
 			w.recordViolation("task %s runs on %s and %s", task.ID, at.VM.ID, id)
 		}
 	}
--- a/entry/job_test.go
+++ b/entry/job_test.go
@@ -84,12 +84,12 @@
 	bubble(t, func(w *world) {
 		is := is.New(w.t)
 		a, _ := newPair(w)
-		w.platform.Set(platformDown)
+		w.platform.SetFaults(platformDown)
 		_, r := w.submit(a, "choir", "mix", "j1", winch.Batch, 1, time.Second)
 		is.Equal(r.Outcome, winch.NotRun)
 		is.Equal(r.Reason, winch.StoreUnavailable)
 		is.True(r.RetryAfter > 0)
-		w.platform.Set(stand.Faults{})
+		w.platform.SetFaults(stand.Faults{})
 		time.Sleep(10 * time.Second)
 		jobs, r := a.ListJobs(context.Background(), w.keys["choir"])
 		is.True(r.OK())
@@ -213,7 +213,7 @@
 		billed, r := w.submit(a, "choir", "billed", "j2", winch.Batch, 8, 30*time.Second)
 		is.True(r.OK())
 		time.Sleep(2 * time.Second)
-		w.workers["w1"].Set(stand.WorkerFaults{Down: true})
+		w.workers["w1"].SetFaults(stand.WorkerFaults{Down: true})
 		v := w.awaitJob(a, "choir", mix.ID, 3*time.Minute)
 		is.Equal(v.State, winch.JobDone)
 		b := w.awaitJob(a, "choir", billed.ID, 3*time.Minute)
@@ -238,7 +238,7 @@
 		is := is.New(w.t)
 		a, _ := newPair(w)
 		for _, s := range w.workers {
-			s.Set(stand.WorkerFaults{LoseReplies: 3})
+			s.SetFaults(stand.WorkerFaults{LoseReplies: 3})
 		}
 		job, r := w.submit(a, "choir", "billed", "j1", winch.Batch, 6, 10*time.Second)
 		is.True(r.OK())
@@ -256,10 +256,10 @@
 		job, r := w.submit(a, "choir", "mix", "j1", winch.Batch, 32, 10*time.Second)
 		is.True(r.OK())
 		time.Sleep(time.Second)
-		w.platform.Set(platformDown)
+		w.platform.SetFaults(platformDown)
 		time.Sleep(40 * time.Second)
 		started := len(w.startCounts())
-		w.platform.Set(stand.Faults{})
+		w.platform.SetFaults(stand.Faults{})
 		is.Equal(started, 32) // the second half started while the store was down
 		is.Equal(w.awaitJob(a, "choir", job.ID, time.Minute).State, winch.JobDone)
 		for _, n := range w.startCounts() {
@@ -383,9 +383,9 @@
 		is.True(r.OK())
 		time.Sleep(2 * time.Second)
 		old.pause() // the leases of the tasks expire, since nobody renews them
-		w.platform.Set(platformDown)
+		w.platform.SetFaults(platformDown)
 		time.Sleep(20 * time.Second)
-		w.platform.Set(stand.Faults{})
+		w.platform.SetFaults(stand.Faults{})
 		old.kill()
 		is.Equal(w.awaitJob(other, "choir", job.ID, 10*time.Minute).State, winch.JobDone)
 	})
@@ -480,12 +480,12 @@
 		w.settle()
 		c := w.addEntry("d1-1", "d1")
 		w.settle()
-		w.platform.Set(stand.Faults{Latency: 400 * time.Millisecond})
+		w.platform.SetFaults(stand.Faults{Latency: 400 * time.Millisecond})
 		a.kill()
 		for w.planner("d1") != c {
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.platform.Set(stand.Faults{})
+		w.platform.SetFaults(stand.Faults{})
 		w.settle()
 		w.sendFirst("d1-1", "d2-0")
 		w.settle()
@@ -506,7 +506,7 @@
 		a := w.addEntry("d1-0", "d1")
 		w.settle()
 		w.configure(a, 4, "choir")
-		w.platform.Set(stand.Faults{Latency: 100 * time.Millisecond})
+		w.platform.SetFaults(stand.Faults{Latency: 100 * time.Millisecond})
 		a.loseResponses(100)
 		var group conc.WaitGroup
 		var r winch.Result
--- a/server/region.go
+++ b/server/region.go
@@ -48,10 +48,10 @@
 	Node *region.Node
 	Mesh *peer.Mesh
 
-	mu        sync.Mutex // mu guards Settings once Run has begun.
-	table     *platform.Table
-	runner    *platform.WorkerClient
-	listeners map[string]net.Listener
+	mu           sync.Mutex // mu guards Settings once Run has begun.
+	table        *platform.Table
+	workerClient *platform.WorkerClient
+	listeners    map[string]net.Listener
 }
 
 // Prepare opens the listeners and builds the entry.
@@ -67,12 +67,12 @@
 		Token: s.Settings.Peers.Token, Log: s.Log, Metrics: s.Metrics,
 	}
 	s.table = platform.NewTable(s.Settings.Platform.Address)
-	s.runner = &platform.WorkerClient{}
+	s.workerClient = &platform.WorkerClient{}
 	s.Node = &region.Node{
 		Name: boot, Host: e.Name, Domain: e.Domain, Address: cmp.Or(s.Settings.Listen.Announce, s.Settings.Listen.Peers),
 		Share:  int(1000 * s.Settings.Limits.Processors),
 		Timing: region.Timing{Lease: s.Settings.Timing.Lease, Retention: s.Settings.Timing.Keep},
-		Table:  s.table, Runner: s.runner, Advisor: platform.NewAdvisor(s.Settings.Platform.Advice),
+		Table:  s.table, Runner: s.workerClient, Advisor: platform.NewAdvisor(s.Settings.Platform.Advice),
 		Codec: platform.Codec{}, Peers: s.Mesh, Log: s.Log, Metrics: s.Metrics,
 	}
 	s.Node.Prepare()
@@ -111,7 +111,7 @@
 func (s *Region) registerGauges() {
 	for name, f := range map[string]func() int64{
 		"Control.Store.Calls":  s.table.Calls,
-		"Control.Worker.Calls": s.runner.Calls,
+		"Control.Worker.Calls": s.workerClient.Calls,
 		"Control.Peer.Bytes":   func() int64 { _, bytes := s.Mesh.Cost(); return bytes },
 	} {
 		_ = s.Metrics.Register(name, metrics.NewFunctionalGauge(f))
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -53,12 +53,12 @@
 	status, state := 0, ""
 	for deadline := time.Now().Add(s.Duration + recoveryTime); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if status, state = c.State(ctx, pickEntry(), j); state == "failed" {
-			s.updateReport(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.site.Checker.CrashCount(j.ID) })
+			s.updateReport(func(r *Report) { r.GivenUp, r.Crashed = r.GivenUp+1, r.Crashed+s.platform.Checker.CrashCount(j.ID) })
 			return
 		}
 		duty.Sleep(ctx, 200*time.Millisecond)
 	}
-	s.addProblem("job %s crashed %d workers and was not given up: last response %d %q", j.ID, s.site.Checker.CrashCount(j.ID), status, state)
+	s.addProblem("job %s crashed %d workers and was not given up: last response %d %q", j.ID, s.platform.Checker.CrashCount(j.ID), status, state)
 }
 
 // shrinkWorkers has single workers report a reduced capacity for a while, until activeCtx ends.
@@ -69,13 +69,13 @@
 		if activeCtx.Err() != nil {
 			return
 		}
-		i, milli := rnd.IntN(s.site.Size()), int64(1000*rnd.IntN(6))
+		i, milli := rnd.IntN(s.platform.Size()), int64(1000*rnd.IntN(6))
 		duration := time.Duration(1000+rnd.IntN(8000)) * time.Millisecond
 		s.logFault("worker %d reports a capacity of %d thousandths of a processor for %v", i, milli, duration)
-		s.site.SetCapacity(i, milli)
+		s.platform.SetCapacity(i, milli)
 		s.group.Go(func() {
 			duty.Sleep(ctx, duration)
-			s.site.SetCapacity(i, s.site.Milli)
+			s.platform.SetCapacity(i, s.platform.Milli)
 		})
 	}
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -14,7 +14,7 @@
 // overlap.
 func (s *Soak) injectFault(ctx context.Context) {
 	p := s.procs[s.rnd.IntN(len(s.procs))]
-	worker := s.rnd.IntN(s.site.Size())
+	worker := s.rnd.IntN(s.platform.Size())
 	long := time.Duration(300+s.rnd.IntN(4000)) * time.Millisecond
 	short := time.Duration(20+s.rnd.IntN(1500)) * time.Millisecond
 	// The names are written to the fault log. "freeze" pauses the entry's process, "silent" drops all data
@@ -27,14 +27,14 @@
 		{"silent", func() { p.storeRelay.setDropping(true) }, func() { p.storeRelay.setDropping(false) }, long},
 		{"reset", p.storeRelay.reset, func() {}, 0},
 		{"delay", func() { p.storeRelay.setDelay(150 * time.Millisecond) }, func() { p.storeRelay.setDelay(0) }, long},
-		{"store silent", func() { s.site.Store.SetFaults(fake.StoreFaults{Unresponsive: true}) }, s.clearStoreFaults, long},
-		{"store busy", func() { s.site.Store.SetFaults(fake.StoreFaults{Busy: true}) }, s.clearStoreFaults, long},
-		{"store slow", func() { s.site.Store.SetFaults(fake.StoreFaults{Delay: 250 * time.Millisecond}) }, s.clearStoreFaults, long},
-		{"store loses", func() { s.site.Store.SetFaults(fake.StoreFaults{LoseEvery: 3}) }, s.clearStoreFaults, long},
-		{"history gone", s.site.Store.Compact, func() {}, 0},
-		{"worker boots", func() { s.site.Reboot(worker) }, func() {}, 0},
-		{"worker mute", func() { s.site.LoseResponses(worker, true) }, func() { s.site.LoseResponses(worker, false) }, long},
-		{"configuration", s.site.Configure, func() {}, 0},
+		{"store silent", func() { s.platform.Store.SetFaults(fake.StoreFaults{Unresponsive: true}) }, s.clearStoreFaults, long},
+		{"store busy", func() { s.platform.Store.SetFaults(fake.StoreFaults{Busy: true}) }, s.clearStoreFaults, long},
+		{"store slow", func() { s.platform.Store.SetFaults(fake.StoreFaults{Delay: 250 * time.Millisecond}) }, s.clearStoreFaults, long},
+		{"store loses", func() { s.platform.Store.SetFaults(fake.StoreFaults{LoseEvery: 3}) }, s.clearStoreFaults, long},
+		{"history gone", s.platform.Store.Compact, func() {}, 0},
+		{"worker boots", func() { s.platform.Reboot(worker) }, func() {}, 0},
+		{"worker mute", func() { s.platform.LoseResponses(worker, true) }, func() { s.platform.LoseResponses(worker, false) }, long},
+		{"configuration", s.platform.Configure, func() {}, 0},
 		{"kill all", s.killAll, s.restartAll, short},
 	}
 	k := kinds[s.rnd.IntN(len(kinds))]
@@ -43,11 +43,11 @@
 		switch k.name {
 		case "configuration": // A configuration change does not relax any check.
 		case "stop":
-			s.site.Checker.RecordPlannedWork(true)
-			defer s.site.Checker.RecordPlannedWork(false)
+			s.platform.Checker.RecordPlannedWork(true)
+			defer s.platform.Checker.RecordPlannedWork(false)
 		default:
-			s.site.Checker.RecordDisturbance(true)
-			defer s.site.Checker.RecordDisturbance(false)
+			s.platform.Checker.RecordDisturbance(true)
+			defer s.platform.Checker.RecordDisturbance(false)
 		}
 		k.inject()
 		duty.Sleep(ctx, k.duration)
@@ -72,7 +72,7 @@
 }
 
 // clearStoreFaults ends all faults of the store.
-func (s *Soak) clearStoreFaults() { s.site.Store.SetFaults(fake.StoreFaults{}) }
+func (s *Soak) clearStoreFaults() { s.platform.Store.SetFaults(fake.StoreFaults{}) }
 
 func (s *Soak) restart(p *proc) {
 	if err := p.start(); err != nil {
--- a/soak/gang.go
+++ b/soak/gang.go
@@ -51,7 +51,7 @@
 // change and cancellations. Neither excuses a gang member that times out waiting for the others.
 func (s *Soak) runFinalGangs(ctx context.Context, callers *conc.WaitGroup) {
 	s.logFault("configuration")
-	s.site.Configure()
+	s.platform.Configure()
 	activeCtx, stop := context.WithTimeout(ctx, finalGangsTime/2)
 	defer stop()
 	for i := range s.Callers {
--- a/soak/lasting.go
+++ b/soak/lasting.go
@@ -39,7 +39,7 @@
 		if !s.submitUntilAccepted(ctx, c, j, pickEntry) {
 			return
 		}
-		s.site.Checker.ExpectLasting(&j)
+		s.platform.Checker.ExpectLasting(&j)
 		if last {
 			duty.Sleep(plannedCtx, s.Duration+recoveryTime)
 			s.awaitRunning(ctx, &j)
@@ -49,7 +49,7 @@
 		entryRnd := rand.New(rand.NewPCG(s.Seed, rnd.Uint64()))
 		group.Go(func() {
 			s.cancelJob(ctx, c, j, func() string { return s.procs[entryRnd.IntN(len(s.procs))].callersAddress })
-			if last && s.site.Checker.RunningLasting(&j) > 0 { // All planned operations are over, so none delays the cancellation.
+			if last && s.platform.Checker.RunningLasting(&j) > 0 { // All planned operations are over, so none delays the cancellation.
 				s.addProblem("job %s still runs %v after its cancellation was acknowledged", j.ID, 2*cancelGrace)
 			}
 		})
@@ -75,7 +75,7 @@
 	want := len(j.LastingTasks())
 	got := 0
 	for deadline := time.Now().Add(recoveryTime); time.Now().Before(deadline) && ctx.Err() == nil; {
-		if got = s.site.Checker.RunningLasting(j); got == want {
+		if got = s.platform.Checker.RunningLasting(j); got == want {
 			s.updateReport(func(r *Report) { r.Lasting += want })
 			return
 		}
--- a/soak/partition.go
+++ b/soak/partition.go
@@ -125,8 +125,8 @@
 		}
 		s.logFault("partition of %s from %s, outgoing %v, incoming %v, for %v", strings.Join(inside, ","), strings.Join(outside, ","), out, in, duration)
 		s.group.Go(func() {
-			s.site.Checker.RecordDisturbance(true)
-			defer s.site.Checker.RecordDisturbance(false)
+			s.platform.Checker.RecordDisturbance(true)
+			defer s.platform.Checker.RecordDisturbance(false)
 			s.setPartition(inside, outside, out, in, 1)
 			duty.Sleep(activeCtx, duration)
 			s.setPartition(inside, outside, out, in, -1)
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -35,7 +35,7 @@
 		if activeCtx.Err() != nil {
 			return
 		}
-		i, lost, after := rnd.IntN(s.site.Size()), rnd.IntN(3) == 0, drainTime(rnd)
+		i, lost, after := rnd.IntN(s.platform.Size()), rnd.IntN(3) == 0, drainTime(rnd)
 		s.group.Go(func() {
 			if lost {
 				s.crashWorker(ctx, i)
@@ -51,16 +51,16 @@
 // The crash of one worker at the beginning is the only unplanned disturbance.
 func (s *Soak) startPlannedOperations(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(s.Seed, 3))
-	lost := rnd.IntN(s.site.Size())
+	lost := rnd.IntN(s.platform.Size())
 	s.group.Go(func() { s.crashWorker(ctx, lost) })
-	first, order := rnd.IntN(len(s.procs)), rnd.Perm(s.site.Size())
+	first, order := rnd.IntN(len(s.procs)), rnd.Perm(s.platform.Size())
 	s.group.Go(func() {
 		for i := range min(len(s.procs), maxStops) {
 			p := s.procs[(first+i)%len(s.procs)]
 			s.logFault("planned stop %s", p.name)
 			s.group.Go(func() {
-				s.site.Checker.RecordPlannedWork(true)
-				defer s.site.Checker.RecordPlannedWork(false)
+				s.platform.Checker.RecordPlannedWork(true)
+				defer s.platform.Checker.RecordPlannedWork(false)
 				p.stop(syscall.SIGTERM)
 				s.restart(p)
 			})
@@ -85,9 +85,9 @@
 // is removed after the given time.
 func (s *Soak) replaceWorker(ctx context.Context, i int, after time.Duration) {
 	s.logFault("worker %d drains for %v", i, after)
-	s.site.Checker.RecordPlannedWork(true)
-	defer s.site.Checker.RecordPlannedWork(false)
-	leave, err := s.site.Replace(i)
+	s.platform.Checker.RecordPlannedWork(true)
+	defer s.platform.Checker.RecordPlannedWork(false)
+	leave, err := s.platform.Replace(i)
 	if err != nil {
 		s.addProblem("platform stand-in could not start a replacement worker: %v", err)
 		return
@@ -101,9 +101,9 @@
 // contains the crashed worker for crashedRecordTime.
 func (s *Soak) crashWorker(ctx context.Context, i int) {
 	s.logFault("worker %d is lost", i)
-	s.site.Checker.RecordDisturbance(true)
-	expire, err := s.site.Lose(i)
-	s.site.Checker.RecordDisturbance(false)
+	s.platform.Checker.RecordDisturbance(true)
+	expire, err := s.platform.Lose(i)
+	s.platform.Checker.RecordDisturbance(false)
 	if err != nil {
 		s.addProblem("platform stand-in could not start a replacement worker: %v", err)
 		return
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -51,7 +51,7 @@
 type Soak struct {
 	Options
 
-	site       *fake.Platform
+	platform   *fake.Platform
 	procs      []*proc
 	partitions partitions
 	rnd        *rand.Rand
@@ -110,8 +110,8 @@
 	callers.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.report.Problems = append(s.report.Problems, s.site.Checker.Problems()...)
-	s.report.Starts = s.site.Checker.Starts()
+	s.report.Problems = append(s.report.Problems, s.platform.Checker.Problems()...)
+	s.report.Starts = s.platform.Checker.Starts()
 	return s.report, nil
 }
 
@@ -122,18 +122,18 @@
 		return merry.Wrap(err)
 	}
 	s.faultLog = faults
-	s.site = &fake.Platform{Workers: s.Workers, Milli: 8000, Teams: []fake.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
+	s.platform = &fake.Platform{Workers: s.Workers, Milli: 8000, Teams: []fake.Team{{Name: "choir"}, {Name: "duct", Milli: limitMilli}}}
 	for d := range s.Domains {
-		s.site.Domains = append(s.site.Domains, fmt.Sprintf("d%d", d))
+		s.platform.Domains = append(s.platform.Domains, fmt.Sprintf("d%d", d))
 	}
-	if err := s.site.Start(); err != nil {
+	if err := s.platform.Start(); err != nil {
 		return err
 	}
 	for i := range s.Domains * s.Entries {
 		name := fmt.Sprintf("e%d", i)
 		p := &proc{
-			name: name, domain: s.site.Domains[i%s.Domains], program: s.Program, dir: s.Dir,
-			storeRelay: &relay{target: s.site.StoreAddress}, peerRelay: &relay{entry: name, partitions: &s.partitions},
+			name: name, domain: s.platform.Domains[i%s.Domains], program: s.Program, dir: s.Dir,
+			storeRelay: &relay{target: s.platform.StoreAddress}, peerRelay: &relay{entry: name, partitions: &s.partitions},
 		}
 		if err := p.storeRelay.start(); err != nil {
 			return err
@@ -141,7 +141,7 @@
 		if err := p.peerRelay.start(); err != nil {
 			return err
 		}
-		if err := p.writeSettings(s.site.AdviceAddress); err != nil {
+		if err := p.writeSettings(s.platform.AdviceAddress); err != nil {
 			return err
 		}
 		if err := p.start(); err != nil {
@@ -158,7 +158,7 @@
 		p.storeRelay.stop()
 		p.peerRelay.stop()
 	}
-	s.site.Stop()
+	s.platform.Stop()
 	_ = s.faultLog.Close()
 }
 
@@ -238,7 +238,7 @@
 // checkRefused checks that a job never runs if all attempts to submit it were refused.
 func (s *Soak) checkRefused(ctx context.Context, j fake.Job) {
 	duty.Sleep(ctx, cancelGrace)
-	if starts, _, _ := s.site.Checker.JobStats(j.ID); starts > 0 {
+	if starts, _, _ := s.platform.Checker.JobStats(j.ID); starts > 0 {
 		s.addProblem("job %s was refused, but its tasks were started", j.ID)
 	}
 }
@@ -246,14 +246,14 @@
 // cancelJob cancels a job, and checks that none of its tasks starts later than cancelGrace
 // after the cancellation was acknowledged.
 func (s *Soak) cancelJob(ctx context.Context, c *fake.Caller, j fake.Job, pickEntry func() string) {
-	s.site.Checker.ExpectCancel(&j)
+	s.platform.Checker.ExpectCancel(&j)
 	deadline := time.Now().Add(s.Duration + recoveryTime)
 	for time.Now().Before(deadline) {
 		if status := c.Cancel(ctx, pickEntry(), j); status == http.StatusOK || status == http.StatusNoContent {
 			s.updateReport(func(r *Report) { r.Cancelled++ })
 			acked := time.Now()
 			duty.Sleep(ctx, 2*cancelGrace)
-			if _, last, _ := s.site.Checker.JobStats(j.ID); last.After(acked.Add(cancelGrace)) {
+			if _, last, _ := s.platform.Checker.JobStats(j.ID); last.After(acked.Add(cancelGrace)) {
 				s.addProblem("job %s had a task started %v after its cancellation was acknowledged", j.ID, last.Sub(acked))
 			}
 			return
@@ -278,7 +278,7 @@
 			s.addProblem("job %s was accepted, but is no longer known", j.ID)
 			return
 		case state == "completed":
-			if _, _, done := s.site.Checker.JobStats(j.ID); done < want {
+			if _, _, done := s.platform.Checker.JobStats(j.ID); done < want {
 				s.addProblem("job %s is reported as completed, but only %d of %d tasks are done", j.ID, done, want)
 			}
 			s.updateReport(func(r *Report) { r.Done++ })
--- a/stand/exec.go
+++ b/stand/exec.go
@@ -57,7 +57,7 @@
 }
 
 // SetFaults replaces the injected faults.
-func (e *Executor) Set(f ExecFaults) {
+func (e *Executor) SetFaults(f ExecFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
@@ -81,7 +81,7 @@
 	r.PUT("/Stand/Faults", func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		var f ExecFaults
 		if decode(w, req, &f) {
-			e.Set(f)
+			e.SetFaults(f)
 		}
 	})
 	r.GET("/Stand/Counts", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/stand/httpd.go
+++ b/stand/httpd.go
@@ -20,7 +20,7 @@
 	r.PUT("/Faults", func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		var f Faults
 		if decode(w, req, &f) {
-			p.Set(f)
+			p.SetFaults(f)
 		}
 	})
 	r.GET("/Calls", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/stand/platform.go
+++ b/stand/platform.go
@@ -69,7 +69,7 @@
 )
 
 // SetFaults replaces the injected faults.
-func (p *Platform) Set(f Faults) {
+func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
--- a/stand/wire_test.go
+++ b/stand/wire_test.go
@@ -27,7 +27,7 @@
 // Guards against a refused write, an outage, and a lost response to a write that took effect
 // being confused by the client of the key-value service. Its caller would repeat a write that
 // took effect, or rely on one that did not.
-func TestStoreOverHTTP(t *testing.T) {
+func TestStoreClientDistinguishesFailures(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	p := &stand.Platform{WatchTimeout: 50 * time.Millisecond}
@@ -38,7 +38,7 @@
 	is.NoErr(err)
 	_, err = c.Put(ctx, "k", []byte("two"), 0, "")
 	is.True(errors.Is(err, winch.ErrConflict))
-	p.Set(stand.Faults{LoseReplies: 1})
+	p.SetFaults(stand.Faults{LoseReplies: 1})
 	_, err = c.Put(ctx, "k", []byte("two"), v, "")
 	is.True(errors.Is(err, winch.ErrUncertain))
 	got, err := c.Get(ctx, "k")
@@ -50,7 +50,7 @@
 	changes, _, err = c.Watch(ctx, []string{"k"}, next)
 	is.NoErr(err)
 	is.Equal(len(changes), 0)
-	p.Set(stand.Faults{Down: true})
+	p.SetFaults(stand.Faults{Down: true})
 	_, err = c.Put(ctx, "k", []byte("three"), got.Version, "")
 	is.True(errors.Is(err, winch.ErrUnavailable))
 	unreachable := &store.Client{Address: "127.0.0.1:1"}
@@ -78,7 +78,7 @@
 
 // Guards against a start that was refused or fenced being confused with one whose response
 // was lost, since only the latter may have taken effect.
-func TestAgentOverHTTP(t *testing.T) {
+func TestAgentClientDistinguishesFailures(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	size := winch.Resources{Processors: 2, Memory: 2}
@@ -90,7 +90,7 @@
 	}
 	is.NoErr(c.Start(ctx, vm, 2, task(0), time.Minute))
 	is.True(errors.Is(c.Start(ctx, vm, 1, task(1), time.Minute), winch.ErrFenced))
-	w.Set(stand.WorkerFaults{LoseReplies: 1})
+	w.SetFaults(stand.WorkerFaults{LoseReplies: 1})
 	err := c.Start(ctx, vm, 2, task(1), time.Minute)
 	is.True(err != nil && !errors.Is(err, winch.ErrRefused) && !errors.Is(err, winch.ErrFenced))
 	is.True(errors.Is(c.Start(ctx, vm, 2, task(2), time.Minute), winch.ErrRefused)) // the worker is full
--- a/stand/worker.go
+++ b/stand/worker.go
@@ -63,7 +63,7 @@
 }
 
 // SetFaults replaces the injected faults.
-func (w *Worker) Set(f WorkerFaults) {
+func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = f
@@ -88,7 +88,7 @@
 }
 
 // IsRunning reports whether the task is running on the worker.
-func (w *Worker) Runs(id winch.TaskID) bool {
+func (w *Worker) IsRunning(id winch.TaskID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endDueRuns()
@@ -305,7 +305,7 @@
 	r.PUT("/Stand/Faults", func(rw http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		var f WorkerFaults
 		if decode(rw, req, &f) {
-			w.Set(f)
+			w.SetFaults(f)
 		}
 	})
 	r.GET("/Stand/Counts", func(rw http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -46,7 +46,7 @@
 		is := is.New(t)
 		p := &stand.Platform{}
 		e := Editor{Store: p}
-		p.Set(stand.Faults{LoseReplies: 1, LosePrefix: Key})
+		p.SetFaults(stand.Faults{LoseReplies: 1, LosePrefix: Key})
 		doc, err := e.Edit(context.Background(), "ana", 0, declareTeam("choir", 4).Change())
 		is.NoErr(err)
 		is.Equal(doc.Version, uint64(1))
@@ -168,7 +168,7 @@
 
 func raceOperators(seed int) []porcupine.Operation {
 	p := &stand.Platform{}
-	p.Set(stand.Faults{LoseReplies: seed % 5, LosePrefix: Key, Latency: time.Millisecond})
+	p.SetFaults(stand.Faults{LoseReplies: seed % 5, LosePrefix: Key, Latency: time.Millisecond})
 	var group conc.WaitGroup
 	results := make([][]porcupine.Operation, 4)
 	for client := range results {
--- a/state/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		p.Set(stand.Faults{Latency: 5 * time.Millisecond})
+		p.SetFaults(stand.Faults{Latency: 5 * time.Millisecond})
 		l, stop := startLedger(p, 2)
 		defer stop()
 		var group conc.WaitGroup
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		p.Set(stand.Faults{LoseReplies: 1, LosePrefix: JobsPrefix, Latency: time.Millisecond})
+		p.SetFaults(stand.Faults{LoseReplies: 1, LosePrefix: JobsPrefix, Latency: time.Millisecond})
 		a, stopA := startLedger(p, 4)
 		b, stopB := startLedger(p, 4)
 		defer stopA()
@@ -90,7 +90,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		p.Set(stand.Faults{Latency: time.Second})
+		p.SetFaults(stand.Faults{Latency: time.Second})
 		l, stop := startLedger(p, 1)
 		defer stop()
 		var group conc.WaitGroup
@@ -195,7 +195,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := &stand.Platform{}
-		p.Set(stand.Faults{LoseReplies: 2, LosePrefix: JobsPrefix, Latency: time.Millisecond})
+		p.SetFaults(stand.Faults{LoseReplies: 2, LosePrefix: JobsPrefix, Latency: time.Millisecond})
 		var ledgers []*Ledger
 		for range 3 {
 			l, stop := startLedger(p, 1)
@@ -238,7 +238,7 @@
 		is := is.New(t)
 		const latency = 100 * time.Millisecond
 		p := &stand.Platform{}
-		p.Set(stand.Faults{Latency: latency})
+		p.SetFaults(stand.Faults{Latency: latency})
 		l, stop := startLedger(p, 1)
 		defer stop()
 		for i := range 30 {
--- a/state/swap/swap_test.go
+++ b/state/swap/swap_test.go
@@ -46,7 +46,7 @@
 		is := is.New(t)
 		p := &stand.Platform{}
 		for i := range 10 {
-			p.Set(stand.Faults{LoseReplies: i % 3})
+			p.SetFaults(stand.Faults{LoseReplies: i % 3})
 			_, err := Update(context.Background(), p, "k", increment)
 			is.NoErr(err)
 		}
@@ -105,7 +105,7 @@
 		defer cancel()
 		_, err := Update(ctx, s, "k", increment)
 		is.True(errors.Is(err, winch.ErrUncertain))
-		p.Set(stand.Faults{Down: true})
+		p.SetFaults(stand.Faults{Down: true})
 		_, err = Update(ctx, p, "k", increment)
 		is.True(errors.Is(err, winch.ErrUnavailable)) // nothing was sent
 	})
@@ -116,6 +116,6 @@
 
 func (s *failingStore) Put(ctx context.Context, key string, data []byte, version uint64, lease string) (uint64, error) {
 	_, _ = s.Platform.Put(ctx, key, data, version, lease)
-	s.Set(stand.Faults{Down: true})
+	s.SetFaults(stand.Faults{Down: true})
 	return 0, winch.ErrUncertain
 }
