--- a/test.sh
+++ b/test.sh
@@ -42,7 +42,7 @@
 	if out=$(go test -timeout 3m -run "^($red)\$" ./... 2>&1); then
 		echo "they passed this time"
 	else
-		echo "$out" | grep -E '^ *--- FAIL|broken:|_test.go:|timed out' | head -20 || true
+		echo "$out" | grep -E '^ *--- FAIL|invariant violated:|_test.go:|timed out' | head -20 || true
 		echo "they failed this time"
 	fi
 fi
