--- a/coord/fleet/load.go
+++ b/coord/fleet/load.go
@@ -11,7 +11,7 @@
 	Waiting map[string]int
 	Capped  int
 	Running int
-	Filling int64 // Filling is what backfill tasks could use, in thousandths of a processor.
+	Filling int64 // Filling is what filling tasks could use, in thousandths of a processor.
 }
 
 // Load returns how full the region is.
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -297,7 +297,7 @@
 	retryPenalty = 2.0
 	// remotePenalty keeps a task near its data: elsewhere it takes several times as long.
 	remotePenalty = 4.0
-	// interferencePenalty keeps backfill tasks off workers with tasks that have a latency target
+	// interferencePenalty keeps filling tasks off workers with tasks that have a latency target
 	// and vice versa, because they slow each other down.
 	interferencePenalty = 3.0
 )
--- a/coord/fleet/throttle.go
+++ b/coord/fleet/throttle.go
@@ -8,7 +8,7 @@
 
 const (
 	// throttleThreshold is the reported tail latency of a serving task (one with a latency target),
-	// relative to its target, from which backfill tasks beside it are throttled.
+	// relative to its target, from which filling tasks beside it are throttled.
 	throttleThreshold = 0.7
 	// releaseThreshold is the relative latency below which the throttle is released step by step.
 	releaseThreshold = 0.4
@@ -26,7 +26,7 @@
 	throttleAssumed = 40
 )
 
-// throttle slows the backfill tasks of a worker when a serving task beside them nears its target,
+// throttle slows the filling tasks of a worker when a serving task beside them nears its target,
 // and releases them step by step. The reported tail latency lags by half a second and a target may
 // be missed for a few seconds only, so throttling takes effect at once and release is gradual.
 func (p *Planner) throttle(w *worker, now time.Time) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// throttlePercent returns the lowest known throttle percentage of the backfill runs; 100 is full
+// throttlePercent returns the lowest known throttle percentage of the filling runs; 100 is full
 // speed.
 func (w *worker) throttlePercent() int {
 	percent := 100
@@ -73,7 +73,7 @@
 	return percent
 }
 
-// hasUnknownThrottle reports whether the throttle percentage of a backfill run is unknown.
+// hasUnknownThrottle reports whether the throttle percentage of a filling run is unknown.
 func (w *worker) hasUnknownThrottle() bool {
 	for _, r := range w.runs {
 		if r.isBackfill() && r.throttle == throttleUnknown {
@@ -83,6 +83,7 @@
 	return false
 }
 
+// isFilling reports whether the run belongs to a filling task, has started and is not being stopped.
 func (r *run) isBackfill() bool {
 	return r.task != nil && r.task.phase.spec.Fills && r.started && !r.stopping
 }
--- a/coord/fleet/throttle_test.go
+++ b/coord/fleet/throttle_test.go
@@ -11,7 +11,7 @@
 	"plantainwinch/winch"
 )
 
-// Guards against a backfill task that never continues after a takeover. A planner throttles the task
+// Guards against a filling task that never continues after a takeover. A planner throttles the task
 // to zero because of a serving task beside it, and is then killed. If its successor assumed full
 // speed, it would see no reason for a change and never send the worker a throttle percentage.
 func TestBackfillTaskThrottledByEarlierPlannerContinues(t *testing.T) {
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -75,15 +75,17 @@
 	// the worker was ordered to forget.
 	lastCompletion uint64
 	forgottenUpTo  uint64
-	backfillMilli  int64 // backfillMilli is the sum of what backfill runs could use, in thousandths of a processor.
-	serving        int   // serving counts the runs with a latency target.
-	lasting        int   // lasting counts the runs of lasting tasks.
+	// fillingMilli is the sum of what the runs of filling tasks (see winch.Phase.Fills) could use, in
+	// thousandths of a processor.
+	backfillMilli int64
+	serving       int // serving counts the runs with a latency target.
+	lasting       int // lasting counts the runs of lasting tasks.
 	// reportsOften is set while the worker is ordered to report more often.
 	reportsOften bool
 	// probe is set while nothing else may be started beside a probe.
 	probe        *suspicion
 	health       health
-	releaseAfter time.Time // releaseAfter is when the throttle of backfill runs may next be released.
+	releaseAfter time.Time // releaseAfter is when the throttle of filling runs may next be released.
 	// reserved is the capacity that the last Schedule reserved for phases of higher rank.
 	reserved reservation
 	// changes counts the changes of the worker's runs. cachedReleases holds the expected releases
@@ -315,8 +317,8 @@
 	return r
 }
 
-// updateReporting makes a worker report more often while backfill runs beside tasks with a latency
-// target, and while a probe runs.
+// updateReporting makes a worker report more often while it has runs of filling tasks beside runs with
+// a latency target, and while a probe runs.
 func (p *Planner) updateReporting(w *worker) {
 	often := w.serving > 0 && w.backfillMilli > 0 || w.probe != nil
 	if often != w.reportsOften {
--- a/winch/phase.go
+++ b/winch/phase.go
@@ -63,8 +63,9 @@
 	Image   string `cbor:"14,keyasint,omitempty"`
 	// Target is the tail response time that a lasting task must stay below.
 	Target time.Duration `cbor:"15,keyasint,omitempty"`
-	// Fills reports that the tasks use processor time that others leave idle; their
-	// Need.Milli does not count against the capacity of a worker VM.
+	// Fills makes the tasks filling tasks: they use processor time that other tasks leave
+	// idle and can be throttled. Their Need.Milli does not count against the capacity of a
+	// worker VM.
 	Fills bool `cbor:"16,keyasint,omitempty"`
 }
 
