--- a/coord/fleet/load.go
+++ b/coord/fleet/load.go
@@ -20,7 +20,7 @@
 	for _, w := range p.workers {
 		out.Running += len(w.runs)
 		out.Used = out.Used.Add(w.used)
-		out.Filling += w.backfillMilli
+		out.Filling += w.fillingMilli
 		for _, r := range w.runs {
 			if r.stopping {
 				out.Stopping = out.Stopping.Add(r.charge)
--- a/coord/fleet/place.go
+++ b/coord/fleet/place.go
@@ -306,7 +306,7 @@
 func (p *Planner) score(s *phase, w *worker, capacity winch.Capacity) float64 {
 	free := float64(capacity.Milli)
 	if s.spec.Fills {
-		free -= float64(w.backfillMilli)
+		free -= float64(w.fillingMilli)
 	}
 	score := free / float64(max(1, w.vm.Room.Milli))
 	if p.Policy.PackAccelerators && s.spec.Need.Accelerators > 0 {
@@ -318,7 +318,7 @@
 	if s.spec.SameRack && s.usesOtherRack(w.vm.Rack) {
 		score -= remotePenalty
 	}
-	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.backfillMilli > 0 {
+	if s.spec.Fills && w.serving > 0 || s.spec.Target > 0 && w.fillingMilli > 0 {
 		score -= interferencePenalty
 	}
 	return score
--- a/coord/fleet/slow.go
+++ b/coord/fleet/slow.go
@@ -56,7 +56,7 @@
 // isSlow reports whether a run's rate of progress is known, and whether it is stuck or much slower
 // than the other tasks of its phase.
 func (r *run) isSlow(now time.Time) (known, slow bool) {
-	if r.task == nil || !r.started || r.stopping || r.task.phase.spec.Lasting || r.isBackfill() || now.Sub(r.since) < minRateTime {
+	if r.task == nil || !r.started || r.stopping || r.task.phase.spec.Lasting || r.isFilling() || now.Sub(r.since) < minRateTime {
 		return false, false
 	}
 	if now.Sub(r.progressedAt) >= noProgressTimeout {
--- a/coord/fleet/throttle.go
+++ b/coord/fleet/throttle.go
@@ -66,7 +66,7 @@
 func (w *worker) throttlePercent() int {
 	percent := 100
 	for _, r := range w.runs {
-		if r.isBackfill() && r.throttle != throttleUnknown {
+		if r.isFilling() && r.throttle != throttleUnknown {
 			percent = min(percent, r.throttle)
 		}
 	}
@@ -76,7 +76,7 @@
 // hasUnknownThrottle reports whether the throttle percentage of a filling run is unknown.
 func (w *worker) hasUnknownThrottle() bool {
 	for _, r := range w.runs {
-		if r.isBackfill() && r.throttle == throttleUnknown {
+		if r.isFilling() && r.throttle == throttleUnknown {
 			return true
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 // isFilling reports whether the run belongs to a filling task, has started and is not being stopped.
-func (r *run) isBackfill() bool {
+func (r *run) isFilling() bool {
 	return r.task != nil && r.task.phase.spec.Fills && r.started && !r.stopping
 }
 
 func (p *Planner) setThrottle(w *worker, percent int, now time.Time) {
 	for _, r := range w.runs {
-		if !r.isBackfill() || r.throttle == percent || now.Sub(r.throttledAt) < releaseInterval/4 {
+		if !r.isFilling() || r.throttle == percent || now.Sub(r.throttledAt) < releaseInterval/4 {
 			continue
 		}
 		r.throttle, r.throttledAt = percent, now
--- a/coord/fleet/throttle_test.go
+++ b/coord/fleet/throttle_test.go
@@ -14,7 +14,7 @@
 // Guards against a filling task that never continues after a takeover. A planner throttles the task
 // to zero because of a serving task beside it, and is then killed. If its successor assumed full
 // speed, it would see no reason for a change and never send the worker a throttle percentage.
-func TestBackfillTaskThrottledByEarlierPlannerContinues(t *testing.T) {
+func TestFillingTaskThrottledByEarlierPlannerContinues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fill := tasks(1, 1000)
--- a/coord/fleet/worker.go
+++ b/coord/fleet/worker.go
@@ -77,9 +77,9 @@
 	forgottenUpTo  uint64
 	// fillingMilli is the sum of what the runs of filling tasks (see winch.Phase.Fills) could use, in
 	// thousandths of a processor.
-	backfillMilli int64
-	serving       int // serving counts the runs with a latency target.
-	lasting       int // lasting counts the runs of lasting tasks.
+	fillingMilli int64
+	serving      int // serving counts the runs with a latency target.
+	lasting      int // lasting counts the runs of lasting tasks.
 	// reportsOften is set while the worker is ordered to report more often.
 	reportsOften bool
 	// probe is set while nothing else may be started beside a probe.
@@ -320,7 +320,7 @@
 // updateReporting makes a worker report more often while it has runs of filling tasks beside runs with
 // a latency target, and while a probe runs.
 func (p *Planner) updateReporting(w *worker) {
-	often := w.serving > 0 && w.backfillMilli > 0 || w.probe != nil
+	often := w.serving > 0 && w.fillingMilli > 0 || w.probe != nil
 	if often != w.reportsOften {
 		w.reportsOften = often
 		p.orders = append(p.orders, proto.Order{Kind: proto.OrderReportRate, Worker: w.vm.ID, Closely: often})
@@ -330,7 +330,7 @@
 // countRun updates the worker's totals for n runs of a phase that start or, if n is negative, end.
 func (w *worker) countRun(spec *winch.Phase, n int) {
 	if spec.Fills {
-		w.backfillMilli += int64(n) * spec.Need.Milli
+		w.fillingMilli += int64(n) * spec.Need.Milli
 	}
 	if spec.Target > 0 {
 		w.serving += n
