--- a/server/region.go
+++ b/server/region.go
@@ -153,7 +153,7 @@
 	}
 	group.Go(func() { s.Mesh.Run(background) })
 	group.Go(func() { s.Node.Run(background) })
-	s.Log.Info("entry is serving", zap.String("name", s.Node.Name), zap.String("domain", s.Node.Domain), zap.String("callers", s.Settings.Listen.Callers))
+	s.Log.Info("entry serving", zap.String("name", s.Node.Name), zap.String("domain", s.Node.Domain), zap.String("callers", s.Settings.Listen.Callers))
 	<-ctx.Done()
 	s.stop(servers)
 	cancel()
@@ -164,7 +164,7 @@
 // stop hands over the entry's work, waits until the platform has noticed that the entry is
 // not ready, and closes the servers once their requests are done or the grace period is over.
 func (s *Region) stop(servers map[string]*http.Server) {
-	s.Log.Info("entry is stopping", zap.String("name", s.Node.Name))
+	s.Log.Info("entry stopping", zap.String("name", s.Node.Name))
 	started := time.Now()
 	s.Node.Stop(context.Background())
 	time.Sleep(unreadyDelay)
