--- a/cmds/apply.go
+++ b/cmds/apply.go
@@ -19,9 +19,9 @@
 	var body front.ApplyBody
 	cmd := &cobra.Command{
 		Use:   "apply -f FILE...",
-		Short: "Bring declarations of teams, classes and services into force",
-		Long: "Bring declarations of teams, classes and services into force. What the files do not name stays as it is;\n" +
-			"a section with the one line Remove = true removes its object.",
+		Short: "Apply declarations of teams, classes and services",
+		Long: "Apply declarations of teams, classes and services. Objects that the files do not name are left unchanged;\n" +
+			"a section with the single line Remove = true removes its object.",
 		Example: "  plantainwinch apply -f cell.ini --dry-run\n  plantainwinch apply -f cell.ini --base 12",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -37,9 +37,9 @@
 		},
 	}
 	c.operatorFlags(cmd)
-	cmd.Flags().StringArrayVarP(&files, "file", "f", nil, "file with declarations; may be given several times")
-	cmd.Flags().BoolVar(&body.DryRun, "dry-run", false, "show what would change and change nothing")
-	cmd.Flags().Uint64Var(&body.Base, "base", 0, "version that the change is based on; refused if it is not the current one")
+	cmd.Flags().StringArrayVarP(&files, "file", "f", nil, "file with declarations; may be repeated")
+	cmd.Flags().BoolVar(&body.DryRun, "dry-run", false, "show what would change without changing it")
+	cmd.Flags().Uint64Var(&body.Base, "base", 0, "version that the change is based on; the change is refused if this is not the current version")
 	_ = cmd.MarkFlagRequired("file")
 	return cmd
 }
--- a/cmds/call.go
+++ b/cmds/call.go
@@ -16,7 +16,7 @@
 	var class, id, deadline, file string
 	cmd := &cobra.Command{
 		Use:     "call SERVICE",
-		Short:   "Call a service and write its answer to standard output",
+		Short:   "Call a service and write its response to standard output",
 		Example: "  plantainwinch call render --class preview --file score.xml --deadline 5s",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -41,13 +41,14 @@
 	c.callersFlags(cmd)
 	f := cmd.Flags()
 	f.StringVar(&class, "class", "", "class of the work")
-	f.StringVar(&id, "id", "", "request id; needed where the class is not repeatable")
-	f.StringVar(&deadline, "deadline", "", "duration or time after which no answer is wanted")
-	f.StringVar(&file, "file", "", "file with the body, - for standard input")
+	f.StringVar(&id, "id", "", "request id; required if the class is not repeatable")
+	f.StringVar(&deadline, "deadline", "", "duration or time after which the response is no longer needed")
+	f.StringVar(&file, "file", "", "file with the request body, - for standard input")
 	_ = cmd.MarkFlagRequired("class")
 	return cmd
 }
 
+// openBody returns a reader of the request body: nil without a file, standard input for "-".
 func openBody(cmd *cobra.Command, file string) (io.Reader, error) {
 	switch file {
 	case "":
@@ -62,17 +63,17 @@
 	return f, nil
 }
 
-// copyAnswer writes the answer out. An executor's answer, whatever its status,
-// is done; anything else is the cell's word on the outcome.
+// copyResponse writes the response to standard output. A response of an executor counts as done, whatever its status.
+// A response with a reason comes from the cell and reports why the call has another outcome.
 func copyAnswer(cmd *cobra.Command, resp *http.Response) error {
 	if outcome := resp.Header.Get(front.OutcomeHeader); outcome != "" && resp.Header.Get(front.ReasonHeader) != "" {
 		return answerError(resp)
 	}
 	if _, err := io.Copy(cmd.OutOrStdout(), resp.Body); err != nil {
-		return withCode(exitUnknown, merry.Prepend(err, "the answer is not whole"))
+		return withCode(exitUnknown, merry.Prepend(err, "response truncated"))
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return withCode(exitRefused, merry.Errorf("the executor answered %s", resp.Status))
+		return withCode(exitRefused, merry.Errorf("the executor responded with %s", resp.Status))
 	}
 	return nil
 }
--- a/cmds/check.go
+++ b/cmds/check.go
@@ -15,7 +15,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:     "check -c FILE",
-		Short:   "Check settings or declarations without a cell",
+		Short:   "Check a file of settings or declarations without a running cell",
 		Example: "  plantainwinch check -c entry.ini\n  plantainwinch check -c cell.ini",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,7 +42,8 @@
 	return cmd
 }
 
-// isSettings tells settings from declarations by the section that every entry needs.
+// isSettings reports whether text is an entry's settings rather than declarations. Only settings have one of the
+// sections [Entry], [Listen] and [Cell].
 func isSettings(text []byte) bool {
 	for _, line := range bytes.Split(text, []byte("\n")) {
 		if s := string(bytes.TrimSpace(line)); s == "[Entry]" || s == "[Listen]" || s == "[Cell]" {
--- a/cmds/client.go
+++ b/cmds/client.go
@@ -17,35 +17,35 @@
 	"plantainwinch/winch"
 )
 
-// client reaches one interface of an entry.
+// client sends requests to one HTTP interface of an entry and prints the responses.
 type client struct {
 	Address string
 	Key     string
 	Output  string
 }
 
-// keyVariable is the environment variable that a key is taken from.
+// keyEnv is the environment variable that holds the key if --key is not given.
 const keyVariable = "WINCH_KEY"
 
-// callersFlags adds the flags of commands that use the callers' interface.
+// addCallerFlags adds the flags of commands that use the callers' interface.
 func (c *client) callersFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.Address, "callers", "127.0.0.1:7001", "address of an entry's callers' interface")
 	c.commonFlags(cmd)
 }
 
-// operatorFlags adds the flags of commands that use the operators' interface.
+// addOperatorFlags adds the flags of commands that use the operators' interface.
 func (c *client) operatorFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.Address, "operators", "127.0.0.1:7002", "address of an entry's operators' interface")
 	c.commonFlags(cmd)
 }
 
 func (c *client) commonFlags(cmd *cobra.Command) {
-	cmd.PersistentFlags().StringVar(&c.Key, "key", "", "key to call with; from the variable "+keyVariable+" if not given")
-	cmd.PersistentFlags().StringVar(&c.Output, "output", "table", "table or json")
+	cmd.PersistentFlags().StringVar(&c.Key, "key", "", "key that authorizes the request; taken from the environment variable "+keyVariable+" if not given")
+	cmd.PersistentFlags().StringVar(&c.Output, "output", "table", "output format: table or json")
 }
 
-// do makes a request and decodes the answer into out. An answer that is no
-// success becomes an error with the exit code of its outcome.
+// do sends a request with body as JSON and decodes the response into out. An error response becomes an error with
+// the exit code of its outcome.
 func (c *client) do(ctx context.Context, method, path string, body, out any) error {
 	if c.Output != "table" && c.Output != "json" {
 		return merry.Errorf("--output %s: write table or json", c.Output)
@@ -69,6 +69,8 @@
 	return merry.Wrap(json.NewDecoder(resp.Body).Decode(out))
 }
 
+// send sends a request with the key. A failure to send leaves the outcome unknown, as the entry may have received the
+// request.
 func (c *client) send(ctx context.Context, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, body)
 	if err != nil {
@@ -84,19 +86,20 @@
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, withCode(exitUnknown, merry.Prepend(err, "the entry cannot be reached, or broke off"))
+		return nil, withCode(exitUnknown, merry.Prepend(err, "the entry cannot be reached, or the connection was lost"))
 	}
 	return resp, nil
 }
 
+// responseError returns the error that an error response describes.
 func answerError(resp *http.Response) error {
 	var body front.ErrorBody
 	if json.NewDecoder(resp.Body).Decode(&body) != nil || body.Outcome == "" {
-		return withCode(exitUnknown, merry.Errorf("unexpected answer %s", resp.Status))
+		return withCode(exitUnknown, merry.Errorf("unexpected response %s", resp.Status))
 	}
 	err := merry.Errorf("%s, %s: %s", body.Outcome, body.Reason, body.Detail)
 	if body.RetryAfter != "" {
-		err = merry.Errorf("%v (come back in %s)", err, body.RetryAfter)
+		err = merry.Errorf("%v (retry after %s)", err, body.RetryAfter)
 	}
 	if body.Outcome == winch.Unknown {
 		return withCode(exitUnknown, err)
@@ -104,7 +107,7 @@
 	return withCode(exitRefused, err)
 }
 
-// print writes a value as JSON, or calls table for a listing.
+// print writes v as JSON or, for table output, calls table with a writer that aligns columns.
 func (c *client) print(cmd *cobra.Command, v any, table func(w io.Writer)) error {
 	if c.Output == "json" {
 		e := json.NewEncoder(cmd.OutOrStdout())
@@ -116,6 +119,7 @@
 	return merry.Wrap(w.Flush())
 }
 
+// printRow writes one row of a table.
 func row(w io.Writer, cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
--- a/cmds/dev.go
+++ b/cmds/dev.go
@@ -14,7 +14,7 @@
 	"plantainwinch/cell"
 )
 
-// demoTime bounds the demo.
+// demoTimeout limits the duration of the demo.
 const demoTime = 50 * time.Second
 
 func newDev() *cobra.Command {
@@ -23,8 +23,8 @@
 	cmd := &cobra.Command{
 		Use:   "dev",
 		Short: "Run a whole cell on loopback in one process",
-		Long: "Run a whole cell on loopback in one process: the stand-in platform, 3 failure domains with 2 entries each,\n" +
-			"50 executors and 50 workers. With --demo, run one sample of every workload through it and end.",
+		Long: "Run a whole cell on loopback in one process: a simulated platform, 3 failure domains with 2 entries each,\n" +
+			"50 executors and 50 workers. With --demo, run one sample of every workload and exit.",
 		Example: "  plantainwinch dev\n  plantainwinch dev --demo",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -52,13 +52,13 @@
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&demo, "demo", false, "run one sample of every workload, print what happened, and end")
-	cmd.Flags().BoolVar(&verbose, "verbose", false, "log changes of state to standard error")
+	cmd.Flags().BoolVar(&demo, "demo", false, "run one sample of every workload, print the results and exit")
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "log state changes to standard error")
 	cmd.Flags().StringVar(&out, "out", "", "also write keys and addresses to this file")
 	return cmd
 }
 
-// announce prints keys and addresses as lines that a shell can read.
+// printAddresses writes the keys and addresses as shell variable assignments to w and, if path is set, to that file.
 func announce(w io.Writer, path string, c *cell.Cell, keys cell.Keys) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "OPERATOR_KEY=%s\nOWNER_KEY=%s\nPLATFORM=%s\n", c.OperatorKey, keys.Owner, c.PlatformAddress)
--- a/cmds/explain.go
+++ b/cmds/explain.go
@@ -16,10 +16,10 @@
 	reader := cause.Reader{}
 	cmd := &cobra.Command{
 		Use:   "explain [LOG...]",
-		Short: "Tell from logs which jobs were late or not accepted, when and why",
-		Long: "Reads logs of a region's entries, from files or standard input, and prints by queue and by moment how many jobs\n" +
-			"were on time, late (up to three objectives) and missed, and what the time of those that were not on time went\n" +
-			"into: for each reason the number of jobs of which it is the longest wait, and its time over all.",
+		Short: "Show from logs which jobs were late or not accepted, when and why",
+		Long: "Reads the logs of a region's entries from files or standard input. Prints, for each queue and for each time\n" +
+			"interval, how many jobs were on time, late (up to three times the objective) and missed, and what delayed the\n" +
+			"jobs that were not on time: for each reason the number of jobs whose longest wait it was, and its total time.",
 		Example: "  plantainwinch explain entry-1.log entry-2.log\n  cat *.log | plantainwinch explain --every 2s --output json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if reader.Interval <= 0 {
@@ -39,8 +39,8 @@
 			return c.print(cmd, report, func(w io.Writer) { _ = cause.Print(w, report) })
 		},
 	}
-	cmd.Flags().DurationVar(&reader.Interval, "every", 5*time.Second, "length of a moment")
-	cmd.Flags().StringVar(&c.Output, "output", "table", "table or json")
+	cmd.Flags().DurationVar(&reader.Interval, "every", 5*time.Second, "length of the time intervals of the report")
+	cmd.Flags().StringVar(&c.Output, "output", "table", "output format: table or json")
 	return cmd
 }
 
--- a/cmds/job.go
+++ b/cmds/job.go
@@ -16,7 +16,7 @@
 
 func newJob() *cobra.Command {
 	var c client
-	cmd := &cobra.Command{Use: "job", Short: "Submit, look at, cancel and list jobs", Example: "  plantainwinch job list"}
+	cmd := &cobra.Command{Use: "job", Short: "Submit, show, cancel and list jobs", Example: "  plantainwinch job list"}
 	c.callersFlags(cmd)
 	cmd.AddCommand(newJobSubmit(&c), newJobStatus(&c), newJobCancel(&c), newJobList(&c))
 	return cmd
@@ -40,15 +40,15 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&body.RequestID, "id", "", "request id of your own; submitting it again gives the same job")
+	f.StringVar(&body.RequestID, "id", "", "request id that you choose; submitting it again returns the same job")
 	f.StringVar(&body.Class, "class", "", "class of the work")
-	f.StringVar(&kind, "kind", kind, "Batch, Gang or Service")
+	f.StringVar(&kind, "kind", kind, "kind of the job: Batch, Gang or Service")
 	f.IntVar(&body.Tasks, "tasks", 1, "number of tasks")
 	f.IntVar(&body.Need.Processors, "processors", 1, "processors of each task")
 	f.StringVar(&body.Need.Memory, "memory", "1GB", "memory of each task")
 	f.IntVar(&body.Need.Accelerators, "accelerators", 0, "accelerators of each task")
 	f.StringVar(&body.RunTime, "run-time", "", "expected run time of a task")
-	f.StringVar(&body.Command, "command", "", "what each task does")
+	f.StringVar(&body.Command, "command", "", "command that each task runs")
 	_ = cmd.MarkFlagRequired("id")
 	_ = cmd.MarkFlagRequired("class")
 	return cmd
@@ -58,7 +58,7 @@
 	var wait time.Duration
 	cmd := &cobra.Command{
 		Use:     "status ID",
-		Short:   "Show a job, and why it waits",
+		Short:   "Show a job and what it waits for",
 		Example: "  plantainwinch job status J0123456789abcdef0123 --wait 30s",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -70,7 +70,7 @@
 			return c.print(cmd, view, func(w io.Writer) { printJob(w, view) })
 		},
 	}
-	cmd.Flags().DurationVar(&wait, "wait", 0, "wait up to this long for the job's end")
+	cmd.Flags().DurationVar(&wait, "wait", 0, "wait up to this long for the job to end")
 	return cmd
 }
 
@@ -96,7 +96,7 @@
 func newJobCancel(c *client) *cobra.Command {
 	return &cobra.Command{
 		Use:     "cancel ID",
-		Short:   "Cancel a job; if its end came first, show that",
+		Short:   "Cancel a job, or show its result if it has already ended",
 		Example: "  plantainwinch job cancel J0123456789abcdef0123",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmds/key.go
+++ b/cmds/key.go
@@ -29,7 +29,7 @@
 	role := string(winch.KeyTeam)
 	cmd := &cobra.Command{
 		Use:     "issue HOLDER",
-		Short:   "Issue a key for a team, a service's owner or an operator, and print it once",
+		Short:   "Issue a key for a team, the owner of a service or an operator, and print it; it cannot be shown again",
 		Example: "  plantainwinch key issue choir-north\n  plantainwinch key issue render --role Owner",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -41,14 +41,14 @@
 			return c.print(cmd, reply, func(w io.Writer) { fmt.Fprintln(w, reply.Key) })
 		},
 	}
-	cmd.Flags().StringVar(&role, "role", role, "Team, Owner or Operator")
+	cmd.Flags().StringVar(&role, "role", role, "role of the key: Team, Owner or Operator")
 	return cmd
 }
 
 func newKeyWithdraw(c *client) *cobra.Command {
 	return &cobra.Command{
 		Use:     "withdraw ID",
-		Short:   "Withdraw a key; its waiting work ends too",
+		Short:   "Withdraw a key and end the work that waits under it",
 		Example: "  plantainwinch key withdraw KABCDEFGHIJ",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -62,11 +62,11 @@
 	}
 }
 
-// newKeyHash makes the first operator's key, whose hash goes into the settings.
+// newKeyHash returns the command that generates the first operator's key. Only the key's hash goes into the settings.
 func newKeyHash() *cobra.Command {
 	return &cobra.Command{
 		Use:     "hash",
-		Short:   "Make a first operator's key and print it with its hash for [Cell] OperatorKeyHash",
+		Short:   "Generate the first operator's key and print it with its hash for [Cell] OperatorKeyHash",
 		Example: "  plantainwinch key hash",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmds/load.go
+++ b/cmds/load.go
@@ -24,7 +24,7 @@
 	run                        load.Run
 }
 
-// durationMost and rateMost bound a run.
+// maxDuration and maxRate are the largest values that --duration and --rate accept.
 const (
 	durationMost = 10 * time.Minute
 	rateMost     = 20000
@@ -35,21 +35,22 @@
 	f.run.Mix = load.DefaultMix()
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Put a bounded load on a cell and count broken promises",
-		Long: "Put a bounded load on a cell and count broken promises. Without --cell it starts a cell of its own on\n" +
-			"loopback, as the dev command does. With --compare it measures calls through an entry against direct ones.",
+		Short: "Put a bounded load on a cell and count violated guarantees",
+		Long: "Put a bounded load on a cell and count violated guarantees (listed as BROKEN PROMISE). Without --cell, start\n" +
+			"a separate cell on loopback, as the dev command does. With --compare, compare the speed of calls through\n" +
+			"entries with that of direct calls.",
 		Example: "  plantainwinch load --rate 300 --duration 20s\n  plantainwinch load --outage 10s --duration 30s\n  plantainwinch load --compare --duration 2s",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return f.do(cmd) },
 	}
 	fs := cmd.Flags()
-	fs.StringVar(&f.cell, "cell", "", "file written by dev --out; empty for a cell of its own")
-	fs.StringVar(&f.output, "output", "table", "table or json")
+	fs.StringVar(&f.cell, "cell", "", "file written by dev --out; if empty, a separate cell is started")
+	fs.StringVar(&f.output, "output", "table", "output format: table or json")
 	fs.StringVar(&f.out, "out", "", "also write the report as JSON to this file")
-	fs.StringVar(&f.profile, "profile", "", "write a processor profile of this process to this file")
-	fs.BoolVar(&f.compare, "compare", false, "compare direct calls with calls through an entry and over one hop")
-	fs.IntVar(&f.rounds, "rounds", 3, "rounds of --compare")
-	fs.Float64Var(&f.run.Rate, "rate", 300, "arrivals a second over all entries")
+	fs.StringVar(&f.profile, "profile", "", "write a CPU profile of this process to this file")
+	fs.BoolVar(&f.compare, "compare", false, "compare direct calls with calls through one entry and with calls over one hop between entries")
+	fs.IntVar(&f.rounds, "rounds", 3, "number of rounds of --compare")
+	fs.Float64Var(&f.run.Rate, "rate", 300, "arrivals per second over all entries")
 	fs.DurationVar(&f.run.Duration, "duration", 10*time.Second, "length of the run, or of one phase of --compare")
 	fs.DurationVar(&f.run.Work, "work", 20*time.Millisecond, "mean run time of a call")
 	fs.DurationVar(&f.run.Outage, "outage", 0, "take the store down for this long in the middle of the run")
@@ -63,13 +64,13 @@
 	case f.output != "table" && f.output != "json":
 		return merry.Errorf("--output %s: write table or json", f.output)
 	case f.run.Duration <= 0 || f.run.Duration > durationMost:
-		return merry.Errorf("--duration %s: write a time up to %s", f.run.Duration, durationMost)
+		return merry.Errorf("--duration %s: write a time above zero, up to %s", f.run.Duration, durationMost)
 	case f.run.Rate <= 0 || f.run.Rate > rateMost:
-		return merry.Errorf("--rate %g: write a number up to %d", f.run.Rate, rateMost)
+		return merry.Errorf("--rate %g: write a number above zero, up to %d", f.run.Rate, rateMost)
 	case f.run.Outage < 0 || f.run.Outage >= f.run.Duration:
-		return merry.Errorf("--outage %s: it must be shorter than the run", f.run.Outage)
+		return merry.Errorf("--outage %s: write a time that is not negative and shorter than --duration", f.run.Outage)
 	case f.compare && f.cell != "":
-		return merry.New("--compare needs a cell of its own: leave --cell out")
+		return merry.New("--compare starts a separate cell: leave --cell out")
 	}
 	return nil
 }
@@ -106,7 +107,7 @@
 		return err
 	}
 	if n := report.Broken.Sum(); n > 0 {
-		return withCode(exitRefused, merry.Errorf("%d promises were broken", n))
+		return withCode(exitRefused, merry.Errorf("%d guarantees were violated", n))
 	}
 	return nil
 }
@@ -119,7 +120,7 @@
 	return f.write(cmd.OutOrStdout(), speeds, func(w io.Writer) error { return load.PrintRoutes(w, speeds) })
 }
 
-// target returns the cell to load and what stops it.
+// openTarget returns the cell to load and a function that stops it if it was started here.
 func (f *loadFlags) target(ctx context.Context) (*load.Target, func(), error) {
 	if f.cell != "" {
 		t, err := load.ReadTarget(f.cell)
@@ -140,8 +141,8 @@
 	return load.NewTarget(c, keys), c.Stop, nil
 }
 
-// write prints the result and writes it to the file of --out.
-func (f *loadFlags) write(to io.Writer, v any, table func(io.Writer) error) error {
+// write prints a result, and also writes it as JSON to the file named with --out.
+func (f *loadFlags) write(w io.Writer, v any, table func(io.Writer) error) error {
 	data, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return merry.Wrap(err)
@@ -152,8 +153,8 @@
 		}
 	}
 	if f.output == "json" {
-		_, err := fmt.Fprintln(to, string(data))
+		_, err := fmt.Fprintln(w, string(data))
 		return merry.Wrap(err)
 	}
-	return table(to)
+	return table(w)
 }
--- a/cmds/phased.go
+++ b/cmds/phased.go
@@ -17,7 +17,7 @@
 	c := client{}
 	cmd := &cobra.Command{
 		Use:     "phased",
-		Short:   "Hand in, look at and cancel jobs made of phases, at an entry of a region",
+		Short:   "Submit, show and cancel jobs with phases at an entry of a region",
 		Example: "  plantainwinch phased state jobs 0123456789abcdef",
 	}
 	cmd.PersistentFlags().StringVar(&c.Address, "jobs", "127.0.0.1:7004", "address of an entry's interface for phased jobs")
@@ -30,9 +30,9 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:   "submit QUEUE ID --file FILE",
-		Short: "Hand a job in",
-		Long: "Hand a job in. ID is 16 hexadecimal digits of your own; handing it in again gives the same job.\n" +
-			"FILE holds the job as JSON: Command, and Phases with Count, Need and, where they apply, After,\n" +
+		Short: "Submit a job",
+		Long: "Submit a job. ID is 16 hexadecimal digits that you choose; submitting it again returns the same job.\n" +
+			"FILE holds the job as JSON: Command, and Phases with Count, Need and, optionally, After,\n" +
 			"Estimate, Gang, SameRack, Label, Rack, MostPerVM, Copies, Lasting, Checkpoints and Fills.",
 		Example: "  plantainwinch phased submit jobs 0123456789abcdef --file mix.json",
 		Args:    cobra.ExactArgs(2),
@@ -48,6 +48,7 @@
 	return cmd
 }
 
+// readPhasedJob reads a job's JSON from a file or, for "-", standard input. Only a file's JSON is checked here.
 func readPhased(cmd *cobra.Command, file string) (json.RawMessage, error) {
 	if file == "-" {
 		data, err := io.ReadAll(cmd.InOrStdin())
@@ -58,11 +59,12 @@
 		return nil, merry.Errorf("--file %s: %v", file, err)
 	}
 	if !json.Valid(data) {
-		return nil, merry.Errorf("--file %s: this is no JSON", file)
+		return nil, merry.Errorf("--file %s: not valid JSON", file)
 	}
 	return data, nil
 }
 
+// newPhasedJob returns a command that sends a request for one job and prints the job's state.
 func newPhasedOne(c *client, name, short, method string) *cobra.Command {
 	return &cobra.Command{
 		Use:     name + " QUEUE ID",
@@ -75,6 +77,7 @@
 	}
 }
 
+// phasedRequest sends a request for one job, given as queue and id, and prints the job's state.
 func (c *client) phased(cmd *cobra.Command, method string, args []string, body any) error {
 	var state front.PhasedState
 	if err := c.do(cmd.Context(), method, "/Queues/"+args[0]+"/Jobs/"+args[1], body, &state); err != nil {
@@ -86,7 +89,7 @@
 func newPhasedQueue(c *client) *cobra.Command {
 	return &cobra.Command{
 		Use:     "queue QUEUE",
-		Short:   "Show how many jobs of a queue have not begun",
+		Short:   "Show how many jobs of a queue have not started",
 		Example: "  plantainwinch phased queue jobs",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmds/process_test.go
+++ b/cmds/process_test.go
@@ -28,23 +28,23 @@
 	"plantainwinch/winch"
 )
 
-// asProgram in the environment makes the test binary act as the program.
+// asProgramEnv is an environment variable that makes the test binary run as the program.
 const asProgram = "WINCH_TEST_AS_PROGRAM"
 
-// plant is a cell of real processes on loopback.
+// processCell is a cell of real processes on loopback.
 type plant struct {
 	t        *testing.T
 	dir      string
 	platform string
 	procs    map[string]*exec.Cmd
-	at       map[string]string // at holds each process's address, for an entry that of its callers.
-	desk     map[string]string
-	operator string
-	key      string
+	at       map[string]string // The address of each process; for an entry, of its callers' interface.
+	desk     map[string]string // The address of each entry's operators' interface.
+	operator string            // The operator's key.
+	key      string            // The key of the team choir.
 }
 
-// newPlant starts a platform, two executors, two workers and the entries, all in
-// one failure domain.
+// newProcessCell starts a platform, two executors, two workers and the entries, all in one failure domain. It returns
+// when every entry serves calls and the planner knows both workers.
 func newPlant(t *testing.T, entries ...string) *plant {
 	t.Helper()
 	secret, key := config.NewKey()
@@ -73,7 +73,7 @@
 		p.start(name, "serve", "-c", p.file(name))
 	}
 	p.configure(entries[0])
-	p.await("all entries see each other, a placer and the slots", func() bool {
+	p.await("the entries to know each other, a planner and the slots", func() bool {
 		var s entry.CellStatus
 		if p.operate(http.MethodGet, entries[0], "/Operator/Status", nil, &s) != nil || len(s.Entries) < len(entries) {
 			return false
@@ -88,9 +88,8 @@
 	return p
 }
 
-// nextPort is the next port to try. Ports come from below the range that the
-// system takes for outgoing connections: one of those could take a port between
-// the check here and its use.
+// nextPort is the next port to try. The ports are below the system's ephemeral port range: otherwise an outgoing
+// connection could take a port between the check in freeAddress and its use.
 var nextPort = 10000 + os.Getpid()%180*100
 
 func freeAddress(t *testing.T) string {
@@ -110,6 +109,7 @@
 
 func (p *plant) file(name string) string { return filepath.Join(p.dir, name+".ini") }
 
+// writeSettings writes the settings file of an entry.
 func (p *plant) write(name, peer string, peers []string, hash string) {
 	text := fmt.Sprintf(`[Entry]
 Name = %s
@@ -136,6 +136,7 @@
 	}
 }
 
+// startProcess starts the test binary as the program with the given arguments, under a name of the test.
 func (p *plant) start(name string, args ...string) {
 	p.t.Helper()
 	program, err := os.Executable()
@@ -155,7 +156,6 @@
 	p.procs[name] = cmd
 }
 
-// signal sends a signal to one of the processes.
 func (p *plant) signal(name string, s syscall.Signal) {
 	p.t.Helper()
 	if err := p.procs[name].Process.Signal(s); err != nil {
@@ -163,13 +163,14 @@
 	}
 }
 
-// kill ends a process with SIGKILL.
+// kill kills a process with SIGKILL and waits for its exit.
 func (p *plant) kill(name string) {
 	_ = p.procs[name].Process.Kill()
 	_ = p.procs[name].Wait()
 	delete(p.procs, name)
 }
 
+// stop kills all processes. If the test failed, it logs the end of each process's output.
 func (p *plant) stop() {
 	for name := range p.procs {
 		if p.t.Failed() {
@@ -180,8 +181,8 @@
 	}
 }
 
-// await polls until a condition holds. The limit only keeps a broken run from
-// going on for ever.
+// await polls until f returns true and returns how long that took. The timeout only keeps a failing test from running
+// forever.
 func (p *plant) await(what string, f func() bool) time.Duration {
 	p.t.Helper()
 	begin := time.Now()
@@ -191,10 +192,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.t.Fatal("it never came to this: " + what)
+	p.t.Fatal("timed out waiting for " + what)
 	return 0
 }
 
+// request sends a request and decodes the response into into, if that is set.
 func (p *plant) request(method, url, key string, body, into any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -222,10 +224,12 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
+// operatorRequest sends a request to the operators' interface of an entry.
 func (p *plant) operate(method, name, path string, body, into any) error {
 	return p.request(method, "http://"+p.desk[name]+path, p.operator, body, into)
 }
 
+// configure declares a team, classes and a service at an entry, and issues the keys that the tests need.
 func (p *plant) configure(name string) {
 	p.t.Helper()
 	declared := config.Declared{
@@ -238,7 +242,7 @@
 		},
 		Services: map[string]winch.Service{"render": {Name: "render", MaxBody: 1 << 20}},
 	}
-	p.await("the configuration is accepted", func() bool {
+	p.await("the configuration to be accepted", func() bool {
 		return p.operate(http.MethodPost, name, "/Operator/Apply", front.ApplyBody{Declared: declared}, nil) == nil
 	})
 	var team, owner front.KeyReply
@@ -257,11 +261,13 @@
 	}
 }
 
+// callResponse is the result of a call as its caller sees it.
 type answer struct {
 	outcome, reason, body string
 	err                   error
 }
 
+// call sends a call of the service render through an entry.
 func (p *plant) call(name, class, id, body string, header http.Header) answer {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -303,10 +309,11 @@
 	return v, err
 }
 
+// awaitJob waits for a job to end and returns it.
 func (p *plant) finished(name, id string) entry.JobView {
 	p.t.Helper()
 	var out entry.JobView
-	p.await("job "+id+" ends", func() bool {
+	p.await("job "+id+" to end", func() bool {
 		v, err := p.job(name, id)
 		out = v
 		return err == nil && v.State.Final()
@@ -314,6 +321,7 @@
 	return out
 }
 
+// planner returns the entry that is the planner, as another entry reports it.
 func (p *plant) placer(name string) string {
 	var s entry.CellStatus
 	if p.operate(http.MethodGet, name, "/Operator/Status", nil, &s) != nil || len(s.Domains) == 0 {
@@ -322,7 +330,7 @@
 	return s.Domains[0].Placer
 }
 
-// runs counts how often a request ran on the executors that still answer.
+// runCount returns how often a request ran on the executors that still respond.
 func (p *plant) runs(id string) (n int) {
 	for _, name := range []string{"e1", "e2"} {
 		var c stand.ExecCounts
@@ -333,7 +341,7 @@
 	return n
 }
 
-// startedTwice lists tasks that were started more than once.
+// startViolations lists the tasks that were started more than once and the workers that were overcommitted.
 func (p *plant) startedTwice() (out []string) {
 	sum := make(map[string]int)
 	for _, name := range []string{"w1", "w2"} {
@@ -353,24 +361,24 @@
 	return out
 }
 
-// An executor's process is killed while it runs one invoice, and another is
-// frozen with one. Both callers are told that the outcome is unknown; neither
-// invoice is sent again when it is asked for again.
+// TestProcessInvoicesOfKilledAndPausedExecutorsAreUnknown guards against a second run of a call that is not
+// repeatable. One executor process is killed and another paused while each runs an invoice. Both callers must get an
+// unknown outcome, and a request with the same id must not send the invoice again.
 func TestProcessExecutorKilledAndFrozen(t *testing.T) {
 	is := is.New(t)
 	p := newPlant(t, "a", "b")
 	work := http.Header{"Stand-Work": {"5s"}, front.DeadlineHeader: {"3s"}}
-	var got [2]answer
+	var results [2]answer
 	var group conc.WaitGroup
-	for i := range got {
-		group.Go(func() { got[i] = p.call("a", "invoice", fmt.Sprint("i", i), "x", work) })
+	for i := range results {
+		group.Go(func() { results[i] = p.call("a", "invoice", fmt.Sprint("i", i), "x", work) })
 	}
-	p.await("both invoices run", func() bool { return p.runs("i0")+p.runs("i1") == 2 })
+	p.await("both invoices to run", func() bool { return p.runs("i0")+p.runs("i1") == 2 })
 	p.kill("e1")
 	p.signal("e2", syscall.SIGSTOP)
 	group.Wait()
 	p.signal("e2", syscall.SIGCONT)
-	for i, g := range got {
+	for i, g := range results {
 		is.NoErr(g.err)
 		is.Equal(g.outcome, "Unknown")
 		again := p.call("b", "invoice", fmt.Sprint("i", i), "x", http.Header{front.DeadlineHeader: {"1s"}})
@@ -379,50 +387,51 @@
 	is.True(p.runs("i0")+p.runs("i1") <= 2)
 }
 
-// The placer's process is killed, then its successor frozen past its lease and
-// woken up. Every job ends, and no task is started twice.
+// TestProcessJobsEndAfterPlannersAreKilledAndPaused guards against lost jobs and double starts at takeovers. The
+// planner process is killed; then its successor is paused for longer than its lease and resumed. Every job must end,
+// and no task may be started twice.
 func TestProcessPlacerKilledAndFrozen(t *testing.T) {
 	is := is.New(t)
 	p := newPlant(t, "a", "b", "c")
 	first := p.placer("a")
-	watch := "a"
+	survivor := "a"
 	if first == "a" {
-		watch = "b"
+		survivor = "b"
 	}
-	jobs := []winch.Job{p.submit(watch, "billed", "j1", 4, "6s"), p.submit(watch, "mix", "j2", 40, "500ms")}
-	p.await("a task runs", func() bool { v, err := p.job(watch, jobs[0].ID); return err == nil && v.Running > 0 })
+	jobs := []winch.Job{p.submit(survivor, "billed", "j1", 4, "6s"), p.submit(survivor, "mix", "j2", 40, "500ms")}
+	p.await("a task to run", func() bool { v, err := p.job(survivor, jobs[0].ID); return err == nil && v.Running > 0 })
 	p.kill(first)
 	begin := time.Now()
-	next := p.submit(watch, "mix", "j3", 1, "1ms")
-	p.finished(watch, next.ID)
-	t.Logf("a job placed and done %s after the placer was killed", time.Since(begin).Round(time.Millisecond))
-	second := p.placer(watch)
+	afterKill := p.submit(survivor, "mix", "j3", 1, "1ms")
+	p.finished(survivor, afterKill.ID)
+	t.Logf("a job ended %s after the planner was killed", time.Since(begin).Round(time.Millisecond))
+	second := p.placer(survivor)
 	is.True(second != first)
 	for _, name := range []string{"a", "b", "c"} {
 		if name != first && name != second {
-			watch = name
+			survivor = name
 		}
 	}
 	p.signal(second, syscall.SIGSTOP)
-	jobs = append(jobs, p.submit(watch, "billed", "j4", 6, "300ms"))
-	third := p.submit(watch, "mix", "j5", 12, "300ms")
-	p.finished(watch, third.ID)
+	jobs = append(jobs, p.submit(survivor, "billed", "j4", 6, "300ms"))
+	whilePaused := p.submit(survivor, "mix", "j5", 12, "300ms")
+	p.finished(survivor, whilePaused.ID)
 	p.signal(second, syscall.SIGCONT)
 	for _, j := range jobs {
-		is.Equal(p.finished(watch, j.ID).State, winch.JobDone)
+		is.Equal(p.finished(survivor, j.ID).State, winch.JobDone)
 	}
 	is.Equal(p.startedTwice(), nil)
 }
 
-// An entry gets SIGTERM while calls go through it one after the other. The
-// balancer notices after a while that it is not ready. None of the calls until
-// then is cut: each ends whole or is refused as not run.
+// TestProcessPlannedStopInterruptsNoCall guards against calls that a planned stop interrupts. An entry gets SIGTERM
+// while callers send calls through it. The load balancer notices only after a delay that the entry is not ready. Until
+// then every call must end completely or be refused as not run.
 func TestProcessPlannedStop(t *testing.T) {
 	is := is.New(t)
 	p := newPlant(t, "a", "b")
 	var group conc.WaitGroup
 	var mu sync.Mutex
-	bad, done := []answer{}, 0
+	interrupted, done := []answer{}, 0
 	var ready atomic.Bool
 	ready.Store(true)
 	for i := range 8 {
@@ -433,33 +442,34 @@
 				if got.outcome == "Done" && got.body == "part" && got.err == nil {
 					done++
 				} else if got.outcome != "NotRun" {
-					bad = append(bad, got)
+					interrupted = append(interrupted, got)
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	group.Go(func() { // The balancer looks every 100 ms and sends nobody to an entry that is not ready.
+	group.Go(func() { // The load balancer polls every 100 ms and sends no calls to an entry that is not ready.
 		for p.request(http.MethodGet, "http://"+p.at["a"]+"/Ready", "", nil, nil) == nil {
 			time.Sleep(100 * time.Millisecond)
 		}
 		ready.Store(false)
 	})
-	p.await("calls are served", func() bool { mu.Lock(); defer mu.Unlock(); return done > 50 })
+	p.await("calls to be served", func() bool { mu.Lock(); defer mu.Unlock(); return done > 50 })
 	p.signal("a", syscall.SIGTERM)
 	is.NoErr(p.procs["a"].Wait())
 	delete(p.procs, "a")
 	group.Wait()
-	for _, b := range bad {
-		t.Errorf("cut: %+v: %v", b, b.err)
+	for _, b := range interrupted {
+		t.Errorf("interrupted call: %+v: %v", b, b.err)
 	}
 	is.Equal(p.call("b", "preview", "after", "x", nil).outcome, "Done")
 	job := p.submit("b", "mix", "after", 4, "10ms")
 	is.Equal(p.finished("b", job.ID).State, winch.JobDone)
 }
 
-// The platform's process is frozen for a while. Waiting calls go on; a deferred
-// job is refused as not run, and it can be submitted afterwards.
+// TestProcessCallsContinueWhileThePlatformIsPaused guards against repeatable calls that depend on the platform. While
+// the platform process is paused, calls of a repeatable class must succeed and a batch job must be refused. The job
+// must be accepted once the platform is resumed.
 func TestProcessPlatformFrozen(t *testing.T) {
 	is := is.New(t)
 	p := newPlant(t, "a", "b")
@@ -471,7 +481,7 @@
 	err := p.request(http.MethodPost, "http://"+p.at["a"]+"/Jobs", p.key, body, nil)
 	is.True(err != nil)
 	p.signal("platform", syscall.SIGCONT)
-	p.await("the job is accepted", func() bool {
+	p.await("the job to be accepted", func() bool {
 		return p.request(http.MethodPost, "http://"+p.at["a"]+"/Jobs", p.key, body, nil) == nil
 	})
 	is.Equal(p.startedTwice(), nil)
--- a/cmds/root.go
+++ b/cmds/root.go
@@ -1,4 +1,4 @@
-// Package cmds holds the commands of the program, one file a command.
+// Package cmds implements the program's sub-commands, one file per command or group of commands.
 package cmds
 
 import (
@@ -14,15 +14,15 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
-	exitDone    = 0
-	exitRefused = 1
-	exitUsage   = 2
-	exitUnknown = 3
+	exitDone    = 0 // The command succeeded.
+	exitRefused = 1 // The request was refused or failed, or a check found violations.
+	exitUsage   = 2 // The arguments or a file are invalid. Also used for errors without an exit code of their own.
+	exitUnknown = 3 // The outcome is unknown: the request may or may not have taken effect.
 )
 
-// codeError is an error with an exit code of its own.
+// exitError is an error that sets the exit code of the program.
 type codeError struct {
 	code int
 	err  error
@@ -31,9 +31,10 @@
 // Error implements error.
 func (c *codeError) Error() string { return c.err.Error() }
 
-// Unwrap returns the wrapped error.
+// Unwrap returns the wrapped error for errors.Is and errors.As.
 func (c *codeError) Unwrap() error { return c.err }
 
+// withExitCode attaches an exit code to err. It returns nil if err is nil.
 func withCode(code int, err error) error {
 	if err == nil {
 		return nil
@@ -41,7 +42,7 @@
 	return &codeError{code: code, err: err}
 }
 
-// Execute runs the command that the arguments name and returns the exit code.
+// Execute runs the command given by args and returns the exit code. SIGINT and SIGTERM cancel the command's context.
 func Execute(args []string) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
@@ -73,7 +74,7 @@
 	return root
 }
 
-// newLogger returns a logger to standard error.
+// newLogger returns a logger that writes readable lines to standard error, or a no-op logger if it cannot be built.
 func newLogger() *zap.Logger {
 	c := zap.NewProductionConfig()
 	c.Encoding = "console"
--- a/cmds/script_test.go
+++ b/cmds/script_test.go
@@ -10,7 +10,7 @@
 	"plantainwinch/cell"
 )
 
-// TestMain lets the scripts run the program under its own name.
+// TestMain lets the scripts and the process tests run the test binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		os.Exit(Execute(os.Args[1:]))
@@ -20,8 +20,8 @@
 	})
 }
 
-// The scripts are what operators and callers type. Each gets a small running
-// cell, whose addresses and keys stand in its environment.
+// TestScripts runs the scripts in testscripts: commands as operators and callers enter them. Each script has a small
+// running cell, whose addresses and operator key are in the script's environment.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "../testscripts",
@@ -45,17 +45,17 @@
 	})
 }
 
-// setKey puts a key that a command printed into the environment of the next ones.
+// setKey sets WINCH_KEY, for the commands that follow, to the key that a command printed to a file.
 func setKey(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Setenv("WINCH_KEY", strings.TrimSpace(ts.ReadFile(args[0])))
 }
 
-// setID does the same with the id of a job.
+// setID sets ID to the job id that a command printed to a file.
 func setID(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Setenv("ID", strings.TrimSpace(ts.ReadFile(args[0])))
 }
 
-// withdraw withdraws the key in a file and checks that it stops working at once.
+// withdraw withdraws the key in a file and checks that both entries refuse it at once.
 func withdraw(ts *testscript.TestScript, _ bool, args []string) {
 	key := strings.TrimSpace(ts.ReadFile(args[0]))
 	ts.Check(ts.Exec("plantainwinch", "key", "withdraw", key, "--operators", ts.Getenv("OPERATORS")))
@@ -67,7 +67,7 @@
 	}
 }
 
-// busySettings writes settings whose callers' address is in use.
+// busySettings writes settings with an address of the callers' interface that is already in use.
 func busySettings(ts *testscript.TestScript, _ bool, args []string) {
 	text := strings.ReplaceAll(ts.ReadFile("busy.in"), "CALLERS", ts.Getenv("CALLERS"))
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(text), 0o600))
--- a/cmds/serve.go
+++ b/cmds/serve.go
@@ -22,8 +22,8 @@
 	cmd := &cobra.Command{
 		Use:   "serve -c FILE",
 		Short: "Run one entry",
-		Long: "Run one entry until SIGTERM or SIGINT, which stop it without cutting a request short.\n" +
-			"[Platform] Adapter in the settings says which platform it runs on.",
+		Long: "Run one entry until SIGTERM or SIGINT, which stop it without interrupting requests.\n" +
+			"[Platform] Adapter in the settings selects the platform that it runs on.",
 		Example: "  plantainwinch serve -c entry.ini",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,6 +42,7 @@
 	return cmd
 }
 
+// serveCell runs one entry of a cell until ctx ends.
 func serveCell(ctx context.Context, path string) error {
 	settings, err := conf.Load(path)
 	if err != nil {
@@ -53,11 +54,12 @@
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	log.Info("serving", zap.String("Entry", settings.Entry.Name), zap.String("Callers", s.CallersAddress()))
+	log.Info("entry serving", zap.String("Entry", settings.Entry.Name), zap.String("Callers", s.CallersAddress()))
 	s.Run(ctx)
 	return nil
 }
 
+// serveRegion runs one entry of a region until ctx ends, and applies changed settings while it runs.
 func serveRegion(ctx context.Context, path string) error {
 	settings, err := conf.LoadRegion(path)
 	if err != nil {
@@ -66,25 +68,24 @@
 	reg := metrics.NewRegistry()
 	out := lines.New(os.Stdout, reg)
 	var group conc.WaitGroup
-	writing, end := context.WithCancel(context.Background())
-	group.Go(func() { out.Run(writing) })
+	writerCtx, stopWriter := context.WithCancel(context.Background())
+	group.Go(func() { out.Run(writerCtx) })
 	defer group.Wait()
-	defer end()
+	defer stopWriter()
 	s := &server.Region{Settings: settings, Log: out.Logger(), Metrics: reg}
 	if err := s.Prepare(); err != nil {
 		return err
 	}
-	group.Go(func() { reload(writing, path, s) })
+	group.Go(func() { reload(writerCtx, path, s) })
 	s.Run(ctx)
 	return nil
 }
 
-// reloadEvery is how often the settings file is looked at: it may change without
-// a signal.
+// reloadInterval is the interval at which the settings file is read again, as it may change without a signal.
 const reloadEvery = 2 * time.Second
 
-// reload puts changed settings in force until ctx ends. SIGHUP has them read at
-// once. Settings that cannot be read leave those in force as they are.
+// reloadSettings reads the settings file at intervals and on SIGHUP and applies it, until ctx ends. If the file cannot
+// be loaded, the present settings stay.
 func reload(ctx context.Context, path string, s *server.Region) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -100,7 +101,7 @@
 		}
 		settings, err := conf.LoadRegion(path)
 		if err != nil {
-			s.Log.Error("changed settings refused", zap.Error(err))
+			s.Log.Error("settings cannot be reloaded; keeping the present ones", zap.Error(err))
 			continue
 		}
 		s.Reload(settings)
--- a/cmds/service.go
+++ b/cmds/service.go
@@ -20,8 +20,8 @@
 	cmd.AddCommand(
 		newServiceCreate(&c), objectList(&c, "service", serviceRows),
 		objectShow(&c, "service", func(d *winch.Document) map[string]winch.Service { return d.Services }),
-		newApprove(&c, "approve", http.MethodPut, "Let a team call the service; needs the key of the service's owner"),
-		newApprove(&c, "revoke", http.MethodDelete, "Let a team call the service no longer; needs the key of the service's owner"),
+		newApprove(&c, "approve", http.MethodPut, "Allow a team to call the service; requires the key of the service's owner"),
+		newApprove(&c, "revoke", http.MethodDelete, "Revoke a team's permission to call the service; requires the key of the service's owner"),
 	)
 	return cmd
 }
@@ -30,7 +30,7 @@
 	var body string
 	cmd := &cobra.Command{
 		Use:     "create NAME",
-		Short:   "Create a service, or change one",
+		Short:   "Create or change a service",
 		Example: "  plantainwinch service create render --max-body 64MB",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -42,10 +42,11 @@
 			return c.apply(cmd, config.Declared{Services: map[string]winch.Service{s.Name: s}})
 		},
 	}
-	cmd.Flags().StringVar(&body, "max-body", "64MB", "largest body of a request")
+	cmd.Flags().StringVar(&body, "max-body", "64MB", "maximum size of a request body")
 	return cmd
 }
 
+// newApprove returns a command that changes whether a team may call a service.
 func newApprove(c *client, name, method, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:     name + " SERVICE TEAM",
@@ -63,6 +64,7 @@
 	}
 }
 
+// printAppliedReply prints the version that a change produced and the entries that confirmed it.
 func (c *client) printChange(cmd *cobra.Command, reply entry.Applied) error {
 	return c.print(cmd, reply, func(w io.Writer) {
 		printApplied(w, reply.Version, reply.Unchanged, reply.Confirmed, reply.Missing)
--- a/cmds/soak.go
+++ b/cmds/soak.go
@@ -16,10 +16,10 @@
 	seeds := 1
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Try a region of real processes under faults",
-		Long: "Start entries as processes of their own against a stand-in platform on loopback, bring faults\n" +
-			"about by a seed and check what callers and workers see. A seed that shows a broken promise is\n" +
-			"printed with the line that runs it again; its settings, logs and list of faults are kept.",
+		Short: "Test a region of real processes under faults",
+		Long: "Start entries as separate processes against a simulated platform on loopback, inject faults chosen\n" +
+			"by a seed and check what callers and workers observe. For a seed that shows a violated guarantee,\n" +
+			"print the command that runs it again, and keep its settings, logs and list of faults.",
 		Example: "  plantainwinch soak --seed 7 --time 20s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -42,22 +42,22 @@
 			}
 			cmd.Printf("%d passed, %d failed\n", seeds-failed, failed)
 			if failed > 0 {
-				return merry.New("a promise was broken")
+				return merry.New("a guarantee was violated")
 			}
 			return nil
 		},
 	}
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
-	cmd.Flags().DurationVar(&o.Duration, "time", 20*time.Second, "how long faults are brought about for each seed")
-	cmd.Flags().IntVar(&o.Domains, "domains", 3, "failure domains")
-	cmd.Flags().IntVar(&o.Entries, "entries", 2, "entries in each failure domain")
-	cmd.Flags().IntVar(&o.Workers, "workers", 4, "workers in each failure domain")
-	cmd.Flags().IntVar(&o.Callers, "callers", 4, "callers")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds to run, one after the other")
+	cmd.Flags().DurationVar(&o.Duration, "time", 20*time.Second, "how long faults are injected for each seed")
+	cmd.Flags().IntVar(&o.Domains, "domains", 3, "number of failure domains")
+	cmd.Flags().IntVar(&o.Entries, "entries", 2, "number of entries in each failure domain")
+	cmd.Flags().IntVar(&o.Workers, "workers", 4, "number of workers in each failure domain")
+	cmd.Flags().IntVar(&o.Callers, "callers", 4, "number of callers")
 	return cmd
 }
 
-// soakOnce runs one seed and reports whether all promises were kept.
+// soakOnce runs one seed and reports whether all guarantees held. It keeps the run's folder if not.
 func soakOnce(cmd *cobra.Command, o soak.Options) (bool, error) {
 	dir, err := os.MkdirTemp("", "winch-soak")
 	if err != nil {
@@ -77,7 +77,7 @@
 	for _, p := range report.Problems {
 		cmd.Println("  " + p)
 	}
-	cmd.Println(fmt.Sprintf("  logs in %s; again: plantainwinch soak --seed %d --time %v --domains %d --entries %d --workers %d --callers %d",
+	cmd.Println(fmt.Sprintf("  logs in %s; to run it again: plantainwinch soak --seed %d --time %v --domains %d --entries %d --workers %d --callers %d",
 		dir, o.Seed, o.Duration, o.Domains, o.Entries, o.Workers, o.Callers))
 	return false, nil
 }
--- a/cmds/stand.go
+++ b/cmds/stand.go
@@ -22,7 +22,7 @@
 )
 
 func newStand() *cobra.Command {
-	cmd := &cobra.Command{Use: "stand", Short: "Run a small stand-in for a system around the cell", Example: "  plantainwinch stand platform"}
+	cmd := &cobra.Command{Use: "stand", Short: "Run a simple substitute for a system that the cell depends on", Example: "  plantainwinch stand platform"}
 	cmd.AddCommand(newStandPlatform(), newStandExecutor(), newStandWorker(), newStandSite())
 	return cmd
 }
@@ -48,7 +48,7 @@
 	vm := winch.VM{Role: winch.RoleExecutor}
 	cmd := &cobra.Command{
 		Use:     "executor",
-		Short:   "Run an executor that echoes requests, and put it on the platform's list",
+		Short:   "Run an executor that echoes requests, and add it to the platform's list",
 		Example: "  plantainwinch stand executor --name e1 --domain d1 --service render --listen 127.0.0.1:7100",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -62,9 +62,9 @@
 	f.StringVar(&platform, "platform", "127.0.0.1:7000", "address of the platform")
 	f.StringVar(&vm.ID, "name", "executor-1", "name of the VM")
 	f.StringVar(&vm.Domain, "domain", "d1", "failure domain")
-	f.StringVar(&vm.Service, "service", "render", "service that it belongs to")
-	f.IntVar(&vm.Slots, "slots", 8, "requests that it runs at once")
-	f.IntVar(&vm.Connections, "connections", 64, "connections that it takes")
+	f.StringVar(&vm.Service, "service", "render", "service of the executor")
+	f.IntVar(&vm.Slots, "slots", 8, "maximum number of requests that run at once")
+	f.IntVar(&vm.Connections, "connections", 64, "maximum number of connections")
 	return cmd
 }
 
@@ -73,7 +73,7 @@
 	vm := winch.VM{Role: winch.RoleWorker}
 	cmd := &cobra.Command{
 		Use:     "worker",
-		Short:   "Run a worker whose tasks only take time, and put it on the platform's list",
+		Short:   "Run a worker that only simulates the run time of tasks, and add it to the platform's list",
 		Example: "  plantainwinch stand worker --name w1 --domain d1 --processors 16 --memory 32GB --listen 127.0.0.1:7200",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -104,10 +104,10 @@
 	cmd := &cobra.Command{
 		Use:   "site",
 		Short: "Run a platform with a transactional store, workers and an advice service",
-		Long: "Run what entries of a region need: a store with the operator's configuration, worker VMs whose\n" +
-			"tasks only take time, and an advice service that allows all. A command is a team's name and how\n" +
-			"long a task takes, such as \"choir 2s\". The teams choir and duct have the keys key-of-choir and\n" +
-			"key-of-duct; the queue is called jobs.",
+		Long: "Run what the entries of a region need: a store with the operator's configuration, worker VMs that\n" +
+			"only simulate the run time of tasks, and an advice service that grants every request. The command of a\n" +
+			"task is a team's name and the task's run time, such as \"choir 2s\". The teams choir and duct have the\n" +
+			"keys key-of-choir and key-of-duct; the queue is called jobs.",
 		Example: "  plantainwinch stand site --store 127.0.0.1:7000 --advice 127.0.0.1:7005",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -126,13 +126,14 @@
 	f := cmd.Flags()
 	f.StringVar(&s.StoreAddress, "store", "127.0.0.1:7000", "address of the store")
 	f.StringVar(&s.AdviceAddress, "advice", "127.0.0.1:7005", "address of the advice service")
-	f.IntVar(&domains, "domains", 1, "failure domains")
-	f.IntVar(&s.Workers, "workers", 2, "worker VMs in each failure domain")
-	f.Int64Var(&s.Milli, "milli", 16000, "processors of each worker VM, in thousandths")
+	f.IntVar(&domains, "domains", 1, "number of failure domains")
+	f.IntVar(&s.Workers, "workers", 2, "number of worker VMs in each failure domain")
+	f.Int64Var(&s.Milli, "milli", 16000, "processors of each worker VM, in thousandths of a processor")
 	return cmd
 }
 
-// serveStand serves until the command's context ends.
+// serveStand serves h on the address listen until the command's context ends. It calls ready, if given, once the
+// server accepts connections.
 func serveStand(cmd *cobra.Command, listen string, h http.Handler, ready func() error) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -153,10 +154,10 @@
 	return nil
 }
 
-// registerTries bounds how long a stand-in waits for the platform.
+// maxRegisterAttempts limits how long register waits for a platform that has not started yet.
 const registerTries = 50
 
-// register puts a VM on the platform's list.
+// register adds a VM to the platform's list. It retries, as the platform may still be starting.
 func register(platform string, vm winch.VM) error {
 	data, err := json.Marshal(vm)
 	if err != nil {
@@ -168,9 +169,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return merry.Errorf("the platform at %s does not answer (%v): start it first, or name it with --platform", platform, err)
+	return merry.Errorf("cannot register at the platform at %s (%v): start it first, or set its address with --platform", platform, err)
 }
 
+// postVM sends an encoded VM to the platform once.
 func post(platform string, data []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/cmds/status.go
+++ b/cmds/status.go
@@ -17,7 +17,7 @@
 	var c client
 	cmd := &cobra.Command{
 		Use:     "status",
-		Short:   "Show entries, failure domains and how near each team is to its limit",
+		Short:   "Show the entries, the failure domains, and how much of its limit each team uses",
 		Example: "  plantainwinch status --operators 127.0.0.1:7002",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -59,7 +59,7 @@
 	var c client
 	cmd := &cobra.Command{
 		Use:     "audit",
-		Short:   "Show who changed what, when and in which version",
+		Short:   "Show all configuration changes: version, time, actor, action and object",
 		Example: "  plantainwinch audit",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmds/team.go
+++ b/cmds/team.go
@@ -28,7 +28,7 @@
 	var t winch.Team
 	cmd := &cobra.Command{
 		Use:     "create NAME",
-		Short:   "Create a team, or change one",
+		Short:   "Create or change a team",
 		Example: "  plantainwinch team create choir-north --share 2 --limit 40",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -39,14 +39,14 @@
 			return c.apply(cmd, config.Declared{Teams: map[string]winch.Team{t.Name: t}})
 		},
 	}
-	cmd.Flags().IntVar(&t.Share, "share", 1, "part of a full fleet, relative to the other teams")
-	cmd.Flags().IntVar(&t.Limit, "limit", 0, "most requests and tasks running at once over the fleet")
-	cmd.Flags().DurationVar(&t.CutOffTrust, "cut-off-trust", conf.DefaultCutOffTrust, "how long its keys work in a failure domain that is cut off")
+	cmd.Flags().IntVar(&t.Share, "share", 1, "share of a fully used fleet, relative to the other teams")
+	cmd.Flags().IntVar(&t.Limit, "limit", 0, "maximum number of requests and tasks that run at once in the whole fleet")
+	cmd.Flags().DurationVar(&t.CutOffTrust, "cut-off-trust", conf.DefaultCutOffTrust, "how long its keys stay valid in a partitioned failure domain")
 	_ = cmd.MarkFlagRequired("limit")
 	return cmd
 }
 
-// apply brings declared objects into force and prints what became of it.
+// apply applies declared objects and prints the changes.
 func (c *client) apply(cmd *cobra.Command, d config.Declared) error {
 	var reply front.ApplyReply
 	if err := c.do(cmd.Context(), http.MethodPost, "/Operator/Apply", front.ApplyBody{Declared: d}, &reply); err != nil {
@@ -55,16 +55,17 @@
 	return c.print(cmd, reply, func(w io.Writer) { printApply(w, false, reply) })
 }
 
+// fetchDocument fetches the whole configuration.
 func (c *client) document(cmd *cobra.Command) (*winch.Document, error) {
 	doc := new(winch.Document)
 	return doc, c.do(cmd.Context(), http.MethodGet, "/Operator/Document", nil, doc)
 }
 
-// objectList returns the command that lists one kind of declared object.
+// newObjectList returns the command that lists one kind of declared object.
 func objectList(c *client, kind string, rows func(w io.Writer, doc *winch.Document)) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
-		Short:   "List what is declared",
+		Short:   "List the declared objects",
 		Example: "  plantainwinch " + kind + " list --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -77,11 +78,11 @@
 	}
 }
 
-// objectShow returns the command that shows one declared object as JSON.
+// newObjectShow returns the command that shows one declared object as JSON.
 func objectShow[T any](c *client, kind string, pick func(*winch.Document) map[string]T) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show NAME",
-		Short:   "Show one as JSON",
+		Short:   "Show one declared object as JSON",
 		Example: "  plantainwinch " + kind + " show NAME",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -120,7 +121,7 @@
 	var k winch.Class
 	cmd := &cobra.Command{
 		Use:     "create NAME",
-		Short:   "Create a class, or change one",
+		Short:   "Create or change a class",
 		Example: "  plantainwinch class create preview --wait 4s --max-run 30s --repeatable",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -132,10 +133,10 @@
 		},
 	}
 	f := cmd.Flags()
-	f.DurationVar(&k.Wait, "wait", 0, "target: longest wait for the start")
-	f.StringVar(&k.By, "by", "", "target: time of day, UTC, by which the work is done, such as 06:00")
-	f.DurationVar(&k.MaxRun, "max-run", 0, "longest run time of one request or task")
-	f.BoolVar(&k.Repeatable, "repeatable", false, "the work may be run again after it has ended")
+	f.DurationVar(&k.Wait, "wait", 0, "target: maximum wait until the start")
+	f.StringVar(&k.By, "by", "", "target: time of day, UTC, by which the work must be done, such as 06:00")
+	f.DurationVar(&k.MaxRun, "max-run", 0, "maximum run time of one request or task")
+	f.BoolVar(&k.Repeatable, "repeatable", false, "the work may be run more than once")
 	f.BoolVar(&k.Preemptible, "preemptible", false, "tasks may be checkpointed for urgent work")
 	return cmd
 }
--- a/cmds/trial.go
+++ b/cmds/trial.go
@@ -12,7 +12,7 @@
 	"plantainwinch/trial"
 )
 
-// trialOptions are the flags of trial.
+// trialOptions holds the flags of the trial command.
 type trialOptions struct {
 	client
 	seed     uint64
@@ -28,24 +28,24 @@
 	var o trialOptions
 	cmd := &cobra.Command{
 		Use:   "trial",
-		Short: "Measure the planner's decisions on generated loads",
-		Long: "Plays generated loads against the planner of a region, in its own time and without a network, and prints for each\n" +
-			"queue how many jobs were on time and within three objectives, how long they took, what they waited for, and the\n" +
-			"use of lanes and room. --without switches a mechanism off, --each all of them one by one.\n" +
-			"With --fleets, the placer of a failure domain against first come, first fit; with --growth, what its decisions\n" +
-			"cost at 50 to 1600 workers.",
+		Short: "Measure the planner's decisions under generated loads",
+		Long: "Simulates generated loads against the planner of a region, in simulated time and without a network, and prints for\n" +
+			"each queue how many jobs were on time and within three times the objective, how long they took, what they waited\n" +
+			"for, and the use of lanes and capacity. --without switches mechanisms off, --each also each one by itself.\n" +
+			"--fleets compares the planner of a failure domain with first come, first fit; --growth measures the cost of its\n" +
+			"decisions at 50 to 1600 workers.",
 		Example: "  plantainwinch trial\n  plantainwinch trial --pattern gangs --without Reserve,AskAll --plot plots\n  plantainwinch trial --fleets",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
 	cmd.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the arrivals")
-	cmd.Flags().StringSliceVar(&o.patterns, "pattern", nil, "patterns to play, all if none is named")
+	cmd.Flags().StringSliceVar(&o.patterns, "pattern", nil, "load patterns to simulate; all if none is given")
 	cmd.Flags().StringSliceVar(&o.without, "without", nil, "mechanisms to switch off")
-	cmd.Flags().BoolVar(&o.each, "each", false, "play also with each mechanism switched off by itself")
-	cmd.Flags().StringVar(&o.plot, "plot", "", "folder for plots, as SVG")
-	cmd.Flags().BoolVar(&o.fleets, "fleets", false, "measure the placer of a failure domain")
-	cmd.Flags().BoolVar(&o.growth, "growth", false, "measure how its decisions' cost grows with the fleet")
-	cmd.Flags().StringVar(&o.Output, "output", "table", "table or json")
+	cmd.Flags().BoolVar(&o.each, "each", false, "also simulate with each single mechanism switched off")
+	cmd.Flags().StringVar(&o.plot, "plot", "", "folder for SVG plots")
+	cmd.Flags().BoolVar(&o.fleets, "fleets", false, "measure the planner of a failure domain")
+	cmd.Flags().BoolVar(&o.growth, "growth", false, "measure how the cost of its decisions grows with the fleet")
+	cmd.Flags().StringVar(&o.Output, "output", "table", "output format: table or json")
 	return cmd
 }
 
@@ -88,7 +88,7 @@
 	return o.print(cmd, all, func(w io.Writer) { _ = trial.PrintOutcomes(w, all) })
 }
 
-// chosen returns the patterns that were named.
+// selectedPatterns returns the patterns given with --pattern, or all patterns without it.
 func (o *trialOptions) chosen() ([]trial.Pattern, error) {
 	all := trial.Patterns()
 	if len(o.patterns) == 0 {
@@ -109,11 +109,12 @@
 	return out, nil
 }
 
+// printResults prints the results of the planner of a failure domain.
 func (o *trialOptions) placer(cmd *cobra.Command, all []trial.Result) error {
 	return o.print(cmd, all, func(w io.Writer) { _ = trial.Print(w, all) })
 }
 
-// fleets runs the baseline and both preferences over each fleet's arrivals.
+// compareFleets runs the baseline and both placement preferences on the arrivals of each fleet.
 func fleets(seed uint64) (out []trial.Result) {
 	for _, f := range trial.Fleets() {
 		out = append(out,
--- a/tools/play.sh
+++ b/tools/play.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Plays days of a site and prints a line for each: day, seed, score, worth,
-# served, refused, failed and the weakest part, and below it the first line of a
-# broken rule. The bench is not part of the repository: FLEETBENCH names it.
+# Runs simulated days of a site, JOBS at a time, and prints a line for each: day,
+# seed, score, worth, served, refused, failed and the weakest part, followed by up
+# to three lines about broken rules. The simulator is not part of the repository;
+# FLEETBENCH is the path of its program.
 #
-#   FLEETBENCH=... tools/play.sh SITE JOBS "DAY[:SEED] ..." [bench's options]
+#   FLEETBENCH=... tools/play.sh SITE JOBS "DAY[:SEED] ..." [simulator options]
 set -euo pipefail
 site=$1 jobs=$2 days=$3
 shift 3
